--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from thistletrail.gateway.config import Address, Config
-from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
 HOST = "127.0.0.1"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -20,9 +20,9 @@
     WatchEndpoints,
     WriteLog,
 )
-from thistletrail.policy.adapter import Host, write_action
 from thistletrail.policy.codec import pack_message, read_report, unpack_message
 from thistletrail.policy.events import HealthDigest, LoadReport, QuotaMessage, ServerObservation
+from thistletrail.policy.simulator_adapter import Host, write_action
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -52,7 +52,7 @@
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     return subprocess.run(
-        [sys.executable, "-m", "thistletrail.policy.adapter"],
+        [sys.executable, "-m", "thistletrail.policy.simulator_adapter"],
         input=text,
         text=True,
         capture_output=True,
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -12,8 +12,8 @@
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.gateway.config import ConfigError, read_steward
 from thistletrail.policy.actions import Action, RejectRequest, StartAttempt
-from thistletrail.policy.allowances import FLOOR, WANTED_US, wanted
 from thistletrail.policy.events import AttemptResult, BudgetGranted, BudgetKey, BudgetKind, ClientDisconnected
+from thistletrail.policy.leased_budgets import FLOOR, WANTED_US, wanted
 from thistletrail.policy.settings import Plan
 
 PLAN = Plan(rate=100.0, burst=100.0, ceiling_rate=20.0, ceiling_burst=40.0)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -16,7 +16,7 @@
 from tests.sockets import PATIENT, PATIENT_MS, Backend, Client, front_door, query, run, value
 from thistletrail.gateway import backends
 from thistletrail.gateway.backends import Attempt
-from thistletrail.gateway.frontdoor import Exchange
+from thistletrail.gateway.server import Exchange
 from thistletrail.policy.actions import SetTimer
 from thistletrail.policy.base import Job
 from thistletrail.policy.events import Event, TimerFired
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistletrail.gateway.budget import (
+from thistletrail.gateway.deadline import (
     ANSWER_MARGIN_US,
     LATE_LEAST_US,
     Budget,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -25,7 +25,7 @@
 from thistletrail.gateway import clients
 from thistletrail.gateway.clients import CommandError, CommandParser
 from thistletrail.gateway.resp import CommandReader, ProtocolError
-from thistletrail.policy.cap import OUT_PER_SERVER
+from thistletrail.policy.overload_control import OUT_PER_SERVER
 
 PARSER = CommandParser(CONFIG)
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -10,11 +10,12 @@
 
 from tests.sockets import Backend, Client, front_door, query, refusing_address, run, value
 from tests.test_program import config, start, write
-from thistletrail.gateway import backends, costs
+from thistletrail.gateway import backends
+from thistletrail.gateway import cost_counters as costs
 from thistletrail.gateway.config import ConfigError, load
-from thistletrail.gateway.costs import REST, Costs, Stages
-from thistletrail.gateway.frontdoor import FrontDoor
-from thistletrail.gateway.peers import Peers
+from thistletrail.gateway.cost_counters import REST, Costs, Stages
+from thistletrail.gateway.peer_transport import Peers
+from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,11 +26,12 @@
     submit,
     value,
 )
-from thistletrail.gateway import backends, clients, frontdoor
+from thistletrail.gateway import backends, clients
+from thistletrail.gateway import server as frontdoor
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.clients import State
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.events import AttemptEnded
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,9 +11,10 @@
 
 from tests.helpers import MS, SETTINGS, S, World, of, servers
 from tests.sockets import HOST, Backend, Client, front_door, query, run, submit, value
-from thistletrail.gateway import backends, frontdoor
+from thistletrail.gateway import backends
+from thistletrail.gateway import server as frontdoor
 from thistletrail.gateway.backends import Attempt, Backends, now_us
-from thistletrail.gateway.budget import ANSWER_MARGIN_US
+from thistletrail.gateway.deadline import ANSWER_MARGIN_US
 from thistletrail.policy.actions import FailRequest, RejectRequest, StartAttempt
 from thistletrail.policy.events import (
     AttemptResult,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,10 +11,10 @@
 import pytest
 
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
-from thistletrail.gateway import discovery
-from thistletrail.gateway.discovery import Catalog, Discovery, News
-from thistletrail.gateway.frontdoor import FrontDoor
-from thistletrail.gateway.peers import Peers
+from thistletrail.gateway import discovery_client as discovery
+from thistletrail.gateway.discovery_client import Catalog, Discovery, News
+from thistletrail.gateway.peer_transport import Peers
+from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.codec import pack_message
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, QuotaMessage, ServerState
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
     PeerMessageReceived,
     ServerObservation,
 )
-from thistletrail.policy.fleet import DIGEST_US, FRESH_US, Fleet, by_mark, mark
+from thistletrail.policy.health_gossip import DIGEST_US, FRESH_US, Fleet, by_mark, mark
 from thistletrail.policy.settings import Plan
 
 MANY = replace(SETTINGS, gateway_count=40, plans=(Plan(),))
--- a/tests/test_frontdoor.py
+++ b/tests/test_frontdoor.py
@@ -22,8 +22,8 @@
     submit,
     value,
 )
-from thistletrail.gateway import frontdoor
-from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway import server as frontdoor
+from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import Action, SetTimer, StartAttempt
 from thistletrail.policy.events import (
     AttemptEnded,
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -16,10 +16,18 @@
 from tests.sockets import CONFIG, HOST, Backend, Client, Watch, front_door, query, run
 from tests.test_program import config as values_of
 from tests.test_program import write as write_config
-from thistletrail.gateway import keep
+from thistletrail.gateway import snapshot_store as keep
 from thistletrail.gateway.config import ConfigError
-from thistletrail.gateway.frontdoor import FrontDoor
-from thistletrail.gateway.keep import Keep, RejectedError, Snapshot, pack, settings_of, unpack, wait_s
+from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.snapshot_store import (
+    Keep,
+    RejectedError,
+    Snapshot,
+    pack,
+    settings_of,
+    unpack,
+    wait_s,
+)
 from thistletrail.policy import memory
 from thistletrail.policy.actions import WriteLog
 from thistletrail.policy.events import CustomerSnapshot, EjectedServerSnapshot, PolicySnapshot, SnapshotFound
@@ -315,6 +323,6 @@
 def test_without_a_folder_nothing_is_loaded_for_it() -> None:
     words = (
         "import thistletrail.gateway.__main__, sys\n"
-        "assert not {'msgspec', 'thistletrail.gateway.keep'} & set(sys.modules)"
+        "assert not {'msgspec', 'thistletrail.gateway.snapshot_store'} & set(sys.modules)"
     )
     subprocess.run([sys.executable, "-c", words], check=True)
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thistletrail.gateway.objects import ObjectReader
+from thistletrail.gateway.json_stream import ObjectReader
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(),
--- a/tests/test_roster_end_to_end.py
+++ b/tests/test_roster_end_to_end.py
@@ -11,7 +11,7 @@
 
 from tests.sockets import CONFIG, HOST, Backend, Client, query, run
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.events import ServerState
 from thistletrail.registry.follow import Follower
 from thistletrail.registry.registration import Registration
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,6 @@
     WatchEndpoints,
     WriteLog,
 )
-from thistletrail.policy.cap import TARGETS, next_exact
 from thistletrail.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -36,7 +35,8 @@
     StreamStarted,
     TimerFired,
 )
-from thistletrail.policy.patience import Patience
+from thistletrail.policy.overload_control import TARGETS, next_exact
+from thistletrail.policy.retry_detection import Patience
 from thistletrail.policy.rules import Gateway
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
@@ -618,16 +618,16 @@
     root = Path(__file__).parent.parent
     policy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
     decisions = {
-        "allowances.py",
+        "leased_budgets.py",
         "base.py",
-        "cap.py",
-        "choice.py",
-        "fleet.py",
+        "overload_control.py",
+        "server_selection.py",
+        "health_gossip.py",
         "memory.py",
-        "patience.py",
+        "retry_detection.py",
         "quota.py",
         "rules.py",
-        "starts.py",
+        "incarnations.py",
     }
     assert set(policy) == {f"thistletrail/policy/{name}" for name in decisions}
     files = [(root / name).read_text().splitlines() for name in policy]
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -9,8 +9,8 @@
 from thistletrail.policy.actions import Action, RejectRequest, SendPeerMessage
 from thistletrail.policy.codec import pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
+from thistletrail.policy.incarnations import BACK_US, MOST_SERVED_S, OLDER_US, TIMES_TOLD, YOUNG_US, Starts
 from thistletrail.policy.settings import Plan
-from thistletrail.policy.starts import BACK_US, MOST_SERVED_S, OLDER_US, TIMES_TOLD, YOUNG_US, Starts
 
 CUSTOMER = (1, 0, 0, 3)
 
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -78,7 +78,8 @@
         raise BenchError(f"the build failed: {last_line(done.stderr or done.stdout)}")
     folder = gateway_folder(root)
     takes_many = "read_addresses" in (folder / "config.py").read_text()
-    return Tree(root, run, (folder / "costs.py").exists(), takes_many)
+    tells_costs = any((folder / name).exists() for name in ("cost_counters.py", "costs.py"))
+    return Tree(root, run, tells_costs, takes_many)
 
 
 @contextlib.contextmanager
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -16,7 +16,7 @@
 from thistletrail.fault_injection.leases import overfull
 from thistletrail.fault_injection.plan import ON_LINKS, Plan
 from thistletrail.fault_injection.world import World
-from thistletrail.gateway.keep import MOST_AGE_S
+from thistletrail.gateway.snapshot_store import MOST_AGE_S
 from thistletrail.simulation.clock import MS, Clock, S
 from thistletrail.simulation.ledger import Account, Store
 
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -28,8 +28,8 @@
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
-from thistletrail.gateway.allowance import FURTHER
-from thistletrail.gateway.keep import HEAD, Snapshot, pack
+from thistletrail.gateway.budget_lease_client import FURTHER
+from thistletrail.gateway.snapshot_store import HEAD, Snapshot, pack
 from thistletrail.leasing.book import begin
 from thistletrail.leasing.config import read as read_config
 from thistletrail.simulation.clock import Clock
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from thistletrail.gateway.config import Config, ConfigError, load, reload
-from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway.server import FrontDoor
 
 log = logging.getLogger("thistletrail.gateway")
 
@@ -74,7 +74,7 @@
         loop.add_signal_handler(number, stopped.set)
     keep = None
     if config.state_dir:
-        from thistletrail.gateway.keep import Keep  # what is kept nowhere needs not be loaded
+        from thistletrail.gateway.snapshot_store import Keep  # what is kept nowhere needs not be loaded
 
         keep = Keep(config)
         if wait := keep.wait_s():
@@ -99,7 +99,7 @@
         working = loop.create_task(door.takeover.run())
     await door.start()
     if config.steward:
-        from thistletrail.gateway.allowance import Allowances  # no steward, no packages for it
+        from thistletrail.gateway.budget_lease_client import Allowances  # no steward, no packages for it
 
         allowances = Allowances(door, config)
         renewing = loop.create_task(allowances.run())
--- a/thistletrail/gateway/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.costs import BACKENDS, Costs
+from thistletrail.gateway.cost_counters import BACKENDS, Costs
 from thistletrail.gateway.resp import Answer, AnswerReader, ProtocolError, has_unread
 from thistletrail.policy.codec import read_report
 from thistletrail.policy.events import AttemptResult, LoadReport, ServerState
--- a/thistletrail/gateway/allowance.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -17,11 +17,11 @@
 from thistletrail.leasing.holder import Holder
 from thistletrail.leasing.state import Terms
 from thistletrail.leasing.wire import now_ms
-from thistletrail.policy.allowances import wanted, whole_of
 from thistletrail.policy.events import BudgetGranted, BudgetKey
+from thistletrail.policy.leased_budgets import wanted, whole_of
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.frontdoor import FrontDoor
+    from thistletrail.gateway.server import FrontDoor
 
 MOST_WANTED = 2000  # budgets in one ask: as many as a steward takes
 LOOK_S = 0.05  # between looks for customers that have come
--- a/thistletrail/gateway/clients.py
+++ b/thistletrail/gateway/clients.py
@@ -16,9 +16,9 @@
 from itertools import islice
 
 from thistletrail.gateway.backends import NEVER, now_us
-from thistletrail.gateway.budget import LATE_LEAST_US, Budget, from_text, to_text, unread_us
 from thistletrail.gateway.config import Address, Config
-from thistletrail.gateway.costs import CLIENTS, Costs
+from thistletrail.gateway.cost_counters import CLIENTS, Costs
+from thistletrail.gateway.deadline import LATE_LEAST_US, Budget, from_text, to_text, unread_us
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode, has_ended, has_unread
 from thistletrail.policy.events import RequestArrived
 from thistletrail.policy.settings import Effect
--- a/thistletrail/gateway/costs.py
+++ b/thistletrail/gateway/cost_counters.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, ParamSpec, TypeVar
 
-from thistletrail.gateway.budget import Budget, Stage
+from thistletrail.gateway.deadline import Budget, Stage
 
 P, R, T = ParamSpec("P"), TypeVar("R"), TypeVar("T", bound=type)
 
--- a/thistletrail/gateway/discovery.py
+++ b/thistletrail/gateway/discovery_client.py
@@ -16,8 +16,8 @@
 import h11
 
 from thistletrail.gateway.config import Address, Config, ConfigError, read_address
-from thistletrail.gateway.costs import DISCOVERY, Costs
-from thistletrail.gateway.objects import ObjectReader
+from thistletrail.gateway.cost_counters import DISCOVERY, Costs
+from thistletrail.gateway.json_stream import ObjectReader
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Server, ServerState
 
 log = logging.getLogger(__name__)
--- a/thistletrail/gateway/peers.py
+++ b/thistletrail/gateway/peer_transport.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.costs import PEERS, Costs
+from thistletrail.gateway.cost_counters import PEERS, Costs
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.codec import MESSAGE_BYTES, pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived
--- a/thistletrail/gateway/frontdoor.py
+++ b/thistletrail/gateway/server.py
@@ -13,13 +13,13 @@
 from dataclasses import fields, replace
 from typing import TYPE_CHECKING
 
-from thistletrail.gateway import costs
+from thistletrail.gateway import cost_counters as costs
 from thistletrail.gateway.backends import NEVER, Attempt, Backends, now_us
-from thistletrail.gateway.budget import Budget, Source, Stage
 from thistletrail.gateway.clients import FAILED, Clients, Command, CommandError, CommandParser, Reply
 from thistletrail.gateway.config import Config
-from thistletrail.gateway.discovery import Catalog, Discovery, News
-from thistletrail.gateway.peers import Peers
+from thistletrail.gateway.deadline import Budget, Source, Stage
+from thistletrail.gateway.discovery_client import Catalog, Discovery, News
+from thistletrail.gateway.peer_transport import Peers
 from thistletrail.policy.actions import (
     Action,
     CancelAttempt,
--- a/thistletrail/gateway/keep.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -31,7 +31,7 @@
 from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.frontdoor import FrontDoor
+    from thistletrail.gateway.server import FrontDoor
 
 log = logging.getLogger(__name__)
 
--- a/thistletrail/gateway/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -20,9 +20,9 @@
 import msgspec
 
 from thistletrail.gateway.backends import Attempt, now_us
-from thistletrail.gateway.budget import ANSWER_MARGIN_US, Budget, Source
 from thistletrail.gateway.clients import FAILED, Command, CommandError, read_fields
 from thistletrail.gateway.config import Config
+from thistletrail.gateway.deadline import ANSWER_MARGIN_US, Budget, Source
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.leasing.client import CallError, Stream, TurnedAwayError
 from thistletrail.leasing.hand import Hand
@@ -33,7 +33,7 @@
 from thistletrail.policy.settings import Effect, IdempotencyScope
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.frontdoor import Exchange, FrontDoor
+    from thistletrail.gateway.server import Exchange, FrontDoor
 
 log = logging.getLogger(__name__)
 
--- a/thistletrail/policy/base.py
+++ b/thistletrail/policy/base.py
@@ -10,8 +10,8 @@
 from thistletrail.policy.settings import Effect, IdempotencyScope, RequestClass, Settings
 
 if TYPE_CHECKING:
-    from thistletrail.policy.choice import Backend
     from thistletrail.policy.quota import Customer
+    from thistletrail.policy.server_selection import Backend
 
 S, NEVER = 1_000_000, 1 << 62  # microseconds in a second; a time that does not come
 
--- a/thistletrail/policy/cap.py
+++ b/thistletrail/policy/overload_control.py
@@ -3,7 +3,7 @@
 import math
 
 from thistletrail.policy.base import TICK_US
-from thistletrail.policy.choice import Choice
+from thistletrail.policy.server_selection import Choice
 from thistletrail.policy.settings import Settings
 
 FAIR_N, MOST_PERIODS = 10, 2  # control period and OPPUI: 1 or 2 s, for a fair-sized N
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -4,12 +4,12 @@
 from bisect import insort
 
 from thistletrail.policy.actions import SendPeerMessage
-from thistletrail.policy.allowances import stores_of
 from thistletrail.policy.base import NEVER, TICK_US, Job, S
-from thistletrail.policy.cap import Cap
 from thistletrail.policy.events import BudgetKind, QuotaMessage
+from thistletrail.policy.incarnations import Starts
+from thistletrail.policy.leased_budgets import stores_of
+from thistletrail.policy.overload_control import Cap
 from thistletrail.policy.settings import Plan, Settings
-from thistletrail.policy.starts import Starts
 
 DEMAND_US = 0.5 * S  # ageing of demand: short, as the level of the store carries the longer memory
 # The wait for word from home, its part of the aim, and how often it is asked; how long a word holds.
--- a/thistletrail/policy/rules.py
+++ b/thistletrail/policy/rules.py
@@ -7,7 +7,7 @@
 import zlib
 from bisect import insort
 
-from thistletrail.policy import allowances
+from thistletrail.policy import leased_budgets as allowances
 from thistletrail.policy.actions import (
     Action,
     CancelAttempt,
@@ -17,10 +17,7 @@
     StartAttempt,
     WriteLog,
 )
-from thistletrail.policy.allowances import FLOOR, Store
 from thistletrail.policy.base import NEVER, TICK_US, Job, S
-from thistletrail.policy.cap import FAIR_N, MOST_PERIODS
-from thistletrail.policy.choice import FEW_GATEWAYS, SMOOTH, Backend
 from thistletrail.policy.events import (
     NEVER_RAN_RESULTS,
     NOT_SENT_RESULTS,
@@ -39,9 +36,12 @@
     StreamStarted,
     TimerFired,
 )
+from thistletrail.policy.leased_budgets import FLOOR, Store
 from thistletrail.policy.memory import recall
-from thistletrail.policy.patience import Patience
+from thistletrail.policy.overload_control import FAIR_N, MOST_PERIODS
 from thistletrail.policy.quota import Quota
+from thistletrail.policy.retry_detection import Patience
+from thistletrail.policy.server_selection import FEW_GATEWAYS, SMOOTH, Backend
 from thistletrail.policy.settings import Effect, Settings
 
 PATIENCE_STEPS = 200  # first tries by which the known patience of clients can rise by about its double
--- a/thistletrail/policy/choice.py
+++ b/thistletrail/policy/server_selection.py
@@ -3,7 +3,7 @@
 from thistletrail.policy.actions import WatchEndpoints
 from thistletrail.policy.base import NEVER, Base, Job, S
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, HealthDigest, Server, ServerState
-from thistletrail.policy.fleet import Fleet, by_mark, mark
+from thistletrail.policy.health_gossip import Fleet, by_mark, mark
 from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
 
 SMOOTH = 0.1  # weight of a new latency in a running mean
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from thistletrail.gateway.keep import MOST_AGE_S, SAVE_JITTER, SAVE_S
+from thistletrail.gateway.snapshot_store import MOST_AGE_S, SAVE_JITTER, SAVE_S
 from thistletrail.policy.actions import (
     Action,
     AddToCounter,
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -13,8 +13,8 @@
 from thistletrail.leasing.holder import Holder
 from thistletrail.leasing.messages import Answer, Ask
 from thistletrail.leasing.state import LEASE_MS, State, Terms
-from thistletrail.policy.allowances import wanted, whole_of
 from thistletrail.policy.events import BudgetDemand, BudgetGranted, BudgetKey, BudgetKind
+from thistletrail.policy.leased_budgets import wanted, whole_of
 from thistletrail.simulation.clock import MS
 
 if TYPE_CHECKING:
