--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,402 @@
+"""Files that revision a1df16a wrote are read value by value, and its snapshot is written again byte for byte.
+
+`tests/data/a1df16a` holds the state folders of a gateway, of the lease service and of the registry as that
+revision left them, with the configurations that they were made under. Each test works on a copy.
+"""
+
+import dataclasses
+import shutil
+import time
+from pathlib import Path
+
+import pytest
+
+from tests.helpers import World
+from thistletrail.gateway import keep
+from thistletrail.gateway.config import Config, load
+from thistletrail.gateway.keep import Keep, pack, settings_of, unpack
+from thistletrail.leasing import book as books
+from thistletrail.leasing.book import Book
+from thistletrail.leasing.config import read as read_leasing_config
+from thistletrail.leasing.messages import Begin, WorkAsk
+from thistletrail.leasing.state import Issued, State, Terms
+from thistletrail.leasing.tenure import claim
+from thistletrail.leasing.work import Intent, Work
+from thistletrail.policy.interface import (
+    KeptCustomer,
+    KeptSuspect,
+    ListKind,
+    Memory,
+    Recall,
+    Server,
+    ServerList,
+    ServerState,
+)
+from thistletrail.policy.snapshot import collect
+from thistletrail.registry.log import Log
+from thistletrail.registry.store import Instance
+
+DATA = Path(__file__).parent / "data" / "a1df16a"
+
+# --- the gateway's snapshot and start times ---
+
+SNAPSHOT_UNIX_S = 1_764_700_000.0  # when the snapshot was written
+CUSTOMERS = (
+    KeptCustomer(758604864, 0, 0, 3, 5.666666666666666, 19.0, 0.3383899999999995, 0.0),
+    KeptCustomer(3437847927, 0, 0, 2, 8.00232275, 18.0046455, 3.0161049999999996, 8.025768),
+    KeptCustomer(850253292, 1, 1, 1, 1.0026699999999997, 1.0026699999999997, -4.0, 0.0),
+    KeptCustomer(1182241971, 1, 0, 3, 0.6666666666666665, 4.0, -1.0, 0.0),
+)
+EJECTED_SERVERS = (KeptSuspect("s1", 1_500_000, 2_000_000, 0.75), KeptSuspect("s2", 300_000, 500_000, 1.25))
+ADMISSION_RATE_PER_S = 6.0
+STARTS = [SNAPSHOT_UNIX_S - before_s for before_s in (4.5, 3.0, 1.5, 1.0)]  # three crashed, then the writer's
+
+
+def gateway_config(folder: Path) -> Config:
+    """The configuration that the snapshot was made under, with a copy of the state folder."""
+    shutil.copytree(DATA / "gateway" / "state", folder / "state")
+    config = load({"PROXY_CONFIG": str(DATA / "gateway" / "config.json")})
+    return dataclasses.replace(config, state_dir=str(folder / "state"))
+
+
+def set_unix_time(monkeypatch: pytest.MonkeyPatch, unix_s: float) -> None:
+    monkeypatch.setattr(time, "time", lambda: unix_s)
+
+
+@pytest.fixture
+def config(tmp_path: Path) -> Config:
+    return gateway_config(tmp_path)
+
+
+def test_a_snapshot_of_a1df16a_is_read_in_full(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+    set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
+    found = Keep(config)
+    assert found.found is not None
+    assert (found.found.name, found.found.settings) == ("n1", "f2c2f9286bcb3aaa")
+    assert (found.found.at_ms, found.found.mark) == (1_764_700_000_000, 1_469_153_534)
+    assert found.found.memory.customers == CUSTOMERS
+    assert found.found.memory.suspects == EJECTED_SERVERS
+    assert found.found.memory.n_a_second == ADMISSION_RATE_PER_S
+    found.close()
+
+
+def test_the_server_list_of_a1df16a_is_used_where_the_configuration_has_none(
+    config: Config, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
+    found = Keep(config)
+    assert not config.known
+    known = found.with_known(config).known
+    assert (known["generation"], known["reset"]) == (7, True)
+    shown = [
+        (one["instanceId"], one["hostPort"], one["zone"], one["machineType"], one["cell"], one["lifecycle"])
+        for one in known["instances"]
+    ]
+    assert shown == [
+        ("s0", "127.9.0.1:6379", "a", "m2", 0, "SERVING"),
+        ("s1", "127.9.0.2:6379", "a", "m4", 0, "SERVING"),
+        ("s2", "127.9.0.3:6379", "b", "m2", 7, "SERVING"),
+        ("s3", "127.9.0.4:6379", "b", "m4", 7, "DRAINING"),
+    ]
+    weights_and_starts = [(one["weight"], one["startedAtMs"]) for one in known["instances"]]
+    assert weights_and_starts == [(1.0, 0), (2.5, 1764699990000.0), (1.0, 1764600000000.0), (2.0, 0)]
+    found.close()
+
+
+def test_the_policy_takes_up_what_a1df16a_knew(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+    set_unix_time(monkeypatch, SNAPSHOT_UNIX_S)
+    found = Keep(config)
+    assert found.found is not None
+    world = World(config.settings, ())
+    servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.UP) for number in range(4))
+    world.tell(ServerList(ListKind.SAVED, 7, servers))
+    world.tell(Recall(found.found.memory, 0))
+    gateway = world.gateway
+    restored = [
+        (*key, customer.part, customer.level, customer.ceiling, customer.grants)
+        for key, customer in gateway.customers.items()
+    ]
+    # Without a ceiling in its plan a customer has none to restore: what was taken from it is 0 or less.
+    assert restored == [dataclasses.astuple(customer) for customer in CUSTOMERS]
+    assert [name for name, server in gateway.servers.items() if server.on_trial] == ["s1", "s2"]
+    for ejected in EJECTED_SERVERS:
+        server = gateway.servers[ejected.server]
+        assert server.avoid_until == world.now + ejected.avoid_us
+        assert (server.backoff_us, server.lag) == (ejected.backoff_us, ejected.lag)
+    assert gateway.starts.restarted
+    # Nothing is lost on the way: a snapshot that is made at once holds the same, N too.
+    assert collect(gateway) == Memory(CUSTOMERS, EJECTED_SERVERS, ADMISSION_RATE_PER_S)
+    found.close()
+
+
+def test_a_snapshot_of_a1df16a_is_written_again_byte_for_byte(config: Config) -> None:
+    written = (Path(config.state_dir) / "door").read_bytes()
+    snapshot = unpack(written, config, round(SNAPSHOT_UNIX_S * 1000))
+    assert pack(snapshot) == written
+
+
+def test_the_configuration_of_the_snapshot_has_the_digest_in_it(config: Config) -> None:
+    assert settings_of(config) == "f2c2f9286bcb3aaa"
+
+
+def test_start_times_of_a1df16a_are_waited_for(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+    now = SNAPSHOT_UNIX_S + 0.5
+    set_unix_time(monkeypatch, now)
+    found = Keep(config)
+    assert found.starts == STARTS
+    assert keep.wait_s(STARTS, now) == 4.0
+    assert 3.0 <= found.wait_s() <= 5.0  # with the jitter of a quarter
+    assert found.starts == [*STARTS, now]
+    found.close()
+    again = Keep(config)
+    assert again.starts == [*STARTS, now]
+    again.close()
+
+
+# --- the lease service's journal ---
+
+LEASING_BOOT = "3f0c6f3a-6d52-4be2-9f6b-0a1df16a0000"
+LEASING_NOW_MS = 1_000_000_895  # a tenth of a second after the last record, on the clock of that boot
+FENCE = 1_764_700_000_000_000  # on which the fences of that history are counted
+CEILING = "ceiling/institution/7"
+ISSUED = [
+    (CEILING, "0/11", Issued(FENCE + 1, 2025, 1_000_003_000, 0)),
+    (CEILING, "0/11", Issued(FENCE + 6, 4050, 1_000_003_740, 4)),
+    (CEILING, "1/21", Issued(FENCE + 4, 1620, 1_000_003_000, 0)),
+    ("further-attempts", "0/11", Issued(FENCE + 2, 2700, 1_000_003_000, 0)),
+    ("sessions", "0/11", Issued(FENCE + 3, 11, 1_000_003_000, 0)),
+    ("sessions", "0/11", Issued(FENCE + 7, 22, 1_000_003_740, 0)),
+    ("sessions", "1/21", Issued(FENCE + 5, 11, 1_000_003_000, 0)),
+]
+
+
+FIRST_MS, LATER_MS, LAST_MS = 1_000_000_000, 1_000_000_740, 1_000_000_770  # when pieces of work were begun
+LEFT_MS = 300_000  # for which their results are wanted
+
+
+def intent(name: str, fence: int, begun_ms: int, **values: object) -> Intent:
+    usual = {
+        "name": f"work/{name}",
+        "digest": f"digest of work/{name}",
+        "customer": "00000000b4d65521",
+        "effect": "keyed",
+        "end_ms": begun_ms + LEFT_MS,
+        "window_ms": 400_000,
+        "request": f"request of work/{name}".encode(),
+        "owner": "",
+        "fence": FENCE + fence,
+        "tried": ("s1", "a"),
+        "first_ms": begun_ms,
+    }
+    return Intent(**{**usual, **values})
+
+
+INTENTS = [
+    # Begun in an earlier term: their records are in the snapshot.
+    intent("running", 1, FIRST_MS, owner="0/11", id="work/running-request", tried=("s2", "a"), number=1),
+    intent(
+        "served",
+        2,
+        FIRST_MS,
+        id="work/served-request",
+        how="served",
+        value=b"the answer\x00\xff",
+        done_ms=FIRST_MS + 40,
+    ),
+    intent("failed", 3, FIRST_MS, owner="0/11", id="work/failed-request", effect="unsafe"),
+    intent(
+        "second",
+        5,
+        FIRST_MS + 40,
+        owner="1/21",
+        id="work/second-request",
+        effect="safe",
+        customer="00000000000000ff",
+        tried=("", ""),
+    ),
+    # Begun in the last term: their records are in its log.
+    intent("moved", 10, LATER_MS, owner="1/21", tried=("s3", "b"), before=("s3", "b"), deaths=1),
+    intent(
+        "unknown",
+        11,
+        LATER_MS,
+        effect="unsafe",
+        before=("s1", "a"),
+        deaths=1,
+        how="unknown",
+        done_ms=LAST_MS,
+    ),
+    intent("parked", 14, LATER_MS, before=("s1", "a"), deaths=2, how="parked", done_ms=LAST_MS),
+    intent("left", 18, LAST_MS, tried=("s4", "b"), before=("s4", "b")),
+    intent("orphan", 19, LAST_MS, before=("s1", "a"), orphan=True),
+    intent(
+        "done",
+        17,
+        LAST_MS,
+        id="work/done-request",
+        how="served",
+        value=b"second answer",
+        done_ms=LAST_MS + 25,
+    ),
+]
+
+
+def restore_leasing(folder: Path, monkeypatch: pytest.MonkeyPatch, boot: str) -> tuple[Book, State, Work]:
+    """The next term of a copy of the journal, on a machine of that boot."""
+    monkeypatch.setattr(books, "boot", lambda: boot)
+    monkeypatch.setattr(books, "now_ms", lambda: LEASING_NOW_MS)
+    monkeypatch.setattr(time, "time_ns", lambda: round(SNAPSHOT_UNIX_S) * 1_000_000_000)
+    shutil.copytree(DATA / "leasing" / "state", folder)
+    book = Book(claim(folder))
+    state, work = book.open(read_leasing_config(DATA / "leasing" / "config.toml"))
+    return book, state, work
+
+
+def test_budgets_and_grants_of_a1df16a_are_restored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    book, state, _ = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    assert book.tenure.number == 4
+    assert list(state.issued()) == ISSUED
+    assert (state.fence, state.lease_ms, state.quiet_until_ms) == (FENCE + 7, 3000, 0)
+    assert {name: budget.terms for name, budget in state.budgets.items()} == {
+        CEILING: Terms(30_000, 60),
+        "further-attempts": Terms(40_000, 80),
+        "sessions": Terms(50, 0),
+    }
+    assert {name: budget.bound for name, budget in state.budgets.items()} == {
+        CEILING: 4050 + 1620,
+        "further-attempts": 2700,
+        "sessions": 22 + 11,
+    }
+    book.close()
+
+
+def test_work_in_hand_of_a1df16a_is_restored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    book, _, work = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    assert list(work.intents.values()) == INTENTS
+    assert (work.fence, work.lease_ms) == (FENCE + 19, 1000)
+    assert {name: member.until_ms for name, member in work.members.items()} == {
+        "0/11": LEASING_NOW_MS + 1000,
+        "1/21": LEASING_NOW_MS + 1000,
+    }
+    assert work.marks == {0: 11, 1: 21}
+    assert [one.name for one in work.parked] == ["work/parked"]
+    assert work.of_customer == {"00000000b4d65521": 9, "00000000000000ff": 1}
+    assert work.bytes == 349
+    book.close()
+
+
+@pytest.mark.parametrize(
+    "name, how, value",
+    [
+        ("served", "answered", b"the answer\x00\xff"),
+        ("done", "answered", b"second answer"),
+        ("unknown", "failed", b""),
+        ("running", "elsewhere", b""),
+        ("left", "kept", b""),
+    ],
+)
+def test_who_asks_again_after_a1df16a_gets_what_was_kept(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, how: str, value: bytes
+) -> None:
+    book, _, work = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    begin = Begin(
+        name=f"work/{name}",
+        id="again",
+        digest=f"digest of work/{name}",
+        customer="00000000b4d65521",
+        effect="keyed",
+        left_ms=2000,
+        window_ms=4000,
+        request=b"again",
+        server="s9",
+        place="b",
+    )
+    answer, _ = work.ask(WorkAsk(door=5, mark=1, serial=1, ops=(begin,)), LEASING_NOW_MS)
+    assert [(told.how, told.value) for told in answer.told] == [(how, value)]
+    book.close()
+
+
+def test_work_that_a1df16a_left_to_nobody_goes_to_the_first_gateway_there(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    book, _, work = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    work.look(LEASING_NOW_MS)
+    orphan = work.intents["work/orphan"]
+    assert orphan.owner in ("0/11", "1/21")
+    assert (orphan.fence, orphan.orphan) == (FENCE + 20, False)
+    book.close()
+
+
+def test_of_another_boot_grants_are_waited_out_and_work_in_hand_is_over(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    book, state, work = restore_leasing(tmp_path / "state", monkeypatch, "another boot")
+    most_lease_ms = 10_000
+    assert [(name, holder, one.part) for name, holder, one in state.issued()] == [
+        (name, holder, one.part) for name, holder, one in ISSUED
+    ]
+    assert {one.until_ms for _, _, one in state.issued()} == {LEASING_NOW_MS + most_lease_ms}
+    assert state.quiet_until_ms == LEASING_NOW_MS + most_lease_ms
+    assert not work.intents and work.fence == FENCE + 5  # the snapshot's; no later one is of this boot
+    assert "are of another boot, and are passed over" in caplog.text
+    book.close()
+
+
+# --- the registry's journal and snapshot ---
+
+REGISTRY_NOW_MS, GRACE_MS = 5_000_000, 30_000
+GENERATION = 1_764_700_000_000 * 1024  # on which that history is counted
+
+
+def test_the_registry_of_a1df16a_is_restored(tmp_path: Path) -> None:
+    shutil.copytree(DATA / "registry", tmp_path / "registry")
+    log = Log(tmp_path / "registry")
+    store = log.open(0, REGISTRY_NOW_MS)
+    assert list(store.instances.values()) == [
+        Instance("s1", "127.9.0.2:6380", "a", "m4", 0, 2.5, "SERVING", 1764699999000, 10_000, GENERATION + 6),
+        Instance("s2", "127.9.0.3:6379", "b", "m2", 7, 1.0, "SERVING", 0, 15_000, GENERATION + 12),
+        Instance("s4", "127.9.0.4:6379", "b", "m2", 8, 1.0, "SERVING", 0, 10_000, GENERATION + 10),
+        Instance("s5", "127.9.0.6:6379", "b", "m2", 9, 0.5, "SERVING", 0, 600_000, GENERATION + 11),
+    ]
+    assert (store.floor, store.generation) == (GENERATION + 5, GENERATION + 12)
+    assert [(change.id, change.lifecycle) for change in store.history] == [
+        ("s1", "SERVING"),
+        ("s2", "DRAINING"),
+        ("s0", "DELETED"),
+        ("s3", "DELETED"),
+        ("s4", "SERVING"),
+        ("s5", "SERVING"),
+        ("s2", "SERVING"),
+    ]
+    assert store.addresses == {
+        "127.9.0.2:6380": "s1",
+        "127.9.0.3:6379": "s2",
+        "127.9.0.4:6379": "s4",
+        "127.9.0.6:6379": "s5",
+    }
+    assert not log.is_filling()
+    log.close()
+
+
+def test_leases_of_a1df16a_hold_for_the_grace_and_then_for_their_own_time(tmp_path: Path) -> None:
+    shutil.copytree(DATA / "registry", tmp_path / "registry")
+    log = Log(tmp_path / "registry")
+    store = log.open(0, REGISTRY_NOW_MS)
+    assert store.expires == dict.fromkeys(("s1", "s2", "s4", "s5"), REGISTRY_NOW_MS + GRACE_MS)
+    store.renew("s2", REGISTRY_NOW_MS + GRACE_MS)
+    store.renew("s5", REGISTRY_NOW_MS + GRACE_MS)
+    assert store.expires["s2"] == REGISTRY_NOW_MS + GRACE_MS + 15_000
+    assert store.expires["s5"] == REGISTRY_NOW_MS + GRACE_MS + 600_000
+    log.close()
+
+
+def test_the_registry_goes_on_from_a1df16a_and_writes_what_it_read(tmp_path: Path) -> None:
+    shutil.copytree(DATA / "registry", tmp_path / "registry")
+    log = Log(tmp_path / "registry")
+    store = log.open(0, REGISTRY_NOW_MS)
+    assert store.leave("s5").generation == GENERATION + 13
+    log.close()
+    written = (tmp_path / "registry" / "log").read_bytes()
+    assert written.startswith((DATA / "registry" / "log").read_bytes())
+    again = Log(tmp_path / "registry").open(0, REGISTRY_NOW_MS)
+    assert again.generation == GENERATION + 13 and "s5" not in again.instances
