--- /dev/null
+++ b/tests/test_settings_digest.py
@@ -0,0 +1,126 @@
+"""The digest of settings is the one that revision a1df16a gave, whatever the code's names are by now.
+
+`tests/data/a1df16a/gateway/settings_digests.json` holds settings, drawn by chance over all their keys, in the
+form of the configuration file, each with the digest that this revision gave of them.
+"""
+
+import dataclasses
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from thistletrail.gateway.config import flatten
+from thistletrail.gateway.settings_digest import STORED_FIELDS, settings_digest, stored_text
+from thistletrail.policy.codec import Pairs, read_settings
+from thistletrail.policy.interface import Effect, Group, Plan, RequestClass, Settings
+
+DATA = Path(__file__).parent / "data" / "a1df16a"
+DRAWN = json.loads((DATA / "gateway" / "settings_digests.json").read_text())
+EVERY_SETTING = Settings(
+    seed=5,
+    me=2,
+    gateways=4,
+    classes=(
+        RequestClass(1, 2, 3.5, 0.25, Effect.KEYED, Group.CELL, 7, True),
+        RequestClass(750_000, 2_000_000),
+        RequestClass(9, 10, effect=Effect.UNSAFE, group=Group.ZONE),
+    ),
+    plans=(Plan(1.5, 2.0, 3, 4.0, 0.5, 0.6, 7.0, 8.0, 0.9),),
+    zone=1,
+    max_attempts=4,
+    max_retry_after_us=500_000,
+    parallel_tries=True,
+    may_probe=True,
+    may_cancel=True,
+    may_tell=True,
+    may_count=True,
+    must_subscribe=True,
+    trued_up=True,
+    peer_messages_per_s=40.0,
+    cross_zone_price=0.01,
+    handshake_price=0.02,
+    waste_price=0.03,
+    late_fail_price=0.04,
+    message_price=0.05,
+    probe_price=0.06,
+    answer_grace_us=8_000,
+    ask_within_us=250_000,
+    cold_from=0.3,
+    warm_within_us=9_000_000,
+    fall_multiple=2.5,
+    fall_us=1_000_000,
+    leased=True,
+    leased_quotas=True,
+    leased_open=True,
+    further_rate=40.0,
+    further_burst=80.0,
+)
+
+
+@pytest.mark.parametrize("case", DRAWN)
+def test_drawn_settings_have_the_digest_that_a1df16a_gave(case: dict[str, Any]) -> None:
+    settings = read_settings(3, Pairs(dict(flatten(case["settings"]))))
+    assert settings_digest(settings) == case["digest"]
+
+
+@pytest.mark.parametrize(
+    "settings, digest",
+    [
+        (EVERY_SETTING, "9196b7de93f0a74c"),
+        (Settings(1, 0, 1, (), ()), "aa5accdd11dc63a6"),
+    ],
+)
+def test_settings_made_by_hand_have_the_digest_that_a1df16a_gave(settings: Settings, digest: str) -> None:
+    assert settings_digest(settings) == digest
+
+
+@pytest.mark.parametrize("settings_class", STORED_FIELDS)
+def test_the_digest_covers_every_setting_in_order(settings_class: type) -> None:
+    attributes = [attribute for _, attribute in STORED_FIELDS[settings_class].fields]
+    assert attributes == [field.name for field in dataclasses.fields(settings_class)]
+
+
+def changed(value: object) -> object:
+    """Another value of the same kind."""
+    match value:
+        case bool():
+            return not value
+        case int() | float():
+            return value + 1
+        case Effect():
+            return next(other for other in Effect if other is not value)
+        case Group():
+            return next(other for other in Group if other is not value)
+        case tuple():
+            return value[:-1]
+    raise TypeError(f"no setting is a {type(value).__name__}")
+
+
+@pytest.mark.parametrize(
+    "rebuild, part",
+    [
+        (lambda part: part, EVERY_SETTING),
+        (
+            lambda part: dataclasses.replace(EVERY_SETTING, classes=(part, *EVERY_SETTING.classes[1:])),
+            EVERY_SETTING.classes[0],
+        ),
+        (lambda part: dataclasses.replace(EVERY_SETTING, plans=(part,)), EVERY_SETTING.plans[0]),
+    ],
+    ids=["settings", "request class", "plan"],
+)
+def test_each_setting_but_the_seed_makes_another_digest(
+    rebuild: Callable[[Any], Settings], part: Settings | RequestClass | Plan
+) -> None:
+    usual = settings_digest(EVERY_SETTING)
+    for field in dataclasses.fields(part):
+        other = dataclasses.replace(part, **{field.name: changed(getattr(part, field.name))})
+        is_same = settings_digest(rebuild(other)) == usual
+        assert is_same is (field.name == "seed"), field.name
+
+
+def test_a_value_whose_text_is_not_known_to_stay_is_refused() -> None:
+    with pytest.raises(TypeError, match="found str"):
+        stored_text("text")
--- a/thistletrail/gateway/keep.py
+++ b/thistletrail/gateway/keep.py
@@ -12,7 +12,6 @@
 import asyncio
 import contextlib
 import fcntl
-import hashlib
 import logging
 import os
 import random
@@ -27,6 +26,7 @@
 import msgspec
 
 from thistletrail.gateway.config import Config, ConfigError
+from thistletrail.gateway.settings_digest import settings_digest
 from thistletrail.policy import interface as i
 from thistletrail.policy.snapshot import collect
 
@@ -65,7 +65,7 @@
 
 def settings_of(config: Config) -> str:
     """A digest of what the module is told: another one means other customers, servers or numbers."""
-    return hashlib.sha256(repr(replace(config.settings, seed=0)).encode()).hexdigest()[:16]
+    return settings_digest(config.settings)
 
 
 def pack(snapshot: Snapshot) -> bytes:
--- /dev/null
+++ b/thistletrail/gateway/settings_digest.py
@@ -0,0 +1,137 @@
+"""The digest of a gateway's settings that a stored snapshot holds.
+
+A snapshot is used only under the settings that it was made under. The digest is the SHA-256 of the text that
+revision a1df16a's `repr` gave of its settings, so that snapshots of that revision and later ones stay usable.
+The names in that text are stored names: they are fixed in the tables below and do not follow the names of
+classes and fields in the code. After a rename only the second column of a table changes; a setting that is
+added needs a row at the place of its field, and makes every stored snapshot void.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from enum import Enum
+
+from thistletrail.policy.interface import Effect, Group, Plan, RequestClass, Settings
+
+DIGEST_LENGTH = 16  # hexadecimal digits: 64 bits are enough to tell one configuration from another
+
+
+@dataclass(frozen=True, slots=True)
+class StoredFields:
+    """How a settings class stands in the stored text: its name, then each field's stored name and the
+    attribute that holds its value, in stored order."""
+
+    stored_name: str
+    fields: tuple[tuple[str, str], ...]
+
+
+STORED_FIELDS: Mapping[type, StoredFields] = {
+    RequestClass: StoredFields(
+        "RequestClass",
+        (
+            ("aim_us", "aim_us"),
+            ("deadline_us", "deadline_us"),
+            ("worth", "worth"),
+            ("late_worth", "late_worth"),
+            ("effect", "effect"),
+            ("group", "group"),
+            ("window_us", "window_us"),
+            ("streamed", "streamed"),
+        ),
+    ),
+    Plan: StoredFields(
+        "Plan",
+        (
+            ("rate", "rate"),
+            ("burst", "burst"),
+            ("max_out", "max_out"),
+            ("worth_factor", "worth_factor"),
+            ("over_worth", "over_worth"),
+            ("over_cost", "over_cost"),
+            ("ceiling_rate", "ceiling_rate"),
+            ("ceiling_burst", "ceiling_burst"),
+            ("ceiling_slack", "ceiling_slack"),
+        ),
+    ),
+    Settings: StoredFields(
+        "Settings",
+        (
+            ("seed", "seed"),
+            ("me", "me"),
+            ("gateways", "gateways"),
+            ("classes", "classes"),
+            ("plans", "plans"),
+            ("zone", "zone"),
+            ("max_attempts", "max_attempts"),
+            ("max_retry_after_us", "max_retry_after_us"),
+            ("parallel_tries", "parallel_tries"),
+            ("may_probe", "may_probe"),
+            ("may_cancel", "may_cancel"),
+            ("may_tell", "may_tell"),
+            ("may_count", "may_count"),
+            ("must_subscribe", "must_subscribe"),
+            ("trued_up", "trued_up"),
+            ("peer_messages_per_s", "peer_messages_per_s"),
+            ("cross_zone_price", "cross_zone_price"),
+            ("handshake_price", "handshake_price"),
+            ("waste_price", "waste_price"),
+            ("late_fail_price", "late_fail_price"),
+            ("message_price", "message_price"),
+            ("probe_price", "probe_price"),
+            ("answer_grace_us", "answer_grace_us"),
+            ("ask_within_us", "ask_within_us"),
+            ("cold_from", "cold_from"),
+            ("warm_within_us", "warm_within_us"),
+            ("fall_multiple", "fall_multiple"),
+            ("fall_us", "fall_us"),
+            ("leased", "leased"),
+            ("leased_quotas", "leased_quotas"),
+            ("leased_open", "leased_open"),
+            ("further_rate", "further_rate"),
+            ("further_burst", "further_burst"),
+        ),
+    ),
+}
+STORED_MEMBERS: Mapping[Enum, str] = {
+    Effect.SAFE: "<Effect.SAFE: 'safe'>",
+    Effect.KEYED: "<Effect.KEYED: 'keyed'>",
+    Effect.UNSAFE: "<Effect.UNSAFE: 'unsafe'>",
+    Group.ALL: "<Group.ALL: 'all'>",
+    Group.ZONE: "<Group.ZONE: 'zone'>",
+    Group.CELL: "<Group.CELL: 'cell'>",
+}
+
+
+def settings_digest(settings: Settings) -> str:
+    """The digest of all settings but the seed, which is drawn anew with each start: 16 hexadecimal digits."""
+    text = stored_text(replace(settings, seed=0))
+    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_LENGTH]
+
+
+def stored_text(value: object) -> str:
+    """The stored text of settings or of a value in them; a TypeError for a kind of value that no setting of
+    revision a1df16a had, as its text is not known to be the same in every version of Python."""
+    if type(value) in (bool, int, float):
+        return repr(value)
+    if isinstance(value, Enum):
+        return STORED_MEMBERS[value]
+    if isinstance(value, tuple):
+        return _stored_tuple(value)
+    stored = STORED_FIELDS.get(type(value))
+    if stored is None:
+        raise TypeError(
+            f"expected settings, a number, an enum member or a tuple, found {type(value).__name__}"
+        )
+    fields = (f"{name}={stored_text(getattr(value, attribute))}" for name, attribute in stored.fields)
+    return f"{stored.stored_name}({', '.join(fields)})"
+
+
+def _stored_tuple(items: tuple[object, ...]) -> str:
+    """The text of a tuple as Python writes one: a single item is followed by a comma."""
+    texts = [stored_text(item) for item in items]
+    if len(texts) == 1:
+        return f"({texts[0]},)"
+    return f"({', '.join(texts)})"
