--- a/thistletrail/gateway/keep.py
+++ b/thistletrail/gateway/keep.py
@@ -25,6 +25,7 @@
 
 import msgspec
 
+from thistletrail.gateway import snapshot_records
 from thistletrail.gateway.config import Config, ConfigError
 from thistletrail.gateway.settings_digest import settings_digest
 from thistletrail.policy import interface as i
@@ -49,7 +50,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What is written."""
+    """What is kept; snapshot_records.py says how it is written."""
 
     name: str
     settings: str  # a digest of them
@@ -68,8 +69,32 @@
     return settings_digest(config.settings)
 
 
+def to_record(snapshot: Snapshot) -> snapshot_records.SnapshotRecord:
+    """The record that a snapshot is written as."""
+    return snapshot_records.SnapshotRecord(
+        gateway_name=snapshot.name,
+        settings_digest=snapshot.settings,
+        written_at_ms=snapshot.at_ms,
+        start_mark=snapshot.mark,
+        policy=snapshot_records.to_policy_record(snapshot.memory),
+        server_list=snapshot.known,
+    )
+
+
+def from_record(record: snapshot_records.SnapshotRecord) -> Snapshot:
+    """The snapshot of a record that was read."""
+    return Snapshot(
+        name=record.gateway_name,
+        settings=record.settings_digest,
+        at_ms=record.written_at_ms,
+        mark=record.start_mark,
+        memory=snapshot_records.from_policy_record(record.policy),
+        known=record.server_list,
+    )
+
+
 def pack(snapshot: Snapshot) -> bytes:
-    body = msgspec.msgpack.encode(snapshot)
+    body = snapshot_records.encode(to_record(snapshot))
     return HEAD.pack(MARK, VERSION, len(body), zlib.crc32(body)) + body
 
 
@@ -84,7 +109,7 @@
     if len(body) != length or zlib.crc32(body) != checksum:
         raise RejectedError("it is damaged")
     try:
-        found = msgspec.msgpack.decode(body, type=Snapshot)
+        found = from_record(snapshot_records.decode(body))
     except msgspec.MsgspecError as error:
         raise RejectedError(str(error)) from error
     if found.name != config.name:
