--- a/tests/test_roster_store.py
+++ b/tests/test_roster_store.py
@@ -27,7 +27,7 @@
     UnknownError,
     read_instance,
 )
-from thistletrail.write_ahead_log.records import DamageError, read_log
+from thistletrail.write_ahead_log.record_file import CorruptFileError, decode_records
 
 UNIX_MS = 1_790_000_000_000
 
@@ -286,7 +286,7 @@
     for number in range(4):
         store.register(instance(f"s-{number % 3}", started_ms=number), 0)
         states.append((store.generation, dict(store.instances)))
-        ends.append(log.records.size)
+        ends.append(log.records.size_bytes)
     log.close()
     whole = (tmp_path / "log").read_bytes()
     for cut in range(ends[2], len(whole) + 1):
@@ -297,7 +297,7 @@
         fresh = again.register(instance("s-8"), 0)
         assert fresh.generation == states[known][0] + 1
         log.close()
-        assert len(read_log((tmp_path / "log").read_bytes(), "log")[0]) == known + 1
+        assert len(decode_records((tmp_path / "log").read_bytes(), "log").values) == known + 1
 
 
 def test_damage_before_the_last_record_stops_the_start_with_one_line(tmp_path: Path) -> None:
@@ -310,15 +310,15 @@
         broken = bytearray(whole)
         broken[at] ^= 0x40
         (tmp_path / "log").write_bytes(broken)
-        with pytest.raises(DamageError, match="damaged at byte") as error:
+        with pytest.raises(CorruptFileError, match="damaged at byte") as error:
             opened(tmp_path)
         assert "\n" not in str(error.value)
     (tmp_path / "log").write_bytes(whole)
     (tmp_path / "snapshot").write_bytes((tmp_path / "snapshot").read_bytes()[:-1])
-    with pytest.raises(DamageError, match="snapshot is damaged"):
+    with pytest.raises(CorruptFileError, match="snapshot is damaged"):
         opened(tmp_path)
     (tmp_path / "snapshot").unlink()
-    with pytest.raises(DamageError, match="snapshot is missing"):
+    with pytest.raises(CorruptFileError, match="snapshot is missing"):
         opened(tmp_path)
 
 
@@ -350,7 +350,7 @@
         store.register(instance(f"s-{number}"), 0)
     old = (tmp_path / "log").read_bytes()
     log.snapshot(store)
-    assert (tmp_path / "log").stat().st_size == 0 and log.records.count == 0
+    assert (tmp_path / "log").stat().st_size == 0 and log.records.record_count == 0
     log.close()
     (tmp_path / "log").write_bytes(old)  # as though the log had not been emptied
     (tmp_path / "snapshot.new").write_bytes(b"half of one")
--- a/tests/test_steward_service.py
+++ b/tests/test_steward_service.py
@@ -35,7 +35,7 @@
 )
 from thistletrail.leasing.wire import PATH, SIGNATURE, now_ms, sign
 from thistletrail.simulation.ledger import Store
-from thistletrail.write_ahead_log.records import DamageError, FullError
+from thistletrail.write_ahead_log.record_file import CorruptFileError, WriteFailedError
 
 SECRET = "not for anybody else"
 CONFIG = Config(
@@ -98,7 +98,7 @@
         holder = f"{serial % 3}/1"
         book.append([("open", holder, state.budgets["open"].holdings[holder].issued[-1])])
         assert answer.grants
-        sizes.append(book.records.size)
+        sizes.append(book.records.size_bytes)
     book.close()
     return sizes
 
@@ -128,14 +128,14 @@
     data = bytearray(log_of(tmp_path / "whole").read_bytes())
     damaged = bytearray(data)
     damaged[sizes[1] + 20] ^= 1
-    with pytest.raises(DamageError, match="is damaged at byte") as caught:
+    with pytest.raises(CorruptFileError, match="is damaged at byte") as caught:
         Book(claim(copied(tmp_path / "whole", tmp_path / "damaged", damaged))).open(CONFIG)
     assert "\n" not in str(caught.value)
     fresh = Book(claim(tmp_path / "other"))
     assert fresh.open(CONFIG)[0].quiet_until_ms == still + MOST_LEASE_MS
     third = copied(tmp_path / "whole", tmp_path / "third", data[: sizes[0]])
     log_of(third).with_name("snapshot").unlink()
-    with pytest.raises(DamageError, match="is missing, but there is a log"):
+    with pytest.raises(CorruptFileError, match="is missing, but there is a log"):
         Book(claim(third)).open(CONFIG)
 
 
@@ -285,7 +285,7 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", full)
-    with pytest.raises(FullError, match="No space left"):
+    with pytest.raises(WriteFailedError, match="No space left"):
         book.append(list(state.issued())[:1])
     monkeypatch.undo()
     assert size > 0 and log_of(tmp_path).stat().st_size == size
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -406,7 +406,7 @@
         answer, records = found.ask(hands[door].ask(now), now)
         book.append([], records)
         hands[door].answered(answer, now)
-        sizes.append(book.records.size)
+        sizes.append(book.records.size_bytes)
         states.append(state_of(found))
 
     ask(0, intent("c/1"), intent("c/2", effect="unsafe"))
@@ -464,7 +464,7 @@
             small.setattr(books, name, 5)
             assert book.due()
     book.put(book.image(state, found))
-    assert not book.records.size and not book.due()
+    assert not book.records.size_bytes and not book.due()
     book.close()
 
 
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -23,7 +23,7 @@
 from thistletrail.leasing.server import Service
 from thistletrail.leasing.tenure import LockedError, claim, keep, office
 from thistletrail.leasing.wire import LEAST_SECRET, SIGNATURE, sign
-from thistletrail.write_ahead_log.records import DamageError
+from thistletrail.write_ahead_log.record_file import CorruptFileError
 
 SHUTDOWN_S = 2.0
 ASK_S = 5.0  # for an answer to `status`
@@ -124,7 +124,7 @@
         if len(shared) < LEAST_SECRET:
             sys.exit(f"leasing: the secret in {secret} has less than {LEAST_SECRET} bytes")
         asyncio.run(serve(data, config_path, shared, host, int(port), standby))
-    except (ConfigError, LockedError, DamageError) as error:
+    except (ConfigError, LockedError, CorruptFileError) as error:
         sys.exit(f"leasing: {error}")
     except OSError as error:
         sys.exit(f"leasing: {error.filename or listen}: {error.strerror}")
--- a/thistletrail/leasing/book.py
+++ b/thistletrail/leasing/book.py
@@ -20,7 +20,13 @@
 from thistletrail.leasing.tenure import LockedError, LostError, Tenure, claim
 from thistletrail.leasing.wire import now_ms
 from thistletrail.leasing.work import Record, Work
-from thistletrail.write_ahead_log.records import DamageError, Records, read_log, read_whole, write_whole
+from thistletrail.write_ahead_log.record_file import (
+    CorruptFileError,
+    RecordFile,
+    decode_records,
+    read_single_record,
+    replace_single_record,
+)
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +61,7 @@
 
     def __init__(self, tenure: Tenure) -> None:
         self.tenure, self.boot = tenure, boot()
-        self.snapshot_path, self.records = tenure.place / "snapshot", Records(tenure.place / "log")
+        self.snapshot_path, self.records = tenure.place / "snapshot", RecordFile(tenure.place / "log")
 
     def read(self) -> tuple[object | None, list[object]]:
         """The last snapshot of the terms before this one, and the records since. Its process may still be
@@ -65,15 +71,17 @@
             return None, []
         path = before / "log"
         data = path.read_bytes() if path.exists() else b""
-        values, end = read_log(data, str(path))
-        if end < len(data):
+        decoded = decode_records(data, str(path))
+        if decoded.end < len(data):
             log.warning(
-                "%s: %d bytes of a change that was not completed are passed over", path, len(data) - end
+                "%s: %d bytes of a change that was not completed are passed over",
+                path,
+                len(data) - decoded.end,
             )
-        kept = read_whole(before / "snapshot")
-        if kept is None and values:
-            raise DamageError(f"{before / 'snapshot'} is missing, but there is a log")
-        return kept, values
+        kept = read_single_record(before / "snapshot")
+        if kept is None and decoded.values:
+            raise CorruptFileError(f"{before / 'snapshot'} is missing, but there is a log")
+        return kept, decoded.values
 
     def open(self, config: Config) -> tuple[State, Work]:
         """Grants and work in hand as the terms before told them, or a new history; kept as this term's."""
@@ -103,7 +111,7 @@
                 else:
                     strange += 1
         except (KeyError, TypeError, ValueError) as error:
-            raise DamageError(
+            raise CorruptFileError(
                 f"{self.tenure.folder} holds a record that is none of ours: {error!r}"
             ) from error
         if strange:  # the machine has started again since, and every door with it: all of that is over
@@ -137,14 +145,14 @@
         return {**msgspec.to_builtins(record), "boot": self.boot}
 
     def append(self, made: Iterable[tuple[str, str, Issued]], work: Iterable[Record] = ()) -> None:
-        """Keep grants and what became of work, synced; a FullError where that fails. What is kept may be told
-        while this term lasts, which is looked at last: else a LostError."""
+        """Keep grants and what became of work, synced; a WriteFailedError where that fails. What is kept may
+        be told while this term lasts, which is looked at last: else a LostError."""
         self.records.append([*(self.record(*one) for one in made), *map(self.work_record, work)])
         if not self.tenure.holds():
             raise LostError("another steward has taken over")
 
     def due(self) -> bool:
-        return self.records.count >= MOST_RECORDS or self.records.size >= MOST_LOG_BYTES
+        return self.records.record_count >= MOST_RECORDS or self.records.size_bytes >= MOST_LOG_BYTES
 
     def image(self, state: State, work: Work) -> dict[str, object]:
         """All that may be believed in or is in hand."""
@@ -159,8 +167,8 @@
 
     def put(self, image: dict[str, object]) -> None:
         """Put all of it into one file; then the log is emptied."""
-        write_whole(self.snapshot_path, image)
-        self.records.empty()
+        replace_single_record(self.snapshot_path, image)
+        self.records.clear()
 
     def close(self) -> None:
         self.records.close()
--- a/thistletrail/leasing/server.py
+++ b/thistletrail/leasing/server.py
@@ -32,7 +32,7 @@
     sign,
 )
 from thistletrail.leasing.work import Record, Work
-from thistletrail.write_ahead_log.records import FullError
+from thistletrail.write_ahead_log.record_file import WriteFailedError
 
 log = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
         return await handler(request)
     except RefusedError as error:
         return web.Response(status=400, text=f"{error}\n")
-    except FullError as error:
+    except WriteFailedError as error:
         return web.Response(status=507, text=f"the grant cannot be kept: {error}\n")
     except LostError as error:
         return web.Response(status=503, text=f"{error}\n")
@@ -153,7 +153,7 @@
             return frame(self.secret, str(error).encode(), REFUSED)
         except LostError as error:
             raise EOFError from error  # its door goes to whoever has taken over
-        except FullError as error:
+        except WriteFailedError as error:
             return frame(self.secret, str(error).encode(), FULL)
         return frame(self.secret, msgspec.msgpack.encode(said))
 
@@ -186,10 +186,10 @@
             kept, self.unkept = self.unkept, []
             try:
                 await loop.run_in_executor(None, self.book.append, made, kept)
-            except FullError as error:  # in the state grants count as given, until they lapse
+            except WriteFailedError as error:  # in the state grants count as given, until they lapse
                 log.error("grants and work cannot be kept: %s", error)
                 self.unkept = [*self.work.undo(kept), *self.unkept]
-                turn_away(answers, FullError(str(error)))
+                turn_away(answers, WriteFailedError(str(error)))
                 continue
             except LostError as error:  # what is decided here was told to nobody, and never will be
                 self.lost.set()
--- a/thistletrail/leasing/tenure.py
+++ b/thistletrail/leasing/tenure.py
@@ -22,7 +22,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from thistletrail.write_ahead_log.records import sync_folder
+from thistletrail.write_ahead_log.record_file import sync_directory
 
 log = logging.getLogger(__name__)
 
@@ -126,7 +126,7 @@
             os.close(self.lock)
             raise LockedError(f"another steward has the folder {folder}") from None
         mine.replace(self.place / "lock")  # held already when others can see it
-        sync_folder(folder)
+        sync_directory(folder)
         # Held open, no other folder can come to have its number at the file system.
         self.file = os.open(self.place, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
--- a/thistletrail/registry/__main__.py
+++ b/thistletrail/registry/__main__.py
@@ -15,7 +15,7 @@
 
 from thistletrail.registry.follow import Follower
 from thistletrail.registry.server import Reader, Service
-from thistletrail.write_ahead_log.records import DamageError
+from thistletrail.write_ahead_log.record_file import CorruptFileError
 
 SHUTDOWN_S = 3.0  # that what is being answered may take after SIGTERM
 MOST_HEADERS = 8190  # bytes of one header line
@@ -83,7 +83,7 @@
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
         asyncio.run(serve(service, host, port))
-    except DamageError as error:
+    except CorruptFileError as error:
         sys.exit(f"registry: {error}")
     except OSError as error:
         sys.exit(f"registry: {data or follow} or {listen}: {error.strerror}")
--- a/thistletrail/registry/log.py
+++ b/thistletrail/registry/log.py
@@ -1,7 +1,7 @@
 """What makes the list outlive its process: an append-only log with checksums, and snapshots.
 
 A folder holds `snapshot` (the list at some generation) and `log` (the changes since, oldest first). A change
-is synced before whoever asked for it is answered (write_ahead_log/records.py).
+is synced before whoever asked for it is answered (write_ahead_log/record_file.py).
 """
 
 from __future__ import annotations
@@ -12,7 +12,13 @@
 from pathlib import Path
 
 from thistletrail.registry.store import Instance, RefusedError, Store
-from thistletrail.write_ahead_log.records import DamageError, FullError, Records, read_whole, write_whole
+from thistletrail.write_ahead_log.record_file import (
+    CorruptFileError,
+    RecordFile,
+    WriteFailedError,
+    read_single_record,
+    replace_single_record,
+)
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +31,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.snapshot_path = folder / "snapshot"
-        self.records = Records(folder / "log")
+        self.records = RecordFile(folder / "log")
         self.filling_path = folder / "filling"
 
     def is_filling(self) -> bool:
@@ -44,7 +50,9 @@
             try:
                 instance = Instance(**value)
             except TypeError as error:
-                raise DamageError(f"{self.records.path} holds a record that is no change: {error}") from error
+                raise CorruptFileError(
+                    f"{self.records.path} holds a record that is no change: {error}"
+                ) from error
             if instance.generation > store.generation:  # older ones: a crash came between snapshot and log
                 store.apply(instance)
         if not self.snapshot_path.exists():
@@ -57,34 +65,34 @@
     def read_snapshot(self, now_ms: int) -> Store | None:
         if not self.snapshot_path.exists():
             if self.records.path.exists() and self.records.path.stat().st_size:
-                raise DamageError(f"{self.snapshot_path} is missing, but there is a log")
+                raise CorruptFileError(f"{self.snapshot_path} is missing, but there is a log")
             return None
         try:
-            return Store.restore(read_whole(self.snapshot_path), now_ms, log.warning)
+            return Store.restore(read_single_record(self.snapshot_path), now_ms, log.warning)
         except ValueError as error:
-            raise DamageError(f"{self.snapshot_path}: {error}") from error
+            raise CorruptFileError(f"{self.snapshot_path}: {error}") from error
 
     def append(self, changes: Iterable[Instance]) -> None:
         """Write changes and sync them. Where that fails, as on a full disk, the log is as before and the
         write is a RefusedError; nobody has been told of it by then."""
         try:
             self.records.append(asdict(change) for change in changes)
-        except FullError as error:
+        except WriteFailedError as error:
             raise RefusedError(f"the change cannot be kept: {error}") from error
 
     def due(self) -> bool:
         """Whether a snapshot should take the log's place."""
-        return self.records.count >= MOST_RECORDS
+        return self.records.record_count >= MOST_RECORDS
 
     def snapshot(self, store: Store) -> None:
         """Write all of the store, then empty the log: a crash in between leaves changes that are known
         already. Where there is no room the log goes on growing, and a later call tries again."""
         try:
-            write_whole(self.snapshot_path, store.snapshot())
+            replace_single_record(self.snapshot_path, store.snapshot())
         except OSError as error:
             log.warning("no snapshot can be written: %s", error.strerror)
             return
-        self.records.empty()
+        self.records.clear()
 
     def close(self) -> None:
         self.records.close()
--- a/thistletrail/registry/server.py
+++ b/thistletrail/registry/server.py
@@ -189,9 +189,9 @@
     """The first one: it takes writes, and has the list, its leases and its log."""
 
     def __init__(self, folder: Path, fill_s: float = 0.0) -> None:
-        """Reads the folder; a DamageError where it cannot be trusted. A list that began with nothing is not
-        told for `fill_s`: scan servers that are there register meanwhile, and an empty list would be taken
-        for all of them gone."""
+        """Reads the folder; a CorruptFileError where it cannot be trusted. A list that began with nothing is
+        not told for `fill_s`: scan servers that are there register meanwhile, and an empty list would be
+        taken for all of them gone."""
         self.log = Log(folder)
         self.store: Store = self.log.open(time.time_ns() // 1_000_000, now_ms())
         self.filled_ms = now_ms() + round(fill_s * 1000)
--- a/thistletrail/write_ahead_log/__init__.py
+++ b/thistletrail/write_ahead_log/__init__.py
@@ -1,1 +1,1 @@
-"""Files that outlive their process: records with checksums, synced before anybody is answered."""
+"""Write-ahead log: files of checksummed records, synced before the request behind them is answered."""
