--- a/tests/test_roster_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -13,9 +13,9 @@
 from thistletrail.gateway.config import Address
 from thistletrail.gateway.frontdoor import FrontDoor
 from thistletrail.policy import interface as i
-from thistletrail.registry.follow import Follower
+from thistletrail.registry.follower import Follower
+from thistletrail.registry.http_service import Reader, Service
 from thistletrail.registry.registration import Registration
-from thistletrail.registry.server import Reader, Service
 
 
 class Lists:
--- a/tests/test_roster_follow.py
+++ b/tests/test_registry_follower.py
@@ -13,10 +13,10 @@
 from hypothesis import settings as options
 from hypothesis import strategies as st
 
-from tests.test_roster_store import UNIX_MS, instance
-from thistletrail.registry import follow
-from thistletrail.registry.follow import Copy, Follower, read_news
-from thistletrail.registry.server import READ_PATH, Reader, Service
+from tests.test_registry_store import UNIX_MS, instance
+from thistletrail.registry import follower
+from thistletrail.registry.follower import Copy, Follower, read_news
+from thistletrail.registry.http_service import READ_PATH, Reader, Service
 from thistletrail.registry.store import DELETED, MOST_HISTORY, News, RefusedError, Store
 
 WAIT_S = 20.0
@@ -53,8 +53,8 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follow, "BACKOFF_S", 0.02)
-    monkeypatch.setattr(follow, "MOST_BACKOFF_S", 0.1)
+    monkeypatch.setattr(follower, "BACKOFF_S", 0.02)
+    monkeypatch.setattr(follower, "MOST_BACKOFF_S", 0.1)
 
 
 def register(service: Service, name: str, **changes: object) -> None:
@@ -281,7 +281,7 @@
         first.app = app
         async with up(first) as one:
             second = Follower(one, Low())
-            monkeypatch.setattr(follow.asyncio, "sleep", sleep)
+            monkeypatch.setattr(follower.asyncio, "sleep", sleep)
             task = asyncio.get_running_loop().create_task(second.follow())
             await asyncio.wait_for(stop.wait(), WAIT_S)
             monkeypatch.undo()
--- a/tests/test_roster_server.py
+++ b/tests/test_registry_http_service.py
@@ -15,8 +15,8 @@
 import pytest
 from aiohttp import ClientSession, ClientTimeout, web
 
-from thistletrail.registry import server as servers
-from thistletrail.registry.server import Service
+from thistletrail.registry import http_service
+from thistletrail.registry.http_service import Service
 from thistletrail.registry.store import MOST_HISTORY
 
 ROOT = Path(__file__).parent.parent
@@ -71,7 +71,7 @@
 def test_the_whole_list_and_a_watch_are_as_discovery_gives_them(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "EMPTY_LINE_S", 0.05)
+    monkeypatch.setattr(http_service, "EMPTY_LINE_S", 0.05)
 
     async def act(client: Client) -> None:
         first = await client.put("s-1", 6001, cell=3, weight=2, started_ms=7)
@@ -160,7 +160,7 @@
 def test_many_watchers_share_one_encoding_and_are_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "MOST_WATCHERS", 50)
+    monkeypatch.setattr(http_service, "MOST_WATCHERS", 50)
 
     async def act(client: Client) -> None:
         start = await client.put("s-1", 6001)
@@ -186,7 +186,7 @@
 def test_a_reader_that_takes_nothing_is_sent_away_and_memory_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "LAG_S", 0.2)
+    monkeypatch.setattr(http_service, "LAG_S", 0.2)
 
     async def act(client: Client) -> None:
         store = client.service.store
@@ -209,7 +209,7 @@
                 await asyncio.sleep(0.01)
             assert client.service.watchers == 0
         assert len(store.history) <= MOST_HISTORY
-        assert len(client.service.encoded) <= servers.MOST_ENCODED
+        assert len(client.service.encoded) <= http_service.MOST_ENCODED
 
     play(tmp_path, act)
 
@@ -311,15 +311,15 @@
 def test_a_list_that_began_with_nothing_is_not_told_until_it_may_be_filled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    now = servers.now_ms()
-    monkeypatch.setattr(servers, "now_ms", lambda: now)
+    now = http_service.now_ms()
+    monkeypatch.setattr(http_service, "now_ms", lambda: now)
     service = Service(tmp_path, 5.0)
-    with pytest.raises(servers.UnavailableError, match=r"told in 5\.0 s"):
+    with pytest.raises(http_service.UnavailableError, match=r"told in 5\.0 s"):
         service.ready()
     service.log.close()
     again = Service(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet full
     now += 4999
-    with pytest.raises(servers.UnavailableError):
+    with pytest.raises(http_service.UnavailableError):
         again.ready()
     now += 1
     again.ready()
--- a/tests/test_roster_registration.py
+++ b/tests/test_registry_registration.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from tests.test_roster_follow import play, until, up
-from tests.test_roster_server import values
+from tests.test_registry_follower import play, until, up
+from tests.test_registry_http_service import values
 from thistletrail.registry import registration
+from thistletrail.registry.http_service import Service
 from thistletrail.registry.registration import Registration, RegistrationError
-from thistletrail.registry.server import Service
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_roster_store.py
+++ b/tests/test_registry_store.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from thistletrail.registry import store as stores
-from thistletrail.registry.log import Log
+from thistletrail.registry.journal import Log
 from thistletrail.registry.store import (
     DELETED,
     DRAINING,
--- a/thistletrail/benchmarks/lists.py
+++ b/thistletrail/benchmarks/lists.py
@@ -14,7 +14,7 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import END_S, Process, start_program
 from thistletrail.benchmarks.standins import HOST, Address
-from thistletrail.registry.follow import BACKOFF_S, MOST_BACKOFF_S
+from thistletrail.registry.follower import BACKOFF_S, MOST_BACKOFF_S
 from thistletrail.registry.registration import Registration
 
 WAIT_S = 60.0  # for all watchers to have what they wait for
--- a/thistletrail/registry/__main__.py
+++ b/thistletrail/registry/__main__.py
@@ -13,8 +13,8 @@
 import click
 from aiohttp import web
 
-from thistletrail.registry.follow import Follower
-from thistletrail.registry.server import Reader, Service
+from thistletrail.registry.follower import Follower
+from thistletrail.registry.http_service import Reader, Service
 from thistletrail.write_ahead_log.record_file import CorruptFileError
 
 SHUTDOWN_S = 3.0  # that what is being answered may take after SIGTERM
--- a/thistletrail/registry/follow.py
+++ b/thistletrail/registry/follower.py
@@ -17,7 +17,7 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 
-from thistletrail.registry.server import READ_PATH, WRITE_PATH, Reader, UnavailableError, now_ms
+from thistletrail.registry.http_service import READ_PATH, WRITE_PATH, Reader, UnavailableError, now_ms
 from thistletrail.registry.store import (
     DELETED,
     DRAINING,
--- a/thistletrail/registry/server.py
+++ b/thistletrail/registry/http_service.py
@@ -17,7 +17,7 @@
 
 from aiohttp import web
 
-from thistletrail.registry.log import Log
+from thistletrail.registry.journal import Log
 from thistletrail.registry.store import ConflictError, News, RefusedError, Store, UnknownError, read_instance
 
 log = logging.getLogger(__name__)
--- a/thistletrail/registry/registration.py
+++ b/thistletrail/registry/registration.py
@@ -35,7 +35,7 @@
     def __init__(
         self, service: str, name: str, values: Mapping[str, Any], chance: random.Random | None = None
     ) -> None:
-        """`service` is its HOST:PORT; `values` are those of a registration (docs/roster.md)."""
+        """`service` is its HOST:PORT; `values` are those of a registration (docs/registry.md)."""
         self.base, self.values = f"http://{service}/instances/{name}", dict(values)
         self.lease_s = float(values.get("lease_ms", 10_000)) / 1000
         self.random = chance or random.Random()
