--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -14,8 +14,8 @@
 from thistletrail.gateway.frontdoor import FrontDoor
 from thistletrail.policy import interface as i
 from thistletrail.registry.follower import Follower
-from thistletrail.registry.http_service import Reader, Service
-from thistletrail.registry.registration import Registration
+from thistletrail.registry.http_service import ReadService, RegistryService
+from thistletrail.registry.registration import InstanceSettings, Registration
 
 
 class Lists:
@@ -25,7 +25,7 @@
         self.port = port
         self.runner: web.AppRunner | None = None
 
-    async def start(self, service: Reader) -> Address:
+    async def start(self, service: ReadService) -> Address:
         self.runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=0.1)
         await self.runner.setup()
         await web.TCPSite(self.runner, HOST, self.port, reuse_address=True).start()
@@ -45,15 +45,15 @@
     for number, name in enumerate(names):
         backend = Backend()
         host, port = await backend.start()
-        values = {"address": f"{host}:{port}", "zone": "a", "machine_type": "m2"}
-        registration = Registration(f"{service[0]}:{service[1]}", name, values, random.Random(number))
+        settings = InstanceSettings(address=f"{host}:{port}", zone="a", machine_type="m2")
+        registration = Registration(f"{service[0]}:{service[1]}", name, settings, random.Random(number))
         await registration.start()
         found[name] = backend, registration
     try:
         yield found
     finally:
         for _, registration in found.values():
-            await registration.close()
+            await registration.aclose()
 
 
 async def door_at(discovery: Address) -> FrontDoor:
@@ -81,7 +81,7 @@
 def test_no_request_fails_while_the_list_service_is_killed_and_comes_back(tmp_path: Path) -> None:
     async def act() -> None:
         lists = Lists()
-        address = await lists.start(Service(tmp_path))
+        address = await lists.start(RegistryService(tmp_path))
         async with registered(address, "s-1", "s-2"):
             door = await door_at(address)
             await known(door, "s-1", "s-2")
@@ -89,7 +89,7 @@
             await ask(client, 5, "before")
             await lists.stop()
             await ask(client, 20, "away")
-            await lists.start(Service(tmp_path))
+            await lists.start(RegistryService(tmp_path))
             await ask(client, 5, "back")
             async with registered(address, "s-3"):
                 await known(door, "s-1", "s-2", "s-3")
@@ -103,7 +103,7 @@
 def test_a_drain_told_through_the_service_is_obeyed_at_once(tmp_path: Path) -> None:
     async def act() -> None:
         lists = Lists()
-        address = await lists.start(Service(tmp_path))
+        address = await lists.start(RegistryService(tmp_path))
         async with registered(address, "s-1", "s-2") as servers:
             door = await door_at(address)
             await known(door, "s-1", "s-2")
@@ -113,7 +113,7 @@
             before = len(servers["s-1"][0].commands)
             await ask(client, 20, "drained")
             assert len(servers["s-1"][0].commands) == before
-            await servers["s-1"][1].leave()
+            await servers["s-1"][1].deregister()
             await known(door, "s-2")
             await ask(client, 5, "left")
             door.close()
@@ -125,16 +125,17 @@
 def test_a_service_that_lost_its_data_is_filled_again_by_its_scan_servers(tmp_path: Path) -> None:
     async def act() -> None:
         lists = Lists()
-        address = await lists.start(Service(tmp_path / "a"))
+        address = await lists.start(RegistryService(tmp_path / "a"))
         async with registered(address, "s-1") as servers:
-            servers["s-1"][1].lease_s = 0.3  # renews soon, and so finds out soon
-            await servers["s-1"][1].stop()
-            servers["s-1"][1].renewing = asyncio.create_task(servers["s-1"][1].renew())
+            _, registration = servers["s-1"]
+            registration.renewal_interval_s = 0.1  # renews soon, and so finds out soon
+            await registration.stop_renewing()
+            registration.start_renewing()
             door = await door_at(address)
             await known(door, "s-1")
             client = await Client.open(door.address)
             await lists.stop()
-            fresh = Service(tmp_path / "b")
+            fresh = RegistryService(tmp_path / "b")
             await lists.start(fresh)
             while not fresh.store.instances:
                 await asyncio.sleep(0.01)
@@ -149,11 +150,11 @@
 def test_a_door_reads_a_follower_and_is_moved_to_another(tmp_path: Path) -> None:
     async def act() -> None:
         lists, copies = Lists(), Lists()
-        first = await lists.start(Service(tmp_path))
+        first = await lists.start(RegistryService(tmp_path))
         async with registered(first, "s-1") as servers:
             follower = Follower(f"{first[0]}:{first[1]}", random.Random(1))
             second = await copies.start(follower)
-            while not follower.copy.instances:
+            while not follower.replica.instances:
                 await asyncio.sleep(0.01)
             door = await door_at(second)
             await known(door, "s-1")
--- a/tests/test_registry_follower.py
+++ b/tests/test_registry_follower.py
@@ -15,15 +15,19 @@
 
 from tests.test_registry_store import UNIX_MS, instance
 from thistletrail.registry import follower
-from thistletrail.registry.follower import Copy, Follower, read_news
-from thistletrail.registry.http_service import READ_PATH, Reader, Service
-from thistletrail.registry.store import DELETED, MOST_HISTORY, News, RefusedError, Store
+from thistletrail.registry.errors import MalformedResponseError
+from thistletrail.registry.follower import Follower, Replica
+from thistletrail.registry.http_service import READ_PATH, ReadService, RegistryService
+from thistletrail.registry.instance import Lifecycle
+from thistletrail.registry.limits import MAX_HISTORY
+from thistletrail.registry.store import Store
+from thistletrail.registry.watch_update import WatchUpdate, decode_update
 
 WAIT_S = 20.0
 
 
 @asynccontextmanager
-async def up(service: Reader, port: int = 0) -> AsyncIterator[str]:
+async def up(service: ReadService, port: int = 0) -> AsyncIterator[str]:
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port, reuse_address=True).start()
@@ -54,17 +58,17 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follower, "BACKOFF_S", 0.02)
-    monkeypatch.setattr(follower, "MOST_BACKOFF_S", 0.1)
+    monkeypatch.setattr(follower, "MAX_BACKOFF_S", 0.1)
 
 
-def register(service: Service, name: str, **changes: object) -> None:
+def register(service: RegistryService, name: str, **changes: object) -> None:
     service.store.register(instance(name, **changes), 0)
-    service.wake()
+    service.notify_watchers()
 
 
 def test_a_follower_and_its_follower_have_the_same_list_and_generations(tmp_path: Path) -> None:
     async def act() -> None:
-        first = Service(tmp_path)
+        first = RegistryService(tmp_path)
         register(first, "s-1")
         async with up(first) as one:
             second = Follower(one, random.Random(1))
@@ -73,9 +77,9 @@
                 async with up(third) as three:
                     for name in ("s-2", "s-3"):
                         register(first, name)
-                    first.store.leave("s-1")
-                    first.wake()
-                    await until(lambda: third.copy.generation == first.store.generation)
+                    first.store.deregister("s-1")
+                    first.notify_watchers()
+                    await until(lambda: third.replica.generation == first.store.generation)
                     lists = [await get(address) for address in (one, two, three)]
                     assert lists[0] == lists[1] == lists[2]
                     status, said = await get(three, "/instances/s-2", "DELETE")
@@ -88,7 +92,7 @@
 
 def test_a_follower_holds_its_list_while_the_first_is_away_and_says_how_old_it_is(tmp_path: Path) -> None:
     async def act() -> None:
-        first = Service(tmp_path)
+        first = RegistryService(tmp_path)
         register(first, "s-1")
         runner = web.AppRunner(first.app, access_log=None, shutdown_timeout=1)
         await runner.setup()
@@ -96,39 +100,39 @@
         port = runner.addresses[0][1]
         second = Follower(f"127.0.0.1:{port}", random.Random(1))
         async with up(second) as two:
-            await until(lambda: second.copy.generation == first.store.generation)
+            await until(lambda: second.replica.generation == first.store.generation)
             held = await get(two)
             await runner.cleanup()
             await asyncio.sleep(0.3)
             assert await get(two) == held
             assert (await get(two, "/status"))[1]["age_ms"] >= 250
-            again = Service(tmp_path)  # it is back with its data, and the watch goes on from there
+            again = RegistryService(tmp_path)  # it is back with its data, and the watch goes on from there
             async with up(again, port):
                 register(again, "s-2")
-                await until(lambda: second.copy.generation == again.store.generation)
-                assert set(second.copy.instances) == {"s-1", "s-2"}
+                await until(lambda: second.replica.generation == again.store.generation)
+                assert set(second.replica.instances) == {"s-1", "s-2"}
 
     play(act)
 
 
 def test_a_first_one_that_lost_its_data_is_another_history_and_replaces_all(tmp_path: Path) -> None:
     async def act() -> None:
-        first = Service(tmp_path / "a")
+        first = RegistryService(tmp_path / "a")
         register(first, "s-1")
         second = Follower("127.0.0.1:1", random.Random(1))
         async with up(second) as two:
             status, said = await get(two)
-            assert status == 503 and said["error"] == "no list has come yet"
+            assert status == 503 and said["error"] == "no endpoint list has been received yet"
             async with up(first) as one:
                 second.source = one
-                await until(lambda: second.copy.generation == first.store.generation)
+                await until(lambda: second.replica.generation == first.store.generation)
             port = int(one.rpartition(":")[2])
             await asyncio.sleep(0.01)
-            fresh = Service(tmp_path / "b")
+            fresh = RegistryService(tmp_path / "b")
             assert fresh.store.generation > first.store.generation
             async with up(fresh, port):
-                await until(lambda: second.copy.generation == fresh.store.generation)
-                assert second.copy.instances == {}  # an empty list is a list
+                await until(lambda: second.replica.generation == fresh.store.generation)
+                assert second.replica.instances == {}  # an empty list is a list
                 assert (await get(two))[1]["instances"] == []
 
     play(act)
@@ -157,7 +161,7 @@
 
         server = await asyncio.start_server(nonsense, "127.0.0.1", 0)
         second = Follower("127.0.0.1:{1}".format(*server.sockets[0].getsockname()), random.Random(1))
-        second.copy.take(News(5, True, (instance("s-1"),)))
+        second.replica.apply(WatchUpdate(5, True, (instance("s-1"),)))
         async with up(second) as two:
             await until(lambda: calls >= 3)  # it goes on trying
             status, whole = await get(two)
@@ -168,22 +172,23 @@
 
 
 def test_changes_from_a_stale_source_are_never_laid_over_newer_ones() -> None:
-    copy = Copy()
-    assert copy.take(News(50, True, (instance("s-1"),)))
-    assert not copy.take(News(40, False, (instance("s-1", lifecycle=DELETED),)))
-    assert not copy.take(News(50, False, (instance("s-2"),)))
-    assert copy.generation == 50 and set(copy.instances) == {"s-1"}
-    assert copy.take(News(30, True, ()))  # older data from a copy, told as a whole list: it is what holds now
-    assert copy.generation == 30 and copy.after(50).reset
+    replica = Replica()
+    assert replica.apply(WatchUpdate(50, True, (instance("s-1"),)))
+    assert not replica.apply(WatchUpdate(40, False, (instance("s-1", lifecycle=Lifecycle.DELETED),)))
+    assert not replica.apply(WatchUpdate(50, False, (instance("s-2"),)))
+    assert replica.generation == 50 and set(replica.instances) == {"s-1"}
+    # An older generation as a complete list, from another replica, replaces what this one has.
+    assert replica.apply(WatchUpdate(30, True, ()))
+    assert replica.generation == 30 and replica.update_after(50).is_reset
 
 
 def test_what_a_follower_holds_is_bounded() -> None:
-    copy = Copy()
-    copy.take(News(0, True, ()))
-    for generation in range(1, MOST_HISTORY + 50):
-        copy.take(News(generation, False, (instance("s-1", started_ms=generation),)))
-    assert len(copy.history) == MOST_HISTORY and copy.after(1).reset
-    assert not copy.after(copy.floor).reset
+    replica = Replica()
+    replica.apply(WatchUpdate(0, True, ()))
+    for generation in range(1, MAX_HISTORY + 50):
+        replica.apply(WatchUpdate(generation, False, (instance("s-1", started_ms=generation),)))
+    assert len(replica.history) == MAX_HISTORY and replica.update_after(1).is_reset
+    assert not replica.update_after(replica.floor).is_reset
 
 
 @pytest.mark.parametrize(
@@ -200,8 +205,8 @@
     ],
 )
 def test_a_message_that_makes_no_sense_is_refused(line: bytes) -> None:
-    with pytest.raises(RefusedError):
-        read_news(line)
+    with pytest.raises(MalformedResponseError):
+        decode_update(line)
 
 
 @options(derandomize=True, deadline=None, max_examples=60)
@@ -212,25 +217,25 @@
     steps: list[tuple[int, bool, bool]], seed: int
 ) -> None:
     """Whoever it reads from, whatever it missed: a follower takes messages late, a reader takes either's."""
-    store, copy, chance = Store(UNIX_MS, 0), Copy(), random.Random(seed)
-    copy.take(store.whole())
+    store, replica, chance = Store(UNIX_MS, 0), Replica(), random.Random(seed)
+    replica.apply(store.full_update())
     held, seen = -1, {}
     for at, (number, leaves, follows) in enumerate(steps):
         name = f"s-{number}"
         if leaves and name in store.instances:
-            store.leave(name)
+            store.deregister(name)
         else:
             store.register(instance(name, started_ms=at), 0)
         if follows:
-            copy.take(store.after(copy.generation))
-        source = copy if chance.random() < 0.5 else store
+            replica.apply(store.update_after(replica.generation))
+        source = replica if chance.random() < 0.5 else store
         if source.generation < held:
             continue  # it knows better: it does not read from a staler one
-        news = source.after(held)
-        seen = {} if news.reset else seen
+        news = source.update_after(held)
+        seen = {} if news.is_reset else seen
         for one in news.instances:
             seen[one.id] = replace(one, generation=0)
-            if one.lifecycle == DELETED:
+            if one.lifecycle == Lifecycle.DELETED:
                 del seen[one.id]
         held = news.generation
         assert seen == {name: replace(one, generation=0) for name, one in source.instances.items()}
@@ -240,16 +245,16 @@
     """And not after a wait drawn anew each time: that was up to 5 s on top, for all behind the follower."""
 
     async def act() -> None:
-        first, reads = Service(tmp_path, 1.0), []
-        ready = first.ready
-        first.ready = lambda: (reads.append(1), ready())[1]
+        first, reads = RegistryService(tmp_path, 1.0), []
+        require_available = first.require_available
+        first.require_available = lambda: (reads.append(1), require_available())[1]
         async with up(first) as one:
             async with ClientSession() as session, session.get(f"http://{one}{READ_PATH}") as answer:
                 assert answer.status == 503 and answer.headers["Retry-After"] == "1"
             reads.clear()
             second = Follower(one, random.Random(1))
             async with up(second):
-                await until(lambda: second.copy.generation == first.store.generation)
+                await until(lambda: second.replica.generation == first.store.generation)
                 assert len(reads) == 2
 
     play(act)
@@ -275,7 +280,7 @@
             stop.set()
             await asyncio.Event().wait()
 
-        first = Reader(Copy())
+        first = ReadService(Replica())
         app = web.Application()
         app.router.add_get(READ_PATH, later)
         first.app = app
--- a/tests/test_registry_http_service.py
+++ b/tests/test_registry_http_service.py
@@ -1,4 +1,4 @@
-"""The list service on loopback: reads as discovery's, writes, watchers that lag, restarts, and nonsense."""
+"""The registry on loopback: reads as discovery's, writes, slow watchers, restarts, and malformed input."""
 
 import asyncio
 import json
@@ -16,8 +16,9 @@
 from aiohttp import ClientSession, ClientTimeout, web
 
 from thistletrail.registry import http_service
-from thistletrail.registry.http_service import Service
-from thistletrail.registry.store import MOST_HISTORY
+from thistletrail.registry.errors import UnavailableError
+from thistletrail.registry.http_service import RegistryService
+from thistletrail.registry.limits import MAX_HISTORY
 
 ROOT = Path(__file__).parent.parent
 READ = "/catalog/members"
@@ -30,7 +31,7 @@
 class Client:
     """A session with one service."""
 
-    def __init__(self, service: Service, session: ClientSession, url: str) -> None:
+    def __init__(self, service: RegistryService, session: ClientSession, url: str) -> None:
         self.service, self.session, self.url = service, session, url
 
     async def call(self, method: str, path: str, **more: object) -> tuple[int, dict]:
@@ -51,7 +52,7 @@
 
 @asynccontextmanager
 async def serving(folder: Path) -> AsyncIterator[Client]:
-    service = Service(folder)
+    service = RegistryService(folder)
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -160,7 +161,7 @@
 def test_many_watchers_share_one_encoding_and_are_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_service, "MOST_WATCHERS", 50)
+    monkeypatch.setattr(http_service, "MAX_WATCHERS", 50)
 
     async def act(client: Client) -> None:
         start = await client.put("s-1", 6001)
@@ -168,15 +169,15 @@
         for watch in watches:
             assert not (await anext(watch))["instances"]
         pending = [asyncio.ensure_future(anext(watch)) for watch in watches]
-        while client.service.watchers < 50:
+        while client.service.watcher_count < 50:
             await asyncio.sleep(0.01)
         status, said = await client.call("GET", f"{READ}?watch=1&after=1")
         assert status == 503 and "50 watches" in said["error"]
-        client.service.encoded.clear()
+        client.service.encoded_updates.clear()
         end = await client.put("s-2", 6002)
         news = await asyncio.gather(*pending)
         assert {line["generation"] for line in news} == {end}
-        assert len(client.service.encoded) == 1
+        assert len(client.service.encoded_updates) == 1
         for watch in watches:
             await watch.aclose()
 
@@ -186,7 +187,7 @@
 def test_a_reader_that_takes_nothing_is_sent_away_and_memory_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_service, "LAG_S", 0.2)
+    monkeypatch.setattr(http_service, "WATCHER_WRITE_TIMEOUT_S", 0.2)
 
     async def act(client: Client) -> None:
         store = client.service.store
@@ -198,18 +199,18 @@
             reader.connect((host, int(port)))
             path = f"{READ}?watch=1&after={store.generation}"
             reader.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-            while not client.service.watchers:
+            while not client.service.watcher_count:
                 await asyncio.sleep(0.01)
             for turn in range(3000):
-                if not client.service.watchers:
+                if not client.service.watcher_count:
                     break
                 for number in range(400):  # all of them change: one merged line, whoever takes it
                     store.register(replace(store.instances[f"s-{number}"], started_ms=turn + 1), 0)
-                client.service.wake()
+                client.service.notify_watchers()
                 await asyncio.sleep(0.01)
-            assert client.service.watchers == 0
-        assert len(store.history) <= MOST_HISTORY
-        assert len(client.service.encoded) <= http_service.MOST_ENCODED
+            assert client.service.watcher_count == 0
+        assert len(store.history) <= MAX_HISTORY
+        assert len(client.service.encoded_updates) <= http_service.MAX_ENCODED_UPDATES
 
     play(tmp_path, act)
 
@@ -294,7 +295,7 @@
     for words, told in (
         (["--data", str(tmp_path), "--listen", "nowhere"], "'nowhere' is not HOST:PORT"),
         (["--fill", "soon"], "not a valid float"),
-        ([], "one of --data and --follow is wanted"),
+        ([], "exactly one of --data and --follow is required"),
     ):
         done = subprocess.run(
             [sys.executable, "-m", "thistletrail.registry", *words],
@@ -313,15 +314,15 @@
 ) -> None:
     now = http_service.now_ms()
     monkeypatch.setattr(http_service, "now_ms", lambda: now)
-    service = Service(tmp_path, 5.0)
-    with pytest.raises(http_service.UnavailableError, match=r"told in 5\.0 s"):
-        service.ready()
-    service.log.close()
-    again = Service(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet full
+    service = RegistryService(tmp_path, 5.0)
+    with pytest.raises(UnavailableError, match=r"answers reads in 5\.0 s"):
+        service.require_available()
+    service.journal.close()
+    again = RegistryService(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet full
     now += 4999
-    with pytest.raises(http_service.UnavailableError):
-        again.ready()
+    with pytest.raises(UnavailableError):
+        again.require_available()
     now += 1
-    again.ready()
-    again.log.close()
-    Service(tmp_path, 5.0).ready()  # with its data it is told at once
+    again.require_available()
+    again.journal.close()
+    RegistryService(tmp_path, 5.0).require_available()  # with its data it is told at once
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -1,6 +1,7 @@
-"""The list service's store and log: generations, leases, history, and what a crash leaves."""
+"""The registry's store and journal: generations, leases, history, and what a crash leaves."""
 
 import errno
+import json
 import os
 from dataclasses import asdict, replace
 from pathlib import Path
@@ -10,23 +11,13 @@
 from hypothesis import settings as options
 from hypothesis import strategies as st
 
-from thistletrail.registry import store as stores
-from thistletrail.registry.journal import Log
-from thistletrail.registry.store import (
-    DELETED,
-    DRAINING,
-    GRACE_MS,
-    MASS_WINDOW_MS,
-    MOST_GENERATION,
-    MOST_HISTORY,
-    SERVING,
-    ConflictError,
-    Instance,
-    RefusedError,
-    Store,
-    UnknownError,
-    read_instance,
-)
+from thistletrail.registry import store as store_module
+from thistletrail.registry.errors import ConflictError, RejectedError, StorageError, UnknownInstanceError
+from thistletrail.registry.instance import Instance, Lifecycle, parse_instance
+from thistletrail.registry.journal import Journal
+from thistletrail.registry.limits import MAX_GENERATION, MAX_HISTORY
+from thistletrail.registry.store import GRACE_PERIOD_MS, MASS_EXPIRY_WINDOW_MS, Store
+from thistletrail.registry.watch_update import encode_update
 from thistletrail.write_ahead_log.record_file import CorruptFileError, decode_records
 
 UNIX_MS = 1_790_000_000_000
@@ -41,7 +32,7 @@
         "started_ms": 5,
         "lease_ms": 10_000,
     }
-    return replace(read_instance(values), **changes)
+    return replace(parse_instance(values), **changes)
 
 
 def filled(count: int, now_ms: int = 0) -> tuple[Store, list[str]]:
@@ -58,7 +49,7 @@
     for now in range(from_ms, until_ms, 1000):
         for name in renewing:
             store.renew(name, now)
-        gone += [change.id for change in store.tick(now)]
+        gone += [change.id for change in store.expire_leases(now)]
     return gone
 
 
@@ -68,13 +59,16 @@
 def test_each_change_has_the_next_generation_and_a_reader_gets_what_it_lacks() -> None:
     store, _ = filled(2)
     start = store.generation
-    store.update("s-0", store.get("s-0").generation, DRAINING, 0)
-    store.leave("s-1")
-    news = store.after(start)
-    assert [(one.id, one.lifecycle) for one in news.instances] == [("s-0", DRAINING), ("s-1", DELETED)]
-    assert not news.reset and news.generation == start + 2
-    assert store.after(news.generation).instances == ()
-    assert store.whole().shown()["instances"] == [
+    store.update("s-0", store.get("s-0").generation, Lifecycle.DRAINING, 0)
+    store.deregister("s-1")
+    news = store.update_after(start)
+    assert [(one.id, one.lifecycle) for one in news.instances] == [
+        ("s-0", Lifecycle.DRAINING),
+        ("s-1", Lifecycle.DELETED),
+    ]
+    assert not news.is_reset and news.generation == start + 2
+    assert store.update_after(news.generation).instances == ()
+    assert json.loads(encode_update(store.full_update()))["instances"] == [
         {
             "instanceId": "s-0",
             "hostPort": "127.0.0.1:6000",
@@ -91,40 +85,42 @@
 def test_a_reader_from_before_from_the_future_or_of_another_history_gets_all() -> None:
     store, _ = filled(3)
     for generation in (0, store.floor - 1, store.generation + 1, 41):
-        news = store.after(generation)
-        assert news.reset and len(news.instances) == 3
-    for _ in range(MOST_HISTORY):
+        news = store.update_after(generation)
+        assert news.is_reset and len(news.instances) == 3
+    for _ in range(MAX_HISTORY):
         store.update(
             "s-0",
             store.get("s-0").generation,
-            DRAINING if store.get("s-0").lifecycle == SERVING else SERVING,
+            Lifecycle.DRAINING if store.get("s-0").lifecycle == Lifecycle.SERVING else Lifecycle.SERVING,
             0,
         )
-    assert store.after(store.generation - MOST_HISTORY - 1).reset  # the history has just been cut there
-    assert not store.after(store.generation - MOST_HISTORY).reset
-    assert len(store.history) == MOST_HISTORY
+    # The history has just been cut there.
+    assert store.update_after(store.generation - MAX_HISTORY - 1).is_reset
+    assert not store.update_after(store.generation - MAX_HISTORY).is_reset
+    assert len(store.history) == MAX_HISTORY
 
 
 def test_generations_of_a_later_history_are_above_and_fit_a_json_number() -> None:
     first = Store(UNIX_MS, 0)
     for _ in range(1000):
         first.register(instance(), 0)
-        first.leave("s-1")
+        first.deregister("s-1")
     assert Store(UNIX_MS + 2, 0).generation > first.generation  # 2 ms later, with all data lost
-    assert first.generation < MOST_GENERATION == 2**53 - 1
+    assert first.generation < MAX_GENERATION == 2**53 - 1
     last = Store(1 << 62, 0)
-    with pytest.raises(RefusedError, match="used up"):
+    with pytest.raises(RejectedError, match="used up"):
         for _ in range(3):
             last.register(instance(), 0)
-            last.leave("s-1")
+            last.deregister("s-1")
 
 
 def test_a_delete_and_a_new_registration_between_two_reads_show_as_the_last() -> None:
     store, _ = filled(1)
     seen = store.generation
-    store.leave("s-0")
+    store.deregister("s-0")
     store.register(instance("s-0", started_ms=9), 0)
-    assert [(one.lifecycle, one.started_ms) for one in store.after(seen).instances] == [(SERVING, 9)]
+    changes = store.update_after(seen).instances
+    assert [(one.lifecycle, one.started_ms) for one in changes] == [(Lifecycle.SERVING, 9)]
 
 
 # --- registration ---
@@ -135,9 +131,9 @@
     seen = store.generation
     store.register(instance("s-0", 7000), 0)
     store.register(instance("s-9", 7000), 0)
-    assert [(one.id, one.lifecycle) for one in store.after(seen).instances] == [
-        ("s-0", DELETED),
-        ("s-9", SERVING),
+    assert [(one.id, one.lifecycle) for one in store.update_after(seen).instances] == [
+        ("s-0", Lifecycle.DELETED),
+        ("s-9", Lifecycle.SERVING),
     ]
     store.register(instance("s-0"), 0)  # its old address is free again
     assert set(store.instances) == {"s-0", "s-9"}
@@ -145,22 +141,23 @@
 
 def test_the_same_registration_again_changes_nothing_and_keeps_a_drain() -> None:
     store, _ = filled(1)
-    store.update("s-0", store.get("s-0").generation, DRAINING, 0)
+    store.update("s-0", store.get("s-0").generation, Lifecycle.DRAINING, 0)
     before = store.generation
-    assert store.register(instance("s-0"), 5000).lifecycle == DRAINING
-    assert store.generation == before and store.expires["s-0"] == 15_000
-    assert store.register(instance("s-0", started_ms=6), 0).lifecycle == SERVING  # a new process serves
+    assert store.register(instance("s-0"), 5000).lifecycle == Lifecycle.DRAINING
+    assert store.generation == before and store.lease_end_ms["s-0"] == 15_000
+    # A new process serves.
+    assert store.register(instance("s-0", started_ms=6), 0).lifecycle == Lifecycle.SERVING
 
 
 def test_an_update_by_an_older_generation_is_a_conflict() -> None:
     store, _ = filled(1)
     known = store.get("s-0").generation
-    store.update("s-0", known, DRAINING, 0)
+    store.update("s-0", known, Lifecycle.DRAINING, 0)
     with pytest.raises(ConflictError, match=str(known)):
-        store.update("s-0", known, SERVING, 0)
-    with pytest.raises(UnknownError):
-        store.update("s-7", known, SERVING, 0)
-    with pytest.raises(RefusedError, match="lifecycle"):
+        store.update("s-0", known, Lifecycle.SERVING, 0)
+    with pytest.raises(UnknownInstanceError):
+        store.update("s-7", known, Lifecycle.SERVING, 0)
+    with pytest.raises(RejectedError, match="lifecycle"):
         store.update("s-0", store.generation, "GONE", 0)
 
 
@@ -193,19 +190,19 @@
     values = {
         name: found for name, found in asdict(instance()).items() if name not in ("lifecycle", "generation")
     }
-    assert read_instance(values) == instance()
-    with pytest.raises(RefusedError, match=key):
-        read_instance({**values, key: value})
+    assert parse_instance(values) == instance()
+    with pytest.raises(RejectedError, match=key):
+        parse_instance({**values, key: value})
     if key in ("id", "zone", "address"):
         del values[key]
-        with pytest.raises(RefusedError, match=f"'{key}' is missing"):
-            read_instance(values)
+        with pytest.raises(RejectedError, match=f"'{key}' is missing"):
+            parse_instance(values)
 
 
 def test_there_is_a_most_of_instances(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(stores, "MOST_INSTANCES", 2)
+    monkeypatch.setattr(store_module, "MAX_INSTANCES", 2)
     store, _ = filled(2)
-    with pytest.raises(RefusedError, match="2 instances already"):
+    with pytest.raises(RejectedError, match="2 instances already"):
         store.register(instance("s-5"), 0)
     store.register(instance("s-1", started_ms=8), 0)  # one that is known is no further one
 
@@ -216,15 +213,15 @@
 def test_one_lapsed_lease_makes_one_gone_and_renewals_keep_the_others() -> None:
     store, warnings = filled(10)
     others = [f"s-{number}" for number in range(1, 10)]
-    assert run(store, 0, 10_000 + MASS_WINDOW_MS, *others) == []
-    assert run(store, 10_000 + MASS_WINDOW_MS, 22_000, *others) == ["s-0"]
+    assert run(store, 0, 10_000 + MASS_EXPIRY_WINDOW_MS, *others) == []
+    assert run(store, 10_000 + MASS_EXPIRY_WINDOW_MS, 22_000, *others) == ["s-0"]
     assert set(store.instances) == set(others) and warnings == []
 
 
 def test_many_that_lapse_at_once_are_kept_for_the_grace_with_a_warning() -> None:
     store, warnings = filled(10)
     kept = ["s-0", "s-1"]
-    assert run(store, 0, 10_000 + GRACE_MS, *kept) == []
+    assert run(store, 0, 10_000 + GRACE_PERIOD_MS, *kept) == []
     assert len(warnings) == 1 and "8 of 10 leases" in warnings[0]
     back = [f"s-{number}" for number in range(8)]  # six are heard again in time
     store, warnings = filled(10)
@@ -242,7 +239,7 @@
 def test_a_service_that_paused_keeps_every_lease_for_the_grace() -> None:
     store, warnings = filled(10)
     assert run(store, 0, 5_000) == []
-    assert store.tick(35_000) == []  # a pause of 30 s, and it wakes with every lease lapsed
+    assert store.expire_leases(35_000) == []  # a pause of 30 s, and it wakes with every lease lapsed
     assert len(warnings) == 1 and "paused for 31 s" in warnings[0]
     everyone = [f"s-{number}" for number in range(10)]
     assert run(store, 36_000, 90_000, *everyone) == []
@@ -252,59 +249,60 @@
 def test_a_drain_and_a_leave_hold_at_once_whatever_is_kept() -> None:
     store, _ = filled(10)
     run(store, 0, 15_000)
-    store.update("s-3", store.get("s-3").generation, DRAINING, 15_000)
-    store.leave("s-4")
-    assert store.get("s-3").lifecycle == DRAINING and "s-4" not in store.instances
+    store.update("s-3", store.get("s-3").generation, Lifecycle.DRAINING, 15_000)
+    store.deregister("s-4")
+    assert store.get("s-3").lifecycle == Lifecycle.DRAINING and "s-4" not in store.instances
 
 
 # --- the log ---
 
 
-def opened(folder: Path, unix_ms: int = UNIX_MS) -> tuple[Log, Store]:
-    log = Log(folder)
-    return log, log.open(unix_ms, 0)
+def opened(folder: Path, unix_ms: int = UNIX_MS) -> tuple[Journal, Store]:
+    journal = Journal(folder)
+    return journal, journal.open(unix_ms, 0)
 
 
 def test_the_list_outlives_the_process(tmp_path: Path) -> None:
-    log, store = opened(tmp_path)
+    journal, store = opened(tmp_path)
     for number in range(3):
         store.register(instance(f"s-{number}"), 0)
-    store.update("s-1", store.get("s-1").generation, DRAINING, 0)
-    store.leave("s-2")
-    log.close()
-    log, again = opened(tmp_path, UNIX_MS + 1_000_000)
+    store.update("s-1", store.get("s-1").generation, Lifecycle.DRAINING, 0)
+    store.deregister("s-2")
+    journal.close()
+    journal, again = opened(tmp_path, UNIX_MS + 1_000_000)
     assert again.instances == store.instances and again.generation == store.generation
-    assert again.after(store.generation - 1).instances == store.after(store.generation - 1).instances
+    previous = store.generation - 1
+    assert again.update_after(previous).instances == store.update_after(previous).instances
     assert again.register(instance("s-7"), 0).generation == store.generation + 1
-    log.close()
+    journal.close()
 
 
 def test_a_log_cut_at_every_byte_of_its_last_records_is_read_up_to_there(tmp_path: Path) -> None:
-    log, store = opened(tmp_path)
+    journal, store = opened(tmp_path)
     states = [(store.generation, dict(store.instances))]
     ends = [0]
     for number in range(4):
         store.register(instance(f"s-{number % 3}", started_ms=number), 0)
         states.append((store.generation, dict(store.instances)))
-        ends.append(log.records.size_bytes)
-    log.close()
+        ends.append(journal.records.size_bytes)
+    journal.close()
     whole = (tmp_path / "log").read_bytes()
     for cut in range(ends[2], len(whole) + 1):
         (tmp_path / "log").write_bytes(whole[:cut])
-        log, again = opened(tmp_path)
+        journal, again = opened(tmp_path)
         known = sum(end <= cut for end in ends) - 1
         assert (again.generation, again.instances) == states[known]
         fresh = again.register(instance("s-8"), 0)
         assert fresh.generation == states[known][0] + 1
-        log.close()
+        journal.close()
         assert len(decode_records((tmp_path / "log").read_bytes(), "log").values) == known + 1
 
 
 def test_damage_before_the_last_record_stops_the_start_with_one_line(tmp_path: Path) -> None:
-    log, store = opened(tmp_path)
+    journal, store = opened(tmp_path)
     for number in range(4):
         store.register(instance(f"s-{number}"), 0)
-    log.close()
+    journal.close()
     whole = bytearray((tmp_path / "log").read_bytes())
     for at in range(0, len(whole) // 2, 7):
         broken = bytearray(whole)
@@ -325,7 +323,7 @@
 def test_a_full_disk_turns_writes_away_and_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    log, store = opened(tmp_path)
+    journal, store = opened(tmp_path)
     store.register(instance("s-0"), 0)
     before, size = store.generation, (tmp_path / "log").stat().st_size
     write = os.pwrite
@@ -335,37 +333,37 @@
         raise OSError(errno.ENOSPC, "No space left on device")
 
     monkeypatch.setattr(os, "pwrite", full)
-    with pytest.raises(RefusedError, match="No space left"):
+    with pytest.raises(StorageError, match="No space left"):
         store.register(instance("s-1"), 0)
     assert store.generation == before and (tmp_path / "log").stat().st_size == size
-    assert [one.id for one in store.whole().instances] == ["s-0"]
+    assert [one.id for one in store.full_update().instances] == ["s-0"]
     monkeypatch.setattr(os, "pwrite", write)
     assert store.register(instance("s-1"), 0).generation == before + 1
-    log.close()
+    journal.close()
 
 
 def test_a_snapshot_takes_the_logs_place_and_a_crash_between_the_two_is_borne(tmp_path: Path) -> None:
-    log, store = opened(tmp_path)
+    journal, store = opened(tmp_path)
     for number in range(3):
         store.register(instance(f"s-{number}"), 0)
     old = (tmp_path / "log").read_bytes()
-    log.snapshot(store)
-    assert (tmp_path / "log").stat().st_size == 0 and log.records.record_count == 0
-    log.close()
+    journal.write_snapshot(store)
+    assert (tmp_path / "log").stat().st_size == 0 and journal.records.record_count == 0
+    journal.close()
     (tmp_path / "log").write_bytes(old)  # as though the log had not been emptied
     (tmp_path / "snapshot.new").write_bytes(b"half of one")
-    log, again = opened(tmp_path)
+    journal, again = opened(tmp_path)
     assert again.instances == store.instances and again.generation == store.generation
-    log.close()
+    journal.close()
 
 
 def test_with_its_folder_lost_or_older_the_service_repeats_no_generation(tmp_path: Path) -> None:
-    log, store = opened(tmp_path / "a")
+    journal, store = opened(tmp_path / "a")
     store.register(instance("s-0"), 0)
-    log.close()
-    log, fresh = opened(tmp_path / "b", UNIX_MS + 1)
-    assert fresh.generation > store.generation and fresh.after(store.generation).reset
-    log.close()
+    journal.close()
+    journal, fresh = opened(tmp_path / "b", UNIX_MS + 1)
+    assert fresh.generation > store.generation and fresh.update_after(store.generation).is_reset
+    journal.close()
 
 
 STEPS = st.lists(
@@ -384,7 +382,7 @@
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int, int]], reads: list[int]
 ) -> None:
     folder = tmp_path_factory.mktemp("list")
-    log, store = opened(folder)
+    journal, store = opened(folder)
     now, seen, held = 0, {}, 0
     last = store.generation
     for at, (what, number, span) in enumerate(steps):
@@ -393,30 +391,30 @@
             store.register(instance(name, started_ms=at), now)
         elif what == "tick":
             now += span
-            store.tick(now)
+            store.expire_leases(now)
         elif what in ("crash", "cut"):
-            log.close()
+            journal.close()
             if what == "cut":  # what was never answered is lost with it: half a record
                 with (folder / "log").open("ab") as file:
                     file.write(b"RstR\0\0")
-            log = Log(folder)
+            journal = Journal(folder)
             generation, instances = store.generation, store.instances
-            store = log.open(UNIX_MS + at, now)
+            store = journal.open(UNIX_MS + at, now)
             assert (store.generation, store.instances) == (generation, instances)
         elif name in store.instances:
             if what == "drain":
-                store.update(name, store.get(name).generation, DRAINING, now)
+                store.update(name, store.get(name).generation, Lifecycle.DRAINING, now)
             else:
-                store.leave(name) if what == "leave" else store.renew(name, now)
+                store.deregister(name) if what == "leave" else store.renew(name, now)
         assert store.generation >= last
         last = store.generation
         if at in reads or at == len(steps) - 1:  # it reads now and then, and loses what came in between
-            news = store.after(held)
-            seen = {} if news.reset else seen
+            news = store.update_after(held)
+            seen = {} if news.is_reset else seen
             for one in news.instances:
                 seen[one.id] = one
-                if one.lifecycle == DELETED:
+                if one.lifecycle == Lifecycle.DELETED:
                     del seen[one.id]
             held = news.generation
             assert seen == store.instances
-    log.close()
+    journal.close()
--- a/thistletrail/benchmarks/lists.py
+++ b/thistletrail/benchmarks/lists.py
@@ -14,8 +14,9 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import END_S, Process, start_program
 from thistletrail.benchmarks.standins import HOST, Address
-from thistletrail.registry.follower import BACKOFF_S, MOST_BACKOFF_S
-from thistletrail.registry.registration import Registration
+from thistletrail.registry.backoff import full_jitter_s
+from thistletrail.registry.follower import BACKOFF_S, MAX_BACKOFF_S
+from thistletrail.registry.registration import InstanceSettings, Registration
 
 WAIT_S = 60.0  # for all watchers to have what they wait for
 RENEWALS = 10  # of each instance, for the mean of one
@@ -54,7 +55,7 @@
                 tries = 0
             except OSError:
                 tries += 1
-            await asyncio.sleep(self.random.uniform(0, min(MOST_BACKOFF_S, BACKOFF_S * 2 ** min(tries, 10))))
+            await asyncio.sleep(full_jitter_s(self.random, tries, BACKOFF_S, MAX_BACKOFF_S))
 
     async def watch(self) -> None:
         reader, writer = await asyncio.open_connection(*self.address, limit=1 << 24)
@@ -111,15 +112,15 @@
             running = await stack.enter_async_context(service(folder, 0))
             servers = []
             for number in range(instances):
-                values = {
-                    "address": f"127.1.{number // 250}.{number % 250 + 1}:6379",
-                    "zone": "east",
-                    "machine_type": "m1",
-                    "lease_ms": LEASE_MS,
-                }
-                servers.append(Registration("{}:{}".format(*running.address), f"s-{number}", values))
+                settings = InstanceSettings(
+                    address=f"127.1.{number // 250}.{number % 250 + 1}:6379",
+                    zone="east",
+                    machine_type="m1",
+                    lease_ms=LEASE_MS,
+                )
+                servers.append(Registration("{}:{}".format(*running.address), f"s-{number}", settings))
                 await servers[-1].start()
-                stack.push_async_callback(servers[-1].close)
+                stack.push_async_callback(servers[-1].aclose)
             before = running.resident()
             readers = [Watcher(running.address, random.Random(seed + number)) for number in range(watchers)]
             tasks = [asyncio.create_task(reader.run()) for reader in readers]
@@ -132,8 +133,10 @@
                 server = servers[number % instances]
                 lifecycle = "DRAINING" if number // instances % 2 == 0 else "SERVING"
                 began = time.monotonic()
-                await server.call("PATCH", "", {"generation": server.generation, "lifecycle": lifecycle})
-                await server.call_until_heard("POST", "/renew", None)
+                await server.request_once(
+                    "PATCH", "", {"generation": server.generation, "lifecycle": lifecycle}
+                )
+                await server.renew()
                 ends = await asyncio.wait_for(
                     asyncio.gather(*(reader.reach(server.generation) for reader in readers)), WAIT_S
                 )
@@ -142,7 +145,7 @@
             used = running.processor_us()
             for _ in range(RENEWALS):
                 for server in servers:
-                    await server.call_until_heard("POST", "/renew", None)
+                    await server.renew()
             renewal = (running.processor_us() - used) / RENEWALS / instances
             port = running.address[1]
             running.process.terminate()
--- a/thistletrail/fault_injection/scan.py
+++ b/thistletrail/fault_injection/scan.py
@@ -22,7 +22,8 @@
 from thistletrail.fault_injection.relay import HOST
 from thistletrail.fault_injection.world import World, zone_name
 from thistletrail.gateway.resp import CommandReader, ProtocolError
-from thistletrail.registry.registration import Registration, RegistrationError
+from thistletrail.registry.errors import RegistrationError
+from thistletrail.registry.registration import InstanceSettings, Registration
 from thistletrail.simulation.servers import ScanServer, Work
 from thistletrail.simulation.streams import Stream
 
@@ -114,16 +115,16 @@
         listener = await self.loop.create_server(lambda: Connection(self), HOST, 0)
         address = "{}:{}".format(*listener.sockets[0].getsockname())
         started = round((time.time() + self.told.clock_s) * 1000) if self.told.cold else 0
-        values = {
-            "address": address,
-            "zone": zone_name(self.zone),
-            "machine_type": "m1",
-            "cell": self.server.cell,
-            "started_ms": started,
-            "lease_ms": round(self.told.plan.lease_s * 1000),
-        }
+        settings = InstanceSettings(
+            address=address,
+            zone=zone_name(self.zone),
+            machine_type="m1",
+            cell=self.server.cell,
+            started_ms=started,
+            lease_ms=round(self.told.plan.lease_s * 1000),
+        )
         self.registration = Registration(
-            self.told.service, self.told.name, values, random.Random(self.told.seed + self.told.number)
+            self.told.service, self.told.name, settings, random.Random(self.told.seed + self.told.number)
         )
         await self.registration.start()
         print(f"scan server {self.told.name} serves at {address}", flush=True)
@@ -141,7 +142,7 @@
                 await self.registration.drain()
         if order.get("leave"):
             with contextlib.suppress(RegistrationError):
-                await self.registration.leave()
+                await self.registration.deregister()
             raise asyncio.CancelledError  # it ends
 
     # --- requests ---
@@ -207,7 +208,7 @@
         await program.run()
     finally:
         if program.registration is not None:
-            await program.registration.close()
+            await program.registration.aclose()
 
 
 if __name__ == "__main__":
--- a/thistletrail/registry/__init__.py
+++ b/thistletrail/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list service: which scan servers there are, with leases and generations."""
+"""Service registry: instances, leases, generations, watches, read replicas and the client that registers."""
--- a/thistletrail/registry/__main__.py
+++ b/thistletrail/registry/__main__.py
@@ -1,4 +1,7 @@
-"""Start of the list service: `python -m thistletrail.registry --data FOLDER`, or `--follow HOST:PORT`."""
+"""Command line of the registry, a primary or a read replica.
+
+`python -m thistletrail.registry --data DIRECTORY`, or `--follow HOST:PORT`.
+"""
 
 from __future__ import annotations
 
@@ -14,50 +17,74 @@
 from aiohttp import web
 
 from thistletrail.registry.follower import Follower
-from thistletrail.registry.http_service import Reader, Service
+from thistletrail.registry.http_service import ReadService, RegistryService
 from thistletrail.write_ahead_log.record_file import CorruptFileError
 
-SHUTDOWN_S = 3.0  # that what is being answered may take after SIGTERM
-MOST_HEADERS = 8190  # bytes of one header line
-# A third of the usual lease, at which scan servers renew and so find that they have been forgotten, and more.
-FILL_S = 5.0
+SHUTDOWN_TIMEOUT_S = 3.0
+"""For responses that are being sent when the process is to end."""
+
+MAX_HEADER_BYTES = 8190
+"""Of the request line, and of one header field."""
+
+DEFAULT_FILL_S = 5.0
+"""Above a third of the usual lease: by then scan servers have renewed and found that they must register."""
+
+MAX_FILL_S = 600
+"""The longest lease, in seconds."""
 
+MAX_PORT = 65_535
 
-async def serve(service: Callable[[], Reader], host: str, port: int) -> None:
-    """Serve until SIGTERM or SIGINT; then watches end, and all is synced."""
+ServiceFactory = Callable[[], ReadService]
+"""Creates the service inside the running event loop."""
+
+
+async def serve(create_service: ServiceFactory, host: str, port: int) -> None:
+    """Serve until SIGTERM or SIGINT; then watches end, and everything is synced to disk."""
     runner = web.AppRunner(
-        service().app,
+        create_service().app,
         access_log=None,
-        shutdown_timeout=SHUTDOWN_S,
-        max_line_size=MOST_HEADERS,
-        max_field_size=MOST_HEADERS,
+        shutdown_timeout=SHUTDOWN_TIMEOUT_S,
+        max_line_size=MAX_HEADER_BYTES,
+        max_field_size=MAX_HEADER_BYTES,
     )
     await runner.setup()
     try:
-        site = web.TCPSite(runner, host, port)
-        await site.start()
-        where = runner.addresses[0]
-        print(f"registry serves at {where[0]}:{where[1]}", flush=True)
-        stopped = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, stopped.set)
-        await stopped.wait()
+        await web.TCPSite(runner, host, port).start()
+        bound_host, bound_port = runner.addresses[0][:2]
+        print(f"registry serves at {bound_host}:{bound_port}", flush=True)
+        stop_requested = asyncio.Event()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stop_requested.set)
+        await stop_requested.wait()
     finally:
         await runner.cleanup()
 
 
-def split(address: str) -> tuple[str, int]:
-    host, sign, port = address.rpartition(":")
-    if not sign or not port.isascii() or not port.isdigit() or int(port) > 65535:
+def parse_address(address: str) -> tuple[str, int]:
+    """Split HOST:PORT; raises `click.BadParameter` if it is not that."""
+    host, separator, port = address.rpartition(":")
+    if not separator or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise click.BadParameter(f"'{address}' is not HOST:PORT")
     return host, int(port)
 
 
+def service_factory(data: Path | None, follow: str | None, fill_s: float) -> ServiceFactory:
+    """Choose the service by the options; raises `click.UsageError` unless exactly one is given."""
+    if data is not None and follow is None:
+        return lambda: RegistryService(data, fill_s)
+    if follow is not None and data is None:
+        parse_address(follow)
+        return lambda: Follower(follow)
+    raise click.UsageError("exactly one of --data and --follow is required")
+
+
 @click.command()
 @click.option(
-    "--data", type=click.Path(file_okay=False, path_type=Path), help="The folder that holds the list."
+    "--data",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="The directory that holds the registry's journal and snapshot.",
 )
-@click.option("--follow", metavar="HOST:PORT", help="Serve the list of another, for reading only.")
+@click.option("--follow", metavar="HOST:PORT", help="Serve a read replica of another registry.")
 @click.option(
     "--listen",
     default="127.0.0.1:8500",
@@ -67,30 +94,26 @@
 )
 @click.option(
     "--fill",
-    type=click.FloatRange(0, 600),
-    default=FILL_S,
+    type=click.FloatRange(0, MAX_FILL_S),
+    default=DEFAULT_FILL_S,
     show_default=True,
-    help="Seconds in which a list that began with nothing is filled, and not told.",
+    help="Seconds in which a registry that began empty lets instances register and answers no reads.",
 )
 def main(data: Path | None, follow: str | None, listen: str, fill: float) -> None:
-    """The list of scan servers: registered with leases, read whole or by a watch."""
-    host, port = split(listen)
-    if (data is None) == (follow is None):
-        raise click.UsageError("one of --data and --follow is wanted")
-    if follow is not None:
-        split(follow)
-    service = (lambda: Service(data, fill)) if data is not None else (lambda: Follower(follow))
+    """The service registry: scan servers register with leases, gateways read the endpoint list."""
+    host, port = parse_address(listen)
+    create_service = service_factory(data, follow, fill)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
-        asyncio.run(serve(service, host, port))
+        asyncio.run(serve(create_service, host, port))
     except CorruptFileError as error:
         sys.exit(f"registry: {error}")
     except OSError as error:
         sys.exit(f"registry: {data or follow} or {listen}: {error.strerror}")
 
 
-def start() -> None:
-    """Run the command; a wrong option is one plain line and exit code 2."""
+def run() -> None:
+    """Run the command; a wrong option is one plain line on standard error and exit code 2."""
     with contextlib.suppress(KeyboardInterrupt, click.Abort):
         try:
             main(prog_name="python -m thistletrail.registry", standalone_mode=False)
@@ -100,4 +123,4 @@
 
 
 if __name__ == "__main__":
-    start()
+    run()
--- a/thistletrail/registry/follower.py
+++ b/thistletrail/registry/follower.py
@@ -1,183 +1,195 @@
-"""A follower: the same list under the same generations, from a watch of another service, for reading only.
+"""A read replica: the same endpoint list under the same generations, from a watch of another registry.
 
-It holds what it was told last for as long as the other is away, and says how old that may be. It follows a
-follower as well as a first one. What it holds is bounded as the first one's list and history are.
+It serves what it received last for as long as the source is unreachable, and says how old that may be. A
+follower can follow another follower. What it stores is bounded like the primary's instances and history.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import json
 import logging
 import random
 from collections import deque
+from collections.abc import AsyncIterator
 from dataclasses import replace
-from typing import Any
-
-from aiohttp import ClientError, ClientSession, ClientTimeout, web
-
-from thistletrail.registry.http_service import READ_PATH, WRITE_PATH, Reader, UnavailableError, now_ms
-from thistletrail.registry.store import (
-    DELETED,
-    DRAINING,
-    MOST_GENERATION,
-    MOST_HISTORY,
-    MOST_INSTANCES,
-    SERVING,
-    Instance,
-    News,
-    RefusedError,
-    read_instance,
-    since,
+
+from aiohttp import ClientError, ClientResponse, ClientSession, ClientTimeout, web
+
+from thistletrail.registry.backoff import full_jitter_s
+from thistletrail.registry.errors import MalformedResponseError, RegistryError, UnavailableError
+from thistletrail.registry.http_service import (
+    READ_PATH,
+    RENEW_PATH,
+    WRITE_PATH,
+    ReadService,
+    background_task,
+    json_error,
+    now_ms,
 )
+from thistletrail.registry.instance import Instance, Lifecycle
+from thistletrail.registry.limits import MAX_HISTORY, NO_GENERATION
+from thistletrail.registry.watch_update import WatchUpdate, decode_update, update_since
 
 log = logging.getLogger(__name__)
 
-CONNECT_S = 1.0
-SILENT_S = 5.0  # an empty line comes every 2 s; a watch that is silent for longer is dead
-BACKOFF_S, MOST_BACKOFF_S = 0.2, 5.0  # between tries, of full jitter: followers do not come back together
-MOST_LATER_S = 30.0  # that one waits because the other says so: as long as it keeps leases in doubt
-LINE_BYTES = 4 << 20  # of the whole list of MOST_INSTANCES
+CONNECT_TIMEOUT_S = 1.0
+
+READ_TIMEOUT_S = 5.0
+"""An empty line comes every 2 s, so a watch without one for so long is dead."""
+
+BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+"""Bounds of the delay between attempts, drawn with full jitter."""
 
+MAX_RETRY_AFTER_S = 30.0
+"""Longest delay taken from `Retry-After`: as long as the source retains expired leases."""
 
-class LaterError(Exception):
-    """The other has nothing to tell yet, and says when it will have."""
+MAX_LINE_BYTES = 4 << 20
+"""Of the complete endpoint list with `MAX_INSTANCES`."""
 
-    def __init__(self, after_s: float) -> None:
-        super().__init__(f"in {after_s:g} s")
-        self.after_s = after_s
 
+class RetryLaterError(RegistryError):
+    """The source has no endpoint list yet; retry after `retry_after_s` seconds."""
 
-class Copy:
-    """What a follower holds: each message of the other, and the list that they make together."""
+    def __init__(self, retry_after_s: float) -> None:
+        super().__init__(f"the source has no endpoint list for another {retry_after_s:g} s")
+        self.retry_after_s = retry_after_s
+
+
+class Replica:
+    """The endpoint list that the updates of a source make together, and the history of these updates."""
 
     def __init__(self) -> None:
-        self.generation = self.floor = -1  # none yet
+        self.generation = NO_GENERATION
+        self.floor = NO_GENERATION
+        """The generation before the oldest change in `history`."""
         self.instances: dict[str, Instance] = {}
-        self.history: deque[Instance] = deque()  # each with the generation of the message that it came in
-
-    def whole(self) -> News:
-        return News(self.generation, True, tuple(self.instances.values()))
-
-    def after(self, generation: int) -> News:
-        """What came since; the whole list for a reader at a generation that no message ended with."""
-        return since(self.history, self.floor, self.generation, generation) or self.whole()
-
-    def take(self, news: News) -> bool:
-        """Take over a message: whether it was newer. A whole list replaces all, whatever its generation, as
-        that of another history does; changes older than what is held are passed over."""
-        if news.reset:
-            same = news.generation == self.generation
-            self.generation = self.floor = news.generation
-            self.instances = {one.id: one for one in news.instances if one.lifecycle != DELETED}
-            self.history.clear()
-            return not same
-        if news.generation <= self.generation:
+        self.history: deque[Instance] = deque()
+        """The changes after `floor`, each with the generation of the update that contained it."""
+
+    def full_update(self) -> WatchUpdate:
+        """Return the complete endpoint list."""
+        return WatchUpdate(self.generation, True, tuple(self.instances.values()))
+
+    def update_after(self, generation: int) -> WatchUpdate:
+        """Return what changed after `generation`; the complete list if no update ended with that."""
+        update = update_since(self.history, self.floor, self.generation, generation)
+        return update or self.full_update()
+
+    def apply(self, update: WatchUpdate) -> bool:
+        """Apply an update of the source; return whether the generation changed.
+
+        A complete list replaces everything whatever its generation, as one of another history does. Changes
+        that are older than the replica are ignored.
+        """
+        if update.is_reset:
+            return self._reset(update)
+        if update.generation <= self.generation:
             return False
-        self.generation = news.generation
-        for one in news.instances:
-            self.instances.pop(one.id, None)
-            if one.lifecycle != DELETED:
-                self.instances[one.id] = one
-            self.history.append(replace(one, generation=news.generation))
-        while len(self.history) > MOST_HISTORY:  # a message goes as a whole: nobody resumes within one
+        self.generation = update.generation
+        for instance in update.instances:
+            self.instances.pop(instance.id, None)
+            if instance.lifecycle != Lifecycle.DELETED:
+                self.instances[instance.id] = instance
+            self.history.append(replace(instance, generation=update.generation))
+        self._trim_history()
+        return True
+
+    def _reset(self, update: WatchUpdate) -> bool:
+        is_same_generation = update.generation == self.generation
+        self.generation = update.generation
+        self.floor = update.generation
+        self.instances = {
+            instance.id: instance for instance in update.instances if instance.lifecycle != Lifecycle.DELETED
+        }
+        self.history.clear()
+        return not is_same_generation
+
+    def _trim_history(self) -> None:
+        """Drop the oldest updates, each as a whole: no reader resumes in the middle of one."""
+        while len(self.history) > MAX_HISTORY:
             self.floor = self.history[0].generation
             while self.history and self.history[0].generation == self.floor:
                 self.history.popleft()
-        return True
 
 
-def read_news(line: bytes) -> News:
-    """A message of a watch; one that makes no sense is a RefusedError."""
-    try:
-        value = json.loads(line)
-        generation, reset, entries = value["generation"], value["reset"], value["instances"]
-    except (ValueError, KeyError, TypeError, RecursionError) as error:
-        raise RefusedError("this is no message of a watch") from error
-    fits = type(generation) is int and 0 <= generation <= MOST_GENERATION and type(reset) is bool
-    if not fits or not isinstance(entries, list) or len(entries) > MOST_INSTANCES + MOST_HISTORY:
-        raise RefusedError("this is no message of a watch")
-    return News(generation, reset, tuple(read_entry(entry, generation) for entry in entries))
-
-
-def read_entry(entry: object, generation: int) -> Instance:
-    if not isinstance(entry, dict) or entry.get("lifecycle") not in (SERVING, DRAINING, DELETED):
-        raise RefusedError("an entry makes no sense")
-    names = {
-        "instanceId": "id",
-        "hostPort": "address",
-        "zone": "zone",
-        "machineType": "machine_type",
-        "cell": "cell",
-        "weight": "weight",
-        "startedAtMs": "started_ms",
-    }
-    instance = read_instance({mine: entry[theirs] for theirs, mine in names.items() if theirs in entry})
-    return replace(instance, lifecycle=entry["lifecycle"], generation=generation)
-
-
-class Follower(Reader):
-    """Serves the copy, and keeps it by a watch of `source` (HOST:PORT)."""
-
-    def __init__(self, source: str, chance: random.Random | None = None) -> None:
-        self.copy = Copy()
-        super().__init__(self.copy)
-        self.source, self.random = source, chance or random.Random()
-        self.heard_ms: int | None = None  # when the other was heard last; an empty line counts
-        for path in (WRITE_PATH, f"{WRITE_PATH}/renew"):
-            self.app.router.add_route("*", path, self.refuse)
-        self.app.cleanup_ctx.append(self.running)
-
-    async def running(self, _: web.Application) -> Any:  # noqa: ANN401 - aiohttp's context
-        following = asyncio.create_task(self.follow())
-        yield
-        following.cancel()
-        with contextlib.suppress(asyncio.CancelledError):
-            await following
+class Follower(ReadService):
+    """Serves a replica for reading and updates it by a watch of `source` (HOST:PORT)."""
+
+    def __init__(self, source: str, generator: random.Random | None = None) -> None:
+        """`generator` draws the jitter of the delays between attempts."""
+        self.replica = Replica()
+        super().__init__(self.replica)
+        self.source = source
+        self._random = generator or random.Random()
+        self._received_ms: int | None = None
+        """When the source last sent anything, an empty line included; monotonic."""
+        for path in (WRITE_PATH, RENEW_PATH):
+            self.app.router.add_route("*", path, self._reject_write)
+        self.app.cleanup_ctx.append(self._run)
+
+    async def _run(self, _: web.Application) -> AsyncIterator[None]:
+        async with background_task(self.follow()):
+            yield
 
     def age_ms(self) -> int:
-        """Since the other was heard: what it holds may be as old as that, and as the other's own is."""
-        return 0 if self.heard_ms is None else now_ms() - self.heard_ms
+        """Return the time since the source last sent anything, 0 before that.
+
+        What it sent may have had an age of its own, which is not included.
+        """
+        if self._received_ms is None:
+            return 0
+        return now_ms() - self._received_ms
 
-    def ready(self) -> None:
-        if self.copy.generation < 0:
-            raise UnavailableError("no list has come yet")
+    def require_available(self) -> None:
+        """Raise `UnavailableError` until the first endpoint list has been received."""
+        if self.replica.generation == NO_GENERATION:
+            raise UnavailableError("no endpoint list has been received yet")
 
-    def described(self) -> dict[str, Any]:
-        return {"role": "follower", "source": self.source, "instances": len(self.copy.instances)}
+    def status_fields(self) -> dict[str, object]:
+        """Return the role, the source and the number of instances."""
+        return {"role": "follower", "source": self.source, "instances": len(self.replica.instances)}
 
-    async def refuse(self, _: web.Request) -> web.Response:
-        return web.json_response({"error": f"this is a follower: write to {self.source}"}, status=403)
+    async def _reject_write(self, _: web.Request) -> web.Response:
+        return json_error(403, f"this is a follower: write to {self.source}")
 
     async def follow(self) -> None:
-        """Watch the other for good; a watch that ends begins again where it ended."""
-        tries, later_s = 0, 0.0
-        async with ClientSession(
-            read_bufsize=LINE_BYTES,
-            timeout=ClientTimeout(total=None, sock_connect=CONNECT_S, sock_read=SILENT_S),
-        ) as session:
+        """Watch the source until cancelled; a watch that ends is resumed at the generation it had reached."""
+        failures = 0
+        timeout = ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_TIMEOUT_S)
+        async with ClientSession(read_bufsize=MAX_LINE_BYTES, timeout=timeout) as session:
             while True:
-                before, later_s = self.heard_ms, 0.0
+                received_before_ms = self._received_ms
+                retry_after_s = 0.0
                 try:
-                    await self.listen(session)
-                except LaterError as error:
-                    log.warning("%s has no list yet, and will in %.0f s", self.source, error.after_s)
-                    tries, later_s = 0, error.after_s
-                except (ClientError, OSError, TimeoutError, ValueError, RefusedError) as error:
+                    await self._watch_source(session)
+                except RetryLaterError as error:
+                    log.warning(
+                        "%s has no endpoint list for another %.0f s", self.source, error.retry_after_s
+                    )
+                    failures = 0
+                    retry_after_s = error.retry_after_s
+                except (ClientError, OSError, TimeoutError, ValueError, RegistryError) as error:
                     log.warning("the watch of %s ended: %s", self.source, str(error) or type(error).__name__)
-                tries = 0 if self.heard_ms != before else tries + 1
-                longest = min(MOST_BACKOFF_S, BACKOFF_S * 2 ** min(tries, 10))
-                await asyncio.sleep(later_s + self.random.uniform(0, longest))
-
-    async def listen(self, session: ClientSession) -> None:
-        after = "" if self.copy.generation < 0 else str(self.copy.generation)
-        async with session.get(f"http://{self.source}{READ_PATH}?watch=1&after={after}") as answer:
-            if answer.status == 503 and (after := answer.headers.get("Retry-After", "")).isdecimal():
-                raise LaterError(min(MOST_LATER_S, float(after)))
-            if answer.status != 200:
-                raise RefusedError(f"it answered {answer.status}")
-            async for line in answer.content:
-                if line.strip() and self.copy.take(read_news(line)):
-                    self.wake()
-                self.heard_ms = now_ms()
+                failures = 0 if self._received_ms != received_before_ms else failures + 1
+                jitter_s = full_jitter_s(self._random, failures, BACKOFF_S, MAX_BACKOFF_S)
+                await asyncio.sleep(retry_after_s + jitter_s)
+
+    async def _watch_source(self, session: ClientSession) -> None:
+        """Apply the updates of one watch until it ends."""
+        generation = self.replica.generation
+        after = "" if generation == NO_GENERATION else str(generation)
+        async with session.get(f"http://{self.source}{READ_PATH}?watch=1&after={after}") as response:
+            _check_watch_response(response)
+            async for line in response.content:
+                if line.strip() and self.replica.apply(decode_update(line)):
+                    self.notify_watchers()
+                self._received_ms = now_ms()
+
+
+def _check_watch_response(response: ClientResponse) -> None:
+    retry_after = response.headers.get("Retry-After", "")
+    if response.status == 503 and retry_after.isdecimal():
+        raise RetryLaterError(min(MAX_RETRY_AFTER_S, float(retry_after)))
+    if response.status != 200:
+        raise MalformedResponseError(f"expected status 200, found {response.status}")
--- a/thistletrail/registry/journal.py
+++ b/thistletrail/registry/journal.py
@@ -1,18 +1,21 @@
-"""What makes the list outlive its process: an append-only log with checksums, and snapshots.
+"""Persistence of the registry: a journal of changes and a snapshot that replaces it from time to time.
 
-A folder holds `snapshot` (the list at some generation) and `log` (the changes since, oldest first). A change
-is synced before whoever asked for it is answered (write_ahead_log/record_file.py).
+A directory holds `snapshot` (the registry at some generation) and `log` (the changes since, oldest first). A
+change is synced before the client that made it is answered. The file `filling` exists while a history that
+began with nothing may not contain yet all instances that are running.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterable
-from dataclasses import asdict
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from thistletrail.registry.store import Instance, RefusedError, Store
+from thistletrail.registry.errors import StorageError
+from thistletrail.registry.instance import Instance, Lifecycle
+from thistletrail.registry.store import Store, StoreSnapshot
 from thistletrail.write_ahead_log.record_file import (
+    TEMPORARY_SUFFIX,
     CorruptFileError,
     RecordFile,
     WriteFailedError,
@@ -22,77 +25,156 @@
 
 log = logging.getLogger(__name__)
 
-MOST_RECORDS = 4096  # in the log before a snapshot takes their place
-
-
-class Log:
-    """The files of one store. One process at a time has them open."""
-
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
-        self.snapshot_path = folder / "snapshot"
-        self.records = RecordFile(folder / "log")
-        self.filling_path = folder / "filling"
+MAX_JOURNAL_RECORDS = 4096
+"""Changes in the journal before a snapshot takes their place."""
+
+SNAPSHOT_FILE_NAME = "snapshot"
+JOURNAL_FILE_NAME = "log"
+FILLING_FILE_NAME = "filling"
+
+# Names on disk. They stay as they are when a field of a class is renamed.
+STORED_KEY_OF_FIELD = {
+    "id": "id",
+    "address": "address",
+    "zone": "zone",
+    "machine_type": "machine_type",
+    "cell": "cell",
+    "weight": "weight",
+    "lifecycle": "lifecycle",
+    "started_ms": "started_ms",
+    "lease_ms": "lease_ms",
+    "generation": "generation",
+}
+"""Keys of a stored instance by field of `Instance`, in the order in which they are written."""
+
+STORED_SNAPSHOT_GENERATION = "generation"
+STORED_SNAPSHOT_INSTANCES = "instances"
+
+
+def encode_instance(instance: Instance) -> dict[str, object]:
+    """Return the stored form of an instance: a record of the journal, or an entry of the snapshot."""
+    return {key: getattr(instance, field) for field, key in STORED_KEY_OF_FIELD.items()}
+
+
+def decode_instance(value: object) -> Instance:
+    """Return the instance of a stored form; raises `ValueError` that says what is wrong with it."""
+    if not isinstance(value, Mapping):
+        raise ValueError(f"expected an object, found {type(value).__name__}")
+    expected = set(STORED_KEY_OF_FIELD.values())
+    if set(value) != expected:
+        raise ValueError(f"expected the keys {sorted(expected)}, found {sorted(value)}")
+    fields = {field: value[key] for field, key in STORED_KEY_OF_FIELD.items()}
+    fields["lifecycle"] = Lifecycle(fields["lifecycle"])
+    return Instance(**fields)
+
+
+def encode_snapshot(snapshot: StoreSnapshot) -> dict[str, object]:
+    """Return the stored form of a snapshot."""
+    return {
+        STORED_SNAPSHOT_GENERATION: snapshot.generation,
+        STORED_SNAPSHOT_INSTANCES: [encode_instance(instance) for instance in snapshot.instances],
+    }
+
+
+def decode_snapshot(value: object) -> StoreSnapshot:
+    """Return the snapshot of a stored form; raises `ValueError` that says what is wrong with it."""
+    if not isinstance(value, Mapping):
+        raise ValueError(f"expected an object, found {type(value).__name__}")
+    try:
+        generation = int(value[STORED_SNAPSHOT_GENERATION])
+        instances = tuple(decode_instance(entry) for entry in value[STORED_SNAPSHOT_INSTANCES])
+    except (KeyError, TypeError) as error:
+        raise ValueError(f"this is not a snapshot: {error!r}") from error
+    return StoreSnapshot(generation, instances)
+
+
+class Journal:
+    """The files of one store. One process at a time may have them open."""
+
+    def __init__(self, directory: Path) -> None:
+        self.records = RecordFile(directory / JOURNAL_FILE_NAME)
+        self._directory = directory
+        self._snapshot_path = directory / SNAPSHOT_FILE_NAME
+        self._filling_path = directory / FILLING_FILE_NAME
 
     def is_filling(self) -> bool:
-        """Whether the history began with nothing, and may not hold yet what is there."""
-        return self.filling_path.exists()
+        """Whether the history began with nothing and may not contain yet what is running."""
+        return self._filling_path.exists()
 
-    def filled(self) -> None:
-        self.filling_path.unlink(missing_ok=True)
+    def end_filling(self) -> None:
+        """Note that all running instances have had the time to register; a second call has no effect."""
+        self._filling_path.unlink(missing_ok=True)
 
     def open(self, unix_ms: int, now_ms: int) -> Store:
-        """The store as it was left, or a new history where there is nothing. Leases get the grace."""
-        self.folder.mkdir(parents=True, exist_ok=True)
-        (self.folder / "snapshot.new").unlink(missing_ok=True)  # of a crash before it was complete
-        store = self.read_snapshot(now_ms) or Store(unix_ms, now_ms, log.warning)
-        for value in self.records.open():
-            try:
-                instance = Instance(**value)
-            except TypeError as error:
-                raise CorruptFileError(
-                    f"{self.records.path} holds a record that is no change: {error}"
-                ) from error
-            if instance.generation > store.generation:  # older ones: a crash came between snapshot and log
-                store.apply(instance)
-        if not self.snapshot_path.exists():
-            self.filling_path.touch()
-            self.snapshot(store)  # a new history has to be the same one after the next crash
-        store.keep = self.append
-        store.away(now_ms, "the service has started")
+        """Return the store as it was left, or one with a new history; its changes are then persisted here.
+
+        Leases get the grace period. Raises `CorruptFileError` if the files are damaged, `OSError` if they
+        cannot be read or written.
+        """
+        self._directory.mkdir(parents=True, exist_ok=True)
+        self._remove_incomplete_snapshot()
+        store = self._restore(now_ms) or Store(unix_ms, now_ms, log.warning)
+        self._replay(store)
+        if not self._snapshot_path.exists():
+            # A new history has to be the same one after the next crash.
+            self._filling_path.touch()
+            self.write_snapshot(store)
+        store.persist = self.append
+        store.begin_grace_period(now_ms, "the registry has started")
         return store
 
-    def read_snapshot(self, now_ms: int) -> Store | None:
-        if not self.snapshot_path.exists():
-            if self.records.path.exists() and self.records.path.stat().st_size:
-                raise CorruptFileError(f"{self.snapshot_path} is missing, but there is a log")
+    def _remove_incomplete_snapshot(self) -> None:
+        self._snapshot_path.with_name(SNAPSHOT_FILE_NAME + TEMPORARY_SUFFIX).unlink(missing_ok=True)
+
+    def _restore(self, now_ms: int) -> Store | None:
+        if not self._snapshot_path.exists():
+            journal_path = self.records.path
+            if journal_path.exists() and journal_path.stat().st_size:
+                raise CorruptFileError(f"{self._snapshot_path} is missing, but there is a log")
             return None
         try:
-            return Store.restore(read_single_record(self.snapshot_path), now_ms, log.warning)
+            snapshot = decode_snapshot(read_single_record(self._snapshot_path))
         except ValueError as error:
-            raise CorruptFileError(f"{self.snapshot_path}: {error}") from error
+            raise CorruptFileError(f"{self._snapshot_path}: {error}") from error
+        return Store.restore(snapshot, now_ms, log.warning)
+
+    def _replay(self, store: Store) -> None:
+        """Apply the changes of the journal that the snapshot does not contain."""
+        for number, value in enumerate(self.records.open(), 1):
+            try:
+                change = decode_instance(value)
+            except ValueError as error:
+                raise CorruptFileError(
+                    f"{self.records.path}: record {number} is not a change: {error}"
+                ) from error
+            # Older ones are left over from a crash between writing the snapshot and clearing the journal.
+            if change.generation > store.generation:
+                store.apply(change)
 
-    def append(self, changes: Iterable[Instance]) -> None:
-        """Write changes and sync them. Where that fails, as on a full disk, the log is as before and the
-        write is a RefusedError; nobody has been told of it by then."""
+    def append(self, changes: Sequence[Instance]) -> None:
+        """Write changes and sync them, all or none; raises `StorageError` if that fails."""
         try:
-            self.records.append(asdict(change) for change in changes)
+            self.records.append(encode_instance(change) for change in changes)
         except WriteFailedError as error:
-            raise RefusedError(f"the change cannot be kept: {error}") from error
+            raise StorageError(f"the change cannot be stored: {error}") from error
+
+    def needs_snapshot(self) -> bool:
+        """Whether the journal is so long that a snapshot should take its place."""
+        return self.records.record_count >= MAX_JOURNAL_RECORDS
 
-    def due(self) -> bool:
-        """Whether a snapshot should take the log's place."""
-        return self.records.record_count >= MOST_RECORDS
+    def write_snapshot(self, store: Store) -> None:
+        """Write the complete store, then clear the journal.
 
-    def snapshot(self, store: Store) -> None:
-        """Write all of the store, then empty the log: a crash in between leaves changes that are known
-        already. Where there is no room the log goes on growing, and a later call tries again."""
+        A crash in between leaves changes that the snapshot contains already. If there is no room, a warning
+        is logged and the journal goes on growing until a later call succeeds.
+        """
         try:
-            replace_single_record(self.snapshot_path, store.snapshot())
+            replace_single_record(self._snapshot_path, encode_snapshot(store.snapshot()))
         except OSError as error:
             log.warning("no snapshot can be written: %s", error.strerror)
             return
         self.records.clear()
 
     def close(self) -> None:
+        """Release the files; a second call has no effect."""
         self.records.close()
--- a/thistletrail/registry/registration.py
+++ b/thistletrail/registry/registration.py
@@ -1,138 +1,237 @@
-"""A scan server's side of the list service: registers, renews with jitter, drains and leaves.
+"""The registry's client for an instance: it registers, renews its lease, drains and deregisters.
 
-For an asyncio program: `await start()`, `await drain()`, `await leave()`. Renewing goes on in a task of its
-own for as long as the service cannot be reached, and registers anew where the service has forgotten it.
+For an asyncio program: `await registration.start()`, `await registration.drain()`, `await
+registration.deregister()`. A background task renews the lease, also while the registry cannot be reached, and
+registers again when the registry does not know the instance any more.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import json
 import logging
 import random
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Collection, Mapping
+from dataclasses import asdict, dataclass
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
+from thistletrail.registry.backoff import full_jitter_s
+from thistletrail.registry.errors import (
+    RegistrationError,
+    RegistrationRejectedError,
+    RegistryUnreachableError,
+)
+from thistletrail.registry.instance import DEFAULT_LEASE_MS, Lifecycle
+from thistletrail.registry.limits import MS_PER_SECOND, NO_GENERATION
+
 log = logging.getLogger(__name__)
 
-# A third of the lease: two renewals may get lost. Jitter of a quarter of that spreads a fleet's renewals.
-RENEW_SHARE, JITTER = 1 / 3, 0.25
-CALL_S = 2.0  # for one call; a lease is longer than several of them
-BACKOFF_S, MOST_BACKOFF_S = 0.2, 5.0  # between tries, of full jitter
-TRIES = 5  # of a drain or a leave before it is given up: the lease ends it in any case
+RENEWAL_FRACTION = 1 / 3
+"""Of the lease, after which it is renewed: two renewals may get lost."""
+
+RENEWAL_JITTER = 0.25
+"""Of the renewal interval, by which it is shortened at random, so that a fleet's renewals spread out."""
+
+CALL_TIMEOUT_S = 2.0
+"""For one call; a lease is longer than several of them."""
+
+BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+"""Bounds of the delay between attempts, drawn with full jitter."""
+
+MAX_ATTEMPTS = 5
+"""Of a drain or a deregistration before it is given up: the lease then ends the registration."""
+
+UNLIMITED_ATTEMPTS = 0
 
 
-class RegistrationError(Exception):
-    """The service refuses: one sentence of its own."""
+@dataclass(frozen=True, slots=True)
+class InstanceSettings:
+    """What an instance registers with (docs/registry.md). None leaves a value to the registry's default."""
+
+    address: str
+    zone: str
+    machine_type: str
+    cell: int | None = None
+    weight: float | None = None
+    started_ms: int | None = None
+    lease_ms: int | None = None
+
+    def to_json(self) -> dict[str, object]:
+        """Return the body of a registration."""
+        return {key: value for key, value in asdict(self).items() if value is not None}
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryResponse:
+    """An answer of the registry: the status, the generation of the instance, and the error text, if any."""
+
+    status: int
+    generation: int | None = None
+    error: str | None = None
 
 
 class Registration:
-    """One instance at a list service."""
+    """The registration of one instance at one registry.
+
+    `generation` is the instance's as the registry answered last, `NO_GENERATION` before the first answer.
+    """
 
     def __init__(
-        self, service: str, name: str, values: Mapping[str, Any], chance: random.Random | None = None
+        self,
+        registry_address: str,
+        instance_id: str,
+        settings: InstanceSettings,
+        generator: random.Random | None = None,
     ) -> None:
-        """`service` is its HOST:PORT; `values` are those of a registration (docs/registry.md)."""
-        self.base, self.values = f"http://{service}/instances/{name}", dict(values)
-        self.lease_s = float(values.get("lease_ms", 10_000)) / 1000
-        self.random = chance or random.Random()
-        # A service that has lost its list tells none until all can have registered: by their next renewal.
-        self.longest_s = min(MOST_BACKOFF_S, self.lease_s * RENEW_SHARE)
-        self.generation = -1  # of the last change that the service has told of
-        self.session: ClientSession | None = None
-        self.renewing: asyncio.Task[None] | None = None
+        """`registry_address` is HOST:PORT; `generator` draws the jitter of renewals and retries."""
+        self.generation = NO_GENERATION
+        self._url = f"http://{registry_address}/instances/{instance_id}"
+        self._settings = settings
+        lease_ms = DEFAULT_LEASE_MS if settings.lease_ms is None else settings.lease_ms
+        self.renewal_interval_s = lease_ms / MS_PER_SECOND * RENEWAL_FRACTION
+        """Seconds between two renewals, before jitter shortens them."""
+        self._random = generator or random.Random()
+        # A registry that has lost its data answers no reads until all instances can have registered again,
+        # which is by their next renewal.
+        self._max_backoff_s = min(MAX_BACKOFF_S, self.renewal_interval_s)
+        self._session: ClientSession | None = None
+        self._renewal_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Register, trying for as long as the service cannot be reached; then renew in the background.
-
-        What the service refuses is a RegistrationError, as trying again would not help."""
-        self.session = ClientSession(timeout=ClientTimeout(CALL_S))
-        await self.call_until_heard("PUT", "", self.values)
-        self.renewing = asyncio.create_task(self.renew())
+        """Register, retrying for as long as the registry cannot be reached; then renew in the background.
+
+        Raises `RegistrationRejectedError` if the registry rejects the registration.
+        """
+        self._session = ClientSession(timeout=ClientTimeout(CALL_TIMEOUT_S))
+        await self._register()
+        self.start_renewing()
+
+    def start_renewing(self) -> None:
+        """Renew in the background until `stop_renewing`, `deregister` or `aclose`."""
+        self._renewal_task = asyncio.create_task(self._renew_forever())
+
+    async def stop_renewing(self) -> None:
+        """Cancel the background renewal and wait for its end; no effect if there is none."""
+        if self._renewal_task is None:
+            return
+        self._renewal_task.cancel()
+        await asyncio.wait([self._renewal_task])
+        self._renewal_task = None
 
     async def drain(self) -> None:
-        """Tell that nothing new is wanted; by what the service says it has, where that has changed."""
-        for _ in range(TRIES):
-            status, _ = await self.call_until_heard(
-                "PATCH", "", {"generation": self.generation, "lifecycle": "DRAINING"}, TRIES, (200, 404, 409)
-            )
-            if status != 409:
+        """Set the instance to `DRAINING`, whatever its generation is by now.
+
+        Raises `RegistrationError` if the registry cannot be reached or rejects it. An instance that the
+        registry does not know is left alone.
+        """
+        for _ in range(MAX_ATTEMPTS):
+            body = {"generation": self.generation, "lifecycle": Lifecycle.DRAINING}
+            response = await self.request("PATCH", "", body, MAX_ATTEMPTS, (200, 404, 409))
+            if response.status != 409:
                 return
-            await self.call_until_heard("POST", "/renew", None, TRIES)  # learns the generation
-
-    async def leave(self) -> None:
-        """Tell that it goes, and stop renewing. One that the service has forgotten has gone already."""
-        await self.stop()
-        if self.session is not None:
-            try:
-                await self.call_until_heard("DELETE", "", None, TRIES, (200, 404))
-            finally:
-                await self.close()
-
-    async def stop(self) -> None:
-        if self.renewing is not None:
-            self.renewing.cancel()
-            with contextlib.suppress(asyncio.CancelledError):
-                await self.renewing
-            self.renewing = None
-
-    async def close(self) -> None:
-        """Let go of all without a word, as a process that dies: the lease ends it."""
-        await self.stop()
-        if self.session is not None:
-            await self.session.close()
-            self.session = None
-
-    async def renew(self) -> None:
-        while True:
-            part = self.lease_s * RENEW_SHARE
-            await asyncio.sleep(part * (1 - JITTER * self.random.random()))
-            try:
-                status, _ = await self.call_until_heard("POST", "/renew", None, allowed=(200, 404))
-                if status == 404:  # the service has lost its data, or took the silence for a death
-                    log.warning("the list service does not know this instance: it registers again")
-                    await self.call_until_heard("PUT", "", self.values)
-            except RegistrationError as error:
-                log.error("the list service refuses: %s", error)
-
-    async def call_until_heard(
+            # Somebody else changed the instance: the renewal answers with its generation.
+            await self.renew(MAX_ATTEMPTS)
+
+    async def deregister(self) -> None:
+        """Stop renewing and delete the instance; no effect if the registry does not know it any more.
+
+        Raises `RegistrationError` if the registry cannot be reached. A second call has no effect.
+        """
+        await self.stop_renewing()
+        if self._session is None:
+            return
+        try:
+            await self.request("DELETE", "", None, MAX_ATTEMPTS, (200, 404))
+        finally:
+            await self.aclose()
+
+    async def aclose(self) -> None:
+        """Stop without deregistering, like a process that dies: the lease then expires."""
+        await self.stop_renewing()
+        if self._session is not None:
+            await self._session.close()
+            self._session = None
+
+    async def renew(
+        self, max_attempts: int = UNLIMITED_ATTEMPTS, accepted: Collection[int] = (200,)
+    ) -> RegistryResponse:
+        """Renew the lease once; the parameters and errors are those of `request`."""
+        return await self.request("POST", "/renew", None, max_attempts, accepted)
+
+    async def request(
         self,
         method: str,
         path: str,
-        values: Mapping[str, Any] | None,
-        tries: int = 0,
-        allowed: tuple[int, ...] = (200,),
-    ) -> tuple[int, dict[str, Any]]:
-        """Call until there is an answer, so many times (0: for good). Another than those allowed is a
-        RegistrationError; a 5xx counts as none."""
-        count = 0
+        body: Mapping[str, object] | None,
+        max_attempts: int = UNLIMITED_ATTEMPTS,
+        accepted: Collection[int] = (200,),
+    ) -> RegistryResponse:
+        """Repeat a call until the registry answers with a status below 500, and return the answer.
+
+        Raises `RegistryUnreachableError` after `max_attempts`, and `RegistrationRejectedError` for a status
+        that is not in `accepted`.
+        """
+        response = await self._request_until_answered(method, path, body, max_attempts)
+        if response.status not in accepted:
+            raise RegistrationRejectedError(response.error or f"the registry answered {response.status}")
+        if response.status == 200 and response.generation is not None:
+            self.generation = response.generation
+        return response
+
+    async def _request_until_answered(
+        self, method: str, path: str, body: Mapping[str, object] | None, max_attempts: int
+    ) -> RegistryResponse:
+        attempts = 0
         while True:
-            count += 1
+            attempts += 1
             try:
-                status, said = await self.call(method, path, values)
-                if status < 500:
-                    break
-                reason = str(said.get("error", status))
+                response = await self.request_once(method, path, body)
+                if response.status < 500:
+                    return response
+                reason = response.error or str(response.status)
             except (ClientError, OSError, TimeoutError, ValueError) as error:
                 reason = str(error) or type(error).__name__
-            if tries and count >= tries:
-                raise RegistrationError(f"no answer in {tries} tries: {reason}")
-            log.warning("the list service cannot be reached: %s", reason)
-            await asyncio.sleep(self.random.uniform(0, min(self.longest_s, BACKOFF_S * 2 ** min(count, 10))))
-        if status not in allowed:
-            raise RegistrationError(str(said.get("error", f"it answered {status}")))
-        if status == 200 and type(said.get("generation")) is int:
-            self.generation = said["generation"]
-        return status, said
-
-    async def call(
-        self, method: str, path: str, values: Mapping[str, Any] | None
-    ) -> tuple[int, dict[str, Any]]:
-        if self.session is None:
-            raise RegistrationError("it is closed")
-        async with self.session.request(method, self.base + path, json=values) as answer:
-            said = json.loads(await answer.text())
-            return answer.status, said if isinstance(said, dict) else {}
+            if max_attempts != UNLIMITED_ATTEMPTS and attempts >= max_attempts:
+                raise RegistryUnreachableError(f"no answer in {max_attempts} attempts: {reason}")
+            log.warning("the registry cannot be reached: %s", reason)
+            await asyncio.sleep(full_jitter_s(self._random, attempts, BACKOFF_S, self._max_backoff_s))
+
+    async def request_once(
+        self, method: str, path: str, body: Mapping[str, object] | None
+    ) -> RegistryResponse:
+        """Send one request to the path behind the instance's; raises aiohttp's errors, or `ValueError`."""
+        if self._session is None:
+            raise RegistrationError("the registration is closed")
+        async with self._session.request(method, self._url + path, json=body) as response:
+            return _decode_response(response.status, await response.text())
+
+    async def _register(self) -> None:
+        await self.request("PUT", "", self._settings.to_json())
+
+    async def _renew_forever(self) -> None:
+        while True:
+            await asyncio.sleep(self.renewal_interval_s * (1 - RENEWAL_JITTER * self._random.random()))
+            try:
+                response = await self.renew(accepted=(200, 404))
+                if response.status == 404:
+                    # The registry has lost its data, or the lease expired while renewals did not arrive.
+                    log.warning("the registry does not know this instance: it registers again")
+                    await self._register()
+            except RegistrationError as error:
+                log.error("the registry rejects this instance: %s", error)
+
+
+def _decode_response(status: int, text: str) -> RegistryResponse:
+    """Decode a JSON body; raises `ValueError` if it is not JSON."""
+    value = json.loads(text)
+    if not isinstance(value, dict):
+        return RegistryResponse(status)
+    generation = value.get("generation")
+    error = value.get("error")
+    return RegistryResponse(
+        status=status,
+        generation=generation if type(generation) is int else None,
+        error=None if error is None else str(error),
+    )
--- a/thistletrail/registry/store.py
+++ b/thistletrail/registry/store.py
@@ -1,319 +1,264 @@
-"""The list of scan servers: instances with leases, a generation for each change, a bounded history.
+"""The registry's state: instances with leases, a generation for each change, and a bounded history.
 
-Pure: the time is passed in, as `now_ms` of a clock that only moves forward and, where a new history begins,
-as `unix_ms`. What it answers is in the form that the protocol page gives to discovery.
+It performs no I/O and reads no clock: the time comes in as `now_ms` of a monotonic clock and, where a new
+history begins, as `unix_ms`.
 """
 
 from __future__ import annotations
 
-import bisect
-import re
 from collections import deque
-from collections.abc import Callable, Iterable, Mapping, Sequence
-from dataclasses import asdict, dataclass, fields, replace
-from typing import Any
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, replace
+from typing import Self
 
-# Generations of a new history begin at the wall clock's milliseconds times this: a history that begins later,
-# also after the loss of all data, begins above one that made no more than so many changes a millisecond. They
-# stay below 2**53, which any JSON reader holds exactly, until the year 2248.
-PER_MS = 1024
-MOST_GENERATION = (1 << 53) - 1
-MOST_HISTORY = 4096  # changes kept: ten times over what replaces a fleet of 200
-MOST_INSTANCES = 10_000  # fifty times the largest fleet: a bound on memory, not a plan
-LEAST_LEASE_MS, MOST_LEASE_MS = 1_000, 600_000
-# More than this share of all (and at least so many) whose leases lapse within the window: then it is likelier
-# that the service was cut off than that all have died. They are kept for the grace.
-MASS_SHARE, MASS_COUNT, MASS_WINDOW_MS = 0.3, 3, 10_000
-GRACE_MS = 30_000
-PAUSE_MS = 5_000  # without a tick for so long the service itself was away: it may have missed renewals
-MOST_TEXT = 64
-TEXT = re.compile(r"[A-Za-z0-9._:-]{1,64}", re.ASCII)
-ADDRESS = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})", re.ASCII)
+from thistletrail.registry.errors import ConflictError, RejectedError, UnknownInstanceError
+from thistletrail.registry.instance import Instance, Lifecycle
+from thistletrail.registry.limits import MAX_GENERATION, MAX_HISTORY, MAX_INSTANCES, MS_PER_SECOND
+from thistletrail.registry.watch_update import WatchUpdate, update_since
 
-SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
+GENERATIONS_PER_MS = 1024
+"""A new history begins at the Unix time in milliseconds times this.
 
+A later history, also after the loss of all data, so begins above an earlier one that made no more than that
+many changes a millisecond. Generations stay below `MAX_GENERATION` until the year 2248.
+"""
 
-class RefusedError(Exception):
-    """A write that is not taken, and why, as one sentence for whoever sent it."""
+MASS_EXPIRY_SHARE = 0.3
+"""Share of all instances; if more of them expire within the window, the registry was probably cut off."""
 
+MASS_EXPIRY_MIN_COUNT = 3
+"""Fewer expired leases than this are never a mass expiry, whatever their share."""
 
-class ConflictError(RefusedError):
-    """An update that went by an older generation than the instance has by now."""
+MASS_EXPIRY_WINDOW_MS = 10_000
+"""Expired leases that count together, and how long each instance is retained after its lease expired."""
 
+GRACE_PERIOD_MS = 30_000
+"""How long expired leases are retained after a mass expiry, a start or a pause."""
 
-class UnknownError(RefusedError):
-    """There is no such instance."""
+PAUSE_MS = 5_000
+"""After longer than this without a check of the leases the process paused and may have missed renewals."""
 
+MAX_ECHOED_ID_CHARACTERS = 64
+"""Of an unknown id, in the error text that goes back to the client."""
 
-@dataclass(frozen=True, slots=True)
-class Instance:
-    """A scan server as registered. `generation` is that of its last change; times are in milliseconds."""
-
-    id: str
-    address: str
-    zone: str
-    machine_type: str
-    cell: int
-    weight: float
-    lifecycle: str
-    started_ms: int
-    lease_ms: int
-    generation: int = 0
-
-    def shown(self) -> dict[str, Any]:
-        """In discovery's form."""
-        return {
-            "instanceId": self.id,
-            "hostPort": self.address,
-            "zone": self.zone,
-            "machineType": self.machine_type,
-            "cell": self.cell,
-            "lifecycle": self.lifecycle,
-            "weight": self.weight,
-            "startedAtMs": self.started_ms,
-        }
+WarningSink = Callable[[str], None]
+PersistChanges = Callable[[Sequence[Instance]], None]
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """What a reader gets: the whole list with `reset`, or each instance that changed since, once."""
+class StoreSnapshot:
+    """What outlives the process. Leases do not: after a restore all instances get the grace period."""
 
     generation: int
-    reset: bool
     instances: tuple[Instance, ...]
 
-    def shown(self) -> dict[str, Any]:
-        return {
-            "generation": self.generation,
-            "reset": self.reset,
-            "instances": [instance.shown() for instance in self.instances],
-        }
-
-
-def read_instance(values: Mapping[str, Any]) -> Instance:
-    """An instance from a registration's values; what is wrong with them is a RefusedError naming the key."""
-    known = {field.name for field in fields(Instance)} - {"lifecycle", "generation"}
-    if unknown := sorted(set(values) - known):
-        raise RefusedError(f"there is no key '{unknown[0]:.40}'")
-    if missing := sorted(known - {"cell", "weight", "started_ms", "lease_ms"} - set(values)):
-        raise RefusedError(f"the key '{missing[0]}' is missing")
-    for key in ("id", "zone", "machine_type"):
-        if not isinstance(values[key], str) or not TEXT.fullmatch(values[key]):
-            raise RefusedError(
-                f"{key} is not 1 to {MOST_TEXT} letters, digits, dots, colons, dashes or underscores"
-            )
-    found = ADDRESS.fullmatch(values["address"]) if isinstance(values["address"], str) else None
-    if not found or any(int(part) > 255 for part in found[1].split(".")) or not 0 < int(found[2]) < 65536:
-        raise RefusedError("address is not an IPv4 address and a port, as in 127.0.0.1:6379")
-    return Instance(
-        id=values["id"],
-        address=values["address"],
-        zone=values["zone"],
-        machine_type=values["machine_type"],
-        cell=whole(values, "cell", 0, 0, 1_000_000),
-        weight=number(values, "weight", 1.0, 1e6),
-        lifecycle=SERVING,
-        started_ms=whole(values, "started_ms", 0, 0, 100_000_000_000_000),
-        lease_ms=whole(values, "lease_ms", 10_000, LEAST_LEASE_MS, MOST_LEASE_MS),
-    )
-
-
-def whole(values: Mapping[str, Any], key: str, default: int, least: int, most: int) -> int:
-    value = values.get(key, default)
-    if type(value) is not int or not least <= value <= most:
-        raise RefusedError(f"{key} is not a whole number from {least} to {most}")
-    return value
-
-
-def number(values: Mapping[str, Any], key: str, default: float, most: float) -> float:
-    value = values.get(key, default)
-    if type(value) not in (int, float) or not 0 < value <= most:  # also false for what is not a number
-        raise RefusedError(f"{key} is not a number above 0 and up to {most:g}")
-    return float(value)
 
+def discard_warning(message: str) -> None:
+    """Ignore a warning: the default where nobody reads them."""
 
-class Store:
-    """All instances and their leases. Its size is bounded by MOST_INSTANCES and MOST_HISTORY."""
 
-    def __init__(self, unix_ms: int, now_ms: int, warn: Callable[[str], None] = lambda text: None) -> None:
-        """A new history: nobody's generation of an older one lies in it."""
-        self.floor = self.generation = min(unix_ms * PER_MS, MOST_GENERATION - 1)
+def discard_changes(changes: Sequence[Instance]) -> None:
+    """Persist nothing: the default of a store without a journal."""
+
+
+class Store:
+    """All instances and their leases. Its size is bounded by `MAX_INSTANCES` and `MAX_HISTORY`.
+
+    `persist` is called with the changes before they take effect; if it raises, the store stays as it was.
+    """
+
+    def __init__(self, unix_ms: int, now_ms: int, warn: WarningSink = discard_warning) -> None:
+        """Begin a new history, above every generation of an older one."""
+        self.generation = min(unix_ms * GENERATIONS_PER_MS, MAX_GENERATION - 1)
+        self.floor = self.generation
+        """The generation before the oldest change in `history`."""
+        self.history: deque[Instance] = deque()
+        """The changes after `floor`, in order of their generations."""
         self.instances: dict[str, Instance] = {}
-        self.expires: dict[str, int] = {}  # by id: when its lease lapses
-        self.addresses: dict[str, str] = {}  # ids by address
-        self.history: deque[Instance] = deque()  # the changes since `floor`, in order of their generations
-        self.lapsed: dict[str, int] = {}  # whose leases have lapsed and are not gone yet, and since when
-        self.kept_until = 0  # until when lapsed leases are kept
-        self.ticked_ms, self.warn = now_ms, warn
-        self.keep: Callable[[list[Instance]], None] = lambda changes: None  # the log, where there is one
+        self.lease_end_ms: dict[str, int] = {}
+        """When the lease of an instance expires, by its id."""
+        self.expired_since_ms: dict[str, int] = {}
+        """Instances whose leases have expired and that are not deleted yet, and since when, by id."""
+        self.grace_end_ms = 0
+        """Until when no instance is deleted for its expired lease."""
+        self.persist: PersistChanges = discard_changes
+        self._id_by_address: dict[str, str] = {}
+        self._checked_ms = now_ms
+        self._warn = warn
+
+    @classmethod
+    def restore(cls, snapshot: StoreSnapshot, now_ms: int, warn: WarningSink = discard_warning) -> Self:
+        """Return the store of a snapshot; its history begins there."""
+        store = cls(0, now_ms, warn)
+        store.generation = snapshot.generation
+        store.floor = snapshot.generation
+        for instance in snapshot.instances:
+            store.instances[instance.id] = instance
+            store._id_by_address[instance.address] = instance.id
+        return store
+
+    def snapshot(self) -> StoreSnapshot:
+        """Return what a later process needs to go on with this history."""
+        return StoreSnapshot(self.generation, tuple(self.instances.values()))
 
     # --- writes ---
 
     def register(self, instance: Instance, now_ms: int) -> Instance:
-        """A scan server says that it is there. At another address or with another start it is a new process;
-        an address that it takes over makes the instance that had it gone, as a machine has one at a time."""
+        """Register an instance and begin its lease; return it with its generation.
+
+        The same registration again only renews the lease, as a client repeats it when the answer was lost.
+        Another address or start time is a new process. Another instance that had the address is deleted,
+        because a machine runs one at a time. Raises `RejectedError` if the registry is full.
+        """
         known = self.instances.get(instance.id)
-        if known is None and len(self.instances) >= MOST_INSTANCES:
-            raise RefusedError(f"there are {MOST_INSTANCES} instances already")
-        if known and replace(instance, lifecycle=known.lifecycle, generation=known.generation) == known:
-            self.renew(instance.id, now_ms)  # the same again, as after an answer that got lost
+        if known is None and len(self.instances) >= MAX_INSTANCES:
+            raise RejectedError(f"there are {MAX_INSTANCES} instances already")
+        if known is not None and _is_same_registration(instance, known):
+            self.renew(instance.id, now_ms)
             return known
-        before = self.addresses.get(instance.address)
-        other = before is not None and before != instance.id
-        gone = [replace(self.instances[before], lifecycle=DELETED)] if other else []
-        taken = self.change(*gone, replace(instance, lifecycle=SERVING))[-1]
+        changes = [replace(instance, lifecycle=Lifecycle.SERVING)]
+        previous_id = self._id_by_address.get(instance.address)
+        if previous_id is not None and previous_id != instance.id:
+            changes.insert(0, replace(self.instances[previous_id], lifecycle=Lifecycle.DELETED))
+        registered = self._commit(changes)[-1]
         self.renew(instance.id, now_ms)
-        return taken
+        return registered
 
-    def renew(self, name: str, now_ms: int) -> Instance:
-        """Its lease holds anew from now on; that is no change."""
-        instance = self.get(name)
-        self.expires[name] = now_ms + instance.lease_ms
-        self.lapsed.pop(name, None)
+    def renew(self, instance_id: str, now_ms: int) -> Instance:
+        """Extend the lease by its full length from now, which is no change and has no generation."""
+        instance = self.get(instance_id)
+        self.lease_end_ms[instance_id] = now_ms + instance.lease_ms
+        self.expired_since_ms.pop(instance_id, None)
         return instance
 
-    def update(self, name: str, generation: int, lifecycle: str, now_ms: int) -> Instance:
-        """Drain, or serve again, going by the generation that the writer knows of the instance."""
-        instance = self.get(name)
-        if lifecycle not in (SERVING, DRAINING):
-            raise RefusedError(f"lifecycle is not {SERVING} or {DRAINING}")
+    def update(self, instance_id: str, generation: int, lifecycle: str, now_ms: int) -> Instance:
+        """Set an instance to `SERVING` or `DRAINING` and renew its lease.
+
+        `generation` is the instance's as the writer knows it; a later one raises `ConflictError`.
+        """
+        instance = self.get(instance_id)
+        if lifecycle not in (Lifecycle.SERVING, Lifecycle.DRAINING):
+            raise RejectedError(f"lifecycle is not {Lifecycle.SERVING} or {Lifecycle.DRAINING}")
         if instance.generation != generation:
             raise ConflictError(
-                f"{name} has changed since generation {generation}: it is at {instance.generation}"
+                f"{instance_id} has changed since generation {generation}: it is at {instance.generation}"
             )
-        self.renew(name, now_ms)
-        return (
-            instance
-            if instance.lifecycle == lifecycle
-            else self.change(replace(instance, lifecycle=lifecycle))[0]
-        )
-
-    def leave(self, name: str) -> Instance:
-        """It goes by its own word, which holds at once."""
-        return self.change(replace(self.get(name), lifecycle=DELETED))[0]
-
-    def get(self, name: str) -> Instance:
-        if name not in self.instances:
-            raise UnknownError(f"there is no instance '{name:.64}'")
-        return self.instances[name]
-
-    def change(self, *instances: Instance) -> list[Instance]:
-        """The one place where the list changes: under the next generations, and only once `keep` has taken
-        all of it. What cannot be kept is a RefusedError, and nothing has changed."""
-        if self.generation + len(instances) > MOST_GENERATION:
-            raise RefusedError("the generations of this history are used up")
+        self.renew(instance_id, now_ms)
+        if instance.lifecycle == lifecycle:
+            return instance
+        return self._commit([replace(instance, lifecycle=Lifecycle(lifecycle))])[0]
+
+    def deregister(self, instance_id: str) -> Instance:
+        """Delete an instance at its own request, at once; return it as deleted."""
+        return self._commit([replace(self.get(instance_id), lifecycle=Lifecycle.DELETED)])[0]
+
+    def get(self, instance_id: str) -> Instance:
+        """Return an instance; raises `UnknownInstanceError` if there is none with that id."""
+        if instance_id not in self.instances:
+            raise UnknownInstanceError(f"there is no instance '{instance_id[:MAX_ECHOED_ID_CHARACTERS]}'")
+        return self.instances[instance_id]
+
+    def _commit(self, instances: Sequence[Instance]) -> list[Instance]:
+        """Give the changes the next generations, persist them and apply them: all of them or none."""
+        if self.generation + len(instances) > MAX_GENERATION:
+            raise RejectedError("the generations of this history are used up")
         changes = [
-            replace(instance, generation=self.generation + number)
-            for number, instance in enumerate(instances, 1)
+            replace(instance, generation=generation)
+            for generation, instance in enumerate(instances, self.generation + 1)
         ]
-        self.keep(changes)
+        self.persist(changes)
         for change in changes:
             self.apply(change)
         return changes
 
-    def apply(self, instance: Instance) -> None:
-        """Take over a change that has its generation, as from the log."""
-        if instance.generation <= self.generation:
-            raise ValueError(f"generation {instance.generation} comes after {self.generation}")
-        self.generation = instance.generation
-        known = self.instances.get(instance.id)
-        if known and self.addresses.get(known.address) == known.id:
-            del self.addresses[known.address]
-        if instance.lifecycle == DELETED:
-            self.instances.pop(instance.id, None)
-            self.expires.pop(instance.id, None)
-            self.lapsed.pop(instance.id, None)
+    def apply(self, change: Instance) -> None:
+        """Apply a change that already has its generation, which must be above the current one."""
+        if change.generation <= self.generation:
+            raise ValueError(f"generation {change.generation} comes after {self.generation}")
+        self.generation = change.generation
+        self._release_address(change.id)
+        if change.lifecycle == Lifecycle.DELETED:
+            self.instances.pop(change.id, None)
+            self.lease_end_ms.pop(change.id, None)
+            self.expired_since_ms.pop(change.id, None)
         else:
-            self.instances[instance.id] = instance
-            self.addresses[instance.address] = instance.id
-        self.history.append(instance)
-        while len(self.history) > MOST_HISTORY:
+            self.instances[change.id] = change
+            self._id_by_address[change.address] = change.id
+        self.history.append(change)
+        while len(self.history) > MAX_HISTORY:
             self.floor = self.history.popleft().generation
 
+    def _release_address(self, instance_id: str) -> None:
+        known = self.instances.get(instance_id)
+        if known is not None and self._id_by_address.get(known.address) == instance_id:
+            del self._id_by_address[known.address]
+
     # --- leases ---
 
-    def tick(self, now_ms: int) -> list[Instance]:
-        """Let leases lapse; the instances that are gone by it. To be called about once a second."""
-        if now_ms - self.ticked_ms > PAUSE_MS:
-            self.away(now_ms, f"the service paused for {(now_ms - self.ticked_ms) / 1000:.0f} s")
-        self.ticked_ms = now_ms
-        for name, until in self.expires.items():
-            if until <= now_ms:
-                self.lapsed.setdefault(name, now_ms)
-        recent = sum(now_ms - since <= MASS_WINDOW_MS for since in self.lapsed.values())
-        if recent >= MASS_COUNT and recent > MASS_SHARE * len(self.instances) and now_ms >= self.kept_until:
-            fresh = [name for name, since in self.lapsed.items() if now_ms - since <= MASS_WINDOW_MS]
-            if any(self.lapsed[name] == now_ms for name in fresh):  # not those that were kept before
-                self.kept_until = now_ms + GRACE_MS
-                self.warn(
-                    f"{recent} of {len(self.instances)} leases lapsed in {MASS_WINDOW_MS // 1000} s: "
-                    f"kept for {GRACE_MS // 1000} s, as the service may have been cut off"
-                )
-        if now_ms < self.kept_until:
+    def expire_leases(self, now_ms: int) -> list[Instance]:
+        """Delete instances whose leases expired long enough ago; return them. To be called every second."""
+        paused_ms = now_ms - self._checked_ms
+        if paused_ms > PAUSE_MS:
+            self.begin_grace_period(now_ms, f"the registry paused for {paused_ms / MS_PER_SECOND:.0f} s")
+        self._checked_ms = now_ms
+        for instance_id, lease_end_ms in self.lease_end_ms.items():
+            if lease_end_ms <= now_ms:
+                self.expired_since_ms.setdefault(instance_id, now_ms)
+        self._detect_mass_expiry(now_ms)
+        if now_ms < self.grace_end_ms:
             return []
-        # A mass is known as one only when most have lapsed: each stays for the window before it goes.
-        due = [name for name, since in self.lapsed.items() if now_ms - since >= MASS_WINDOW_MS]
-        return self.change(*(replace(self.instances[name], lifecycle=DELETED) for name in due)) if due else []
-
-    def away(self, now_ms: int, why: str) -> None:
-        """The service was away, or has just started: renewals may have been missed, so all are kept."""
-        self.kept_until = max(self.kept_until, now_ms + GRACE_MS)
-        self.ticked_ms = now_ms
+        # A mass expiry shows only once most have expired, so each instance is retained for the window first.
+        deleted = [
+            replace(self.instances[instance_id], lifecycle=Lifecycle.DELETED)
+            for instance_id, since_ms in self.expired_since_ms.items()
+            if now_ms - since_ms >= MASS_EXPIRY_WINDOW_MS
+        ]
+        return self._commit(deleted) if deleted else []
+
+    def _detect_mass_expiry(self, now_ms: int) -> None:
+        """Begin a grace period if so many leases expired lately that the registry was probably cut off."""
+        recent = [
+            since_ms
+            for since_ms in self.expired_since_ms.values()
+            if now_ms - since_ms <= MASS_EXPIRY_WINDOW_MS
+        ]
+        is_mass = len(recent) >= MASS_EXPIRY_MIN_COUNT and len(recent) > MASS_EXPIRY_SHARE * len(
+            self.instances
+        )
+        # Leases that a grace period has retained already do not begin another one.
+        has_new = now_ms in recent
+        if not is_mass or not has_new or now_ms < self.grace_end_ms:
+            return
+        self.grace_end_ms = now_ms + GRACE_PERIOD_MS
+        self._warn(
+            f"{len(recent)} of {len(self.instances)} leases expired in "
+            f"{MASS_EXPIRY_WINDOW_MS // MS_PER_SECOND} s: retained for {GRACE_PERIOD_MS // MS_PER_SECOND} s, "
+            "as the registry may have been cut off"
+        )
+
+    def begin_grace_period(self, now_ms: int, reason: str) -> None:
+        """Retain all instances for the grace period, as renewals may have been missed; `reason` is logged."""
+        grace_end_ms = now_ms + GRACE_PERIOD_MS
+        self.grace_end_ms = max(self.grace_end_ms, grace_end_ms)
+        self._checked_ms = now_ms
         if self.instances:
-            self.warn(f"{why}: {len(self.instances)} leases are kept for {GRACE_MS // 1000} s")
-        for name in self.instances:
-            self.expires[name] = max(self.expires.get(name, 0), now_ms + GRACE_MS)
-            self.lapsed.pop(name, None)
+            grace_period_s = GRACE_PERIOD_MS // MS_PER_SECOND
+            self._warn(f"{reason}: {len(self.instances)} leases are retained for {grace_period_s} s")
+        for instance_id in self.instances:
+            self.lease_end_ms[instance_id] = max(self.lease_end_ms.get(instance_id, 0), grace_end_ms)
+            self.expired_since_ms.pop(instance_id, None)
 
     # --- reads ---
 
-    def whole(self) -> News:
-        return News(self.generation, True, tuple(self.instances.values()))
-
-    def after(self, generation: int) -> News:
-        """What changed since, each instance once in its last state; the whole list for a reader from before
-        the history, from the future, or from another history."""
-        return since(self.history, self.floor, self.generation, generation) or self.whole()
-
-    # --- snapshots ---
-
-    def snapshot(self) -> dict[str, Any]:
-        """All that outlives the process. Leases do not: who reads it gives all of them the grace."""
-        return {"generation": self.generation, "instances": [asdict(one) for one in self.instances.values()]}
+    def full_update(self) -> WatchUpdate:
+        """Return the complete endpoint list."""
+        return WatchUpdate(self.generation, True, tuple(self.instances.values()))
 
-    @classmethod
-    def restore(
-        cls, values: Mapping[str, Any], now_ms: int, warn: Callable[[str], None] = lambda text: None
-    ) -> Store:
-        """The store of a snapshot; its history begins there. Values that are none are a ValueError."""
-        store = cls(0, now_ms, warn)
-        try:
-            store.floor = store.generation = int(values["generation"])
-            for value in values["instances"]:
-                instance = Instance(**value)
-                store.instances[instance.id] = instance
-                store.addresses[instance.address] = instance.id
-        except (KeyError, TypeError) as error:
-            raise ValueError(f"this is no snapshot: {error}") from error
-        return store
+    def update_after(self, generation: int) -> WatchUpdate:
+        """Return what changed after `generation`; the complete list if that is not in this history."""
+        update = update_since(self.history, self.floor, self.generation, generation)
+        return update or self.full_update()
 
 
-def merged(changes: Iterable[Instance], after: int) -> tuple[Instance, ...]:
-    """Changes past a generation, the last one of each instance, in order of generation."""
-    last: dict[str, Instance] = {}
-    for change in changes:
-        if change.generation > after:
-            last.pop(change.id, None)
-            last[change.id] = change
-    return tuple(last.values())
-
-
-def since(history: Sequence[Instance], floor: int, latest: int, generation: int) -> News | None:
-    """What changed after a generation, by a history of the changes past `floor` up to `latest`; None where
-    that generation is none of its own."""
-    if generation == latest:
-        return News(generation, False, ())
-    at = bisect.bisect_left(history, generation, key=lambda change: change.generation)
-    if generation != floor and not (at < len(history) and history[at].generation == generation):
-        return None
-    return News(latest, False, merged(history, generation))
+def _is_same_registration(instance: Instance, known: Instance) -> bool:
+    return replace(instance, lifecycle=known.lifecycle, generation=known.generation) == known
--- a/thistletrail/write_ahead_log/record_file.py
+++ b/thistletrail/write_ahead_log/record_file.py
@@ -15,8 +15,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
-from types import TracebackType
-from typing import Self
 
 log = logging.getLogger(__name__)
 
@@ -129,17 +127,6 @@
         self.record_count = 0
         self._descriptor: int | None = None
 
-    def __enter__(self) -> Self:
-        return self
-
-    def __exit__(
-        self,
-        exception_type: type[BaseException] | None,
-        exception: BaseException | None,
-        traceback: TracebackType | None,
-    ) -> None:
-        self.close()
-
     def open(self) -> list[object]:
         """Open or create the file, cut off a truncated tail and return the values of all records.
 
