--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -1,4 +1,4 @@
-"""A front door before scan servers that register with the list service, which fails in several ways."""
+"""A gateway before scan servers that register with the registry, which fails in several ways."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,8 @@
 from thistletrail.registry.registration import InstanceSettings, Registration
 
 
-class Lists:
-    """A list service that can be killed and started again at its address."""
+class RestartableRegistry:
+    """A registry that can be killed and started again at its address."""
 
     def __init__(self, port: int = 0) -> None:
         self.port = port
@@ -40,7 +40,7 @@
 
 @contextlib.asynccontextmanager
 async def registered(service: Address, *names: str) -> AsyncIterator[dict[str, tuple[Backend, Registration]]]:
-    """Stand-in scan servers that have registered."""
+    """Stub scan servers that have registered."""
     found = {}
     for number, name in enumerate(names):
         backend = Backend()
@@ -56,115 +56,115 @@
             await registration.aclose()
 
 
-async def door_at(discovery: Address) -> FrontDoor:
-    door = FrontDoor(replace(CONFIG, discovery=(discovery,)))
-    await door.start()
-    return door
+async def gateway_at(discovery: Address) -> FrontDoor:
+    gateway = FrontDoor(replace(CONFIG, discovery=(discovery,)))
+    await gateway.start()
+    return gateway
 
 
-async def ask(client: Client, count: int, prefix: str) -> None:
+async def send_queries(client: Client, count: int, prefix: str) -> None:
     """So many requests, each of which has to be served."""
     for number in range(count):
         assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
-async def known(door: FrontDoor, *names: str, state: i.ServerState = i.ServerState.UP) -> None:
-    """Wait until the door knows just these in that state."""
+async def wait_until_known(gateway: FrontDoor, *names: str, state: i.ServerState = i.ServerState.UP) -> None:
+    """Wait until the gateway knows just these in that state."""
 
     def found() -> set[str]:
-        return {name for name, server in door.gateway.servers.items() if server.entry.state is state}
+        return {name for name, server in gateway.gateway.servers.items() if server.entry.state is state}
 
     while found() != set(names):
         await asyncio.sleep(0.01)
 
 
-def test_no_request_fails_while_the_list_service_is_killed_and_comes_back(tmp_path: Path) -> None:
-    async def act() -> None:
-        lists = Lists()
-        address = await lists.start(RegistryService(tmp_path))
+def test_no_request_fails_while_the_registry_is_killed_and_comes_back(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        registry = RestartableRegistry()
+        address = await registry.start(RegistryService(tmp_path))
         async with registered(address, "s-1", "s-2"):
-            door = await door_at(address)
-            await known(door, "s-1", "s-2")
-            client = await Client.open(door.address)
-            await ask(client, 5, "before")
-            await lists.stop()
-            await ask(client, 20, "away")
-            await lists.start(RegistryService(tmp_path))
-            await ask(client, 5, "back")
+            gateway = await gateway_at(address)
+            await wait_until_known(gateway, "s-1", "s-2")
+            client = await Client.open(gateway.address)
+            await send_queries(client, 5, "before")
+            await registry.stop()
+            await send_queries(client, 20, "away")
+            await registry.start(RegistryService(tmp_path))
+            await send_queries(client, 5, "back")
             async with registered(address, "s-3"):
-                await known(door, "s-1", "s-2", "s-3")
-                await ask(client, 5, "more")
-            door.close()
-        await lists.stop()
+                await wait_until_known(gateway, "s-1", "s-2", "s-3")
+                await send_queries(client, 5, "more")
+            gateway.close()
+        await registry.stop()
 
-    run(act())
+    run(scenario())
 
 
-def test_a_drain_told_through_the_service_is_obeyed_at_once(tmp_path: Path) -> None:
-    async def act() -> None:
-        lists = Lists()
-        address = await lists.start(RegistryService(tmp_path))
+def test_a_drain_reported_by_the_registry_is_obeyed_at_once(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        registry = RestartableRegistry()
+        address = await registry.start(RegistryService(tmp_path))
         async with registered(address, "s-1", "s-2") as servers:
-            door = await door_at(address)
-            await known(door, "s-1", "s-2")
-            client = await Client.open(door.address)
+            gateway = await gateway_at(address)
+            await wait_until_known(gateway, "s-1", "s-2")
+            client = await Client.open(gateway.address)
             await servers["s-1"][1].drain()
-            await known(door, "s-1", state=i.ServerState.DRAINING)
+            await wait_until_known(gateway, "s-1", state=i.ServerState.DRAINING)
             before = len(servers["s-1"][0].commands)
-            await ask(client, 20, "drained")
+            await send_queries(client, 20, "drained")
             assert len(servers["s-1"][0].commands) == before
             await servers["s-1"][1].deregister()
-            await known(door, "s-2")
-            await ask(client, 5, "left")
-            door.close()
-        await lists.stop()
+            await wait_until_known(gateway, "s-2")
+            await send_queries(client, 5, "left")
+            gateway.close()
+        await registry.stop()
 
-    run(act())
+    run(scenario())
 
 
-def test_a_service_that_lost_its_data_is_filled_again_by_its_scan_servers(tmp_path: Path) -> None:
-    async def act() -> None:
-        lists = Lists()
-        address = await lists.start(RegistryService(tmp_path / "a"))
+def test_a_registry_that_lost_its_data_is_filled_again_by_its_scan_servers(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        registry = RestartableRegistry()
+        address = await registry.start(RegistryService(tmp_path / "a"))
         async with registered(address, "s-1") as servers:
             _, registration = servers["s-1"]
             registration.renewal_interval_s = 0.1  # renews soon, and so finds out soon
             await registration.stop_renewing()
             registration.start_renewing()
-            door = await door_at(address)
-            await known(door, "s-1")
-            client = await Client.open(door.address)
-            await lists.stop()
+            gateway = await gateway_at(address)
+            await wait_until_known(gateway, "s-1")
+            client = await Client.open(gateway.address)
+            await registry.stop()
             fresh = RegistryService(tmp_path / "b")
-            await lists.start(fresh)
+            await registry.start(fresh)
             while not fresh.store.instances:
                 await asyncio.sleep(0.01)
-            await known(door, "s-1")
-            await ask(client, 5, "again")
-            door.close()
-        await lists.stop()
+            await wait_until_known(gateway, "s-1")
+            await send_queries(client, 5, "again")
+            gateway.close()
+        await registry.stop()
 
-    run(act())
+    run(scenario())
 
 
-def test_a_door_reads_a_follower_and_is_moved_to_another(tmp_path: Path) -> None:
-    async def act() -> None:
-        lists, copies = Lists(), Lists()
-        first = await lists.start(RegistryService(tmp_path))
+def test_a_gateway_reads_a_follower_and_is_moved_to_another(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        registry, follower_registry = RestartableRegistry(), RestartableRegistry()
+        first = await registry.start(RegistryService(tmp_path))
         async with registered(first, "s-1") as servers:
             follower = Follower(f"{first[0]}:{first[1]}", random.Random(1))
-            second = await copies.start(follower)
+            second = await follower_registry.start(follower)
             while not follower.replica.instances:
                 await asyncio.sleep(0.01)
-            door = await door_at(second)
-            await known(door, "s-1")
-            client = await Client.open(door.address)
-            await ask(client, 5, "follower")
-            door.reconfigure(replace(door.config, discovery=(first,)))  # as SIGHUP does
-            await copies.stop()
+            gateway = await gateway_at(second)
+            await wait_until_known(gateway, "s-1")
+            client = await Client.open(gateway.address)
+            await send_queries(client, 5, "follower")
+            gateway.reconfigure(replace(gateway.config, discovery=(first,)))  # as SIGHUP does
+            await follower_registry.stop()
             await servers["s-1"][1].drain()
-            await known(door, "s-1", state=i.ServerState.DRAINING)
-            door.close()
-        await lists.stop()
+            await wait_until_known(gateway, "s-1", state=i.ServerState.DRAINING)
+            gateway.close()
+        await registry.stop()
 
-    run(act())
+    run(scenario())
--- a/tests/test_registry_follower.py
+++ b/tests/test_registry_follower.py
@@ -1,4 +1,4 @@
-"""Followers: the same list under the same generations, over failures of the one they follow."""
+"""Followers: the same instances under the same generations, over failures of the registry they follow."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 
 @asynccontextmanager
-async def up(service: ReadService, port: int = 0) -> AsyncIterator[str]:
+async def running_service(service: ReadService, port: int = 0) -> AsyncIterator[str]:
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port, reuse_address=True).start()
@@ -51,12 +51,12 @@
         return answer.status, await answer.json()
 
 
-def play(act: Callable[[], Awaitable[None]]) -> None:
-    asyncio.run(asyncio.wait_for(act(), 60))
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follower, "BACKOFF_S", 0.02)
     monkeypatch.setattr(follower, "MAX_BACKOFF_S", 0.1)
 
@@ -66,15 +66,15 @@
     service.notify_watchers()
 
 
-def test_a_follower_and_its_follower_have_the_same_list_and_generations(tmp_path: Path) -> None:
-    async def act() -> None:
+def test_a_follower_and_its_follower_have_the_same_instances_and_generations(tmp_path: Path) -> None:
+    async def scenario() -> None:
         first = RegistryService(tmp_path)
         register(first, "s-1")
-        async with up(first) as one:
+        async with running_service(first) as one:
             second = Follower(one, random.Random(1))
-            async with up(second) as two:
+            async with running_service(second) as two:
                 third = Follower(two, random.Random(2))
-                async with up(third) as three:
+                async with running_service(third) as three:
                     for name in ("s-2", "s-3"):
                         register(first, name)
                     first.store.deregister("s-1")
@@ -87,11 +87,11 @@
                     status, said = await get(two, "/status")
                     assert said["role"] == "follower" and 0 <= said["age_ms"] < 10_000
 
-    play(act)
+    run_scenario(scenario)
 
 
-def test_a_follower_holds_its_list_while_the_first_is_away_and_says_how_old_it_is(tmp_path: Path) -> None:
-    async def act() -> None:
+def test_a_follower_serves_its_replica_while_the_primary_is_away_and_reports_its_age(tmp_path: Path) -> None:
+    async def scenario() -> None:
         first = RegistryService(tmp_path)
         register(first, "s-1")
         runner = web.AppRunner(first.app, access_log=None, shutdown_timeout=1)
@@ -99,43 +99,43 @@
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         port = runner.addresses[0][1]
         second = Follower(f"127.0.0.1:{port}", random.Random(1))
-        async with up(second) as two:
+        async with running_service(second) as two:
             await until(lambda: second.replica.generation == first.store.generation)
-            held = await get(two)
+            known = await get(two)
             await runner.cleanup()
             await asyncio.sleep(0.3)
-            assert await get(two) == held
+            assert await get(two) == known
             assert (await get(two, "/status"))[1]["age_ms"] >= 250
             again = RegistryService(tmp_path)  # it is back with its data, and the watch goes on from there
-            async with up(again, port):
+            async with running_service(again, port):
                 register(again, "s-2")
                 await until(lambda: second.replica.generation == again.store.generation)
                 assert set(second.replica.instances) == {"s-1", "s-2"}
 
-    play(act)
+    run_scenario(scenario)
 
 
-def test_a_first_one_that_lost_its_data_is_another_history_and_replaces_all(tmp_path: Path) -> None:
-    async def act() -> None:
+def test_a_primary_that_lost_its_data_has_another_history_that_replaces_all(tmp_path: Path) -> None:
+    async def scenario() -> None:
         first = RegistryService(tmp_path / "a")
         register(first, "s-1")
         second = Follower("127.0.0.1:1", random.Random(1))
-        async with up(second) as two:
+        async with running_service(second) as two:
             status, said = await get(two)
             assert status == 503 and said["error"] == "no endpoint list has been received yet"
-            async with up(first) as one:
+            async with running_service(first) as one:
                 second.source = one
                 await until(lambda: second.replica.generation == first.store.generation)
             port = int(one.rpartition(":")[2])
             await asyncio.sleep(0.01)
             fresh = RegistryService(tmp_path / "b")
             assert fresh.store.generation > first.store.generation
-            async with up(fresh, port):
+            async with running_service(fresh, port):
                 await until(lambda: second.replica.generation == fresh.store.generation)
-                assert second.replica.instances == {}  # an empty list is a list
+                assert second.replica.instances == {}  # an empty endpoint list is a valid one
                 assert (await get(two))[1]["instances"] == []
 
-    play(act)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -148,30 +148,30 @@
         b"",
     ],
 )
-def test_nonsense_from_the_other_is_borne_and_the_list_stays(answer: bytes) -> None:
-    async def act() -> None:
+def test_a_malformed_response_of_the_source_leaves_the_replica_as_it_is(answer: bytes) -> None:
+    async def scenario() -> None:
         calls = 0
 
-        async def nonsense(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def answer_malformed(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal calls
             calls += 1
             await reader.readuntil(b"\r\n\r\n")
             writer.write(answer)
             writer.close()
 
-        server = await asyncio.start_server(nonsense, "127.0.0.1", 0)
+        server = await asyncio.start_server(answer_malformed, "127.0.0.1", 0)
         second = Follower("127.0.0.1:{1}".format(*server.sockets[0].getsockname()), random.Random(1))
         second.replica.apply(WatchUpdate(5, True, (instance("s-1"),)))
-        async with up(second) as two:
-            await until(lambda: calls >= 3)  # it goes on trying
-            status, whole = await get(two)
-            assert status == 200 and whole["generation"] == 5 and len(whole["instances"]) == 1
+        async with running_service(second) as two:
+            await until(lambda: calls >= 3)  # it goes on attempting
+            status, response_body = await get(two)
+            assert status == 200 and response_body["generation"] == 5 and len(response_body["instances"]) == 1
         server.close()
 
-    play(act)
+    run_scenario(scenario)
 
 
-def test_changes_from_a_stale_source_are_never_laid_over_newer_ones() -> None:
+def test_changes_from_a_stale_source_are_never_applied_over_newer_ones() -> None:
     replica = Replica()
     assert replica.apply(WatchUpdate(50, True, (instance("s-1"),)))
     assert not replica.apply(WatchUpdate(40, False, (instance("s-1", lifecycle=Lifecycle.DELETED),)))
@@ -182,7 +182,7 @@
     assert replica.generation == 30 and replica.update_after(50).is_reset
 
 
-def test_what_a_follower_holds_is_bounded() -> None:
+def test_the_history_of_a_replica_is_bounded() -> None:
     replica = Replica()
     replica.apply(WatchUpdate(0, True, ()))
     for generation in range(1, MAX_HISTORY + 50):
@@ -204,7 +204,7 @@
         b"[" * 100_000,
     ],
 )
-def test_a_message_that_makes_no_sense_is_refused(line: bytes) -> None:
+def test_a_malformed_update_is_rejected(line: bytes) -> None:
     with pytest.raises(MalformedResponseError):
         decode_update(line)
 
@@ -213,13 +213,14 @@
 @given(
     st.lists(st.tuples(st.integers(0, 4), st.booleans(), st.booleans()), max_size=40), st.integers(0, 1 << 30)
 )
-def test_a_reader_that_changes_between_first_and_follower_ends_with_the_list(
+def test_a_reader_that_changes_between_primary_and_follower_ends_with_the_same_instances(
     steps: list[tuple[int, bool, bool]], seed: int
 ) -> None:
-    """Whoever it reads from, whatever it missed: a follower takes messages late, a reader takes either's."""
+    """Whoever it reads from and whatever it missed: a follower applies updates late, a reader either's."""
     store, replica, chance = Store(UNIX_MS, 0), Replica(), random.Random(seed)
     replica.apply(store.full_update())
-    held, seen = -1, {}
+    known = -1
+    seen = {}
     for at, (number, leaves, follows) in enumerate(steps):
         name = f"s-{number}"
         if leaves and name in store.instances:
@@ -229,46 +230,46 @@
         if follows:
             replica.apply(store.update_after(replica.generation))
         source = replica if chance.random() < 0.5 else store
-        if source.generation < held:
-            continue  # it knows better: it does not read from a staler one
-        news = source.update_after(held)
-        seen = {} if news.is_reset else seen
-        for one in news.instances:
+        if source.generation < known:
+            continue  # a reader does not read from a source that is behind it
+        update = source.update_after(known)
+        seen = {} if update.is_reset else seen
+        for one in update.instances:
             seen[one.id] = replace(one, generation=0)
             if one.lifecycle == Lifecycle.DELETED:
                 del seen[one.id]
-        held = news.generation
+        known = update.generation
         assert seen == {name: replace(one, generation=0) for name, one in source.instances.items()}
 
 
-def test_a_follower_of_a_service_that_is_filled_comes_when_it_is_told_to(tmp_path: Path) -> None:
-    """And not after a wait drawn anew each time: that was up to 5 s on top, for all behind the follower."""
+def test_a_follower_of_a_registry_that_is_being_filled_retries_at_its_retry_after(tmp_path: Path) -> None:
+    """Not after a delay drawn anew each time, which was up to 5 s more for all who read from the follower."""
 
-    async def act() -> None:
+    async def scenario() -> None:
         first, reads = RegistryService(tmp_path, 1.0), []
         require_available = first.require_available
         first.require_available = lambda: (reads.append(1), require_available())[1]
-        async with up(first) as one:
+        async with running_service(first) as one:
             async with ClientSession() as session, session.get(f"http://{one}{READ_PATH}") as answer:
                 assert answer.status == 503 and answer.headers["Retry-After"] == "1"
             reads.clear()
             second = Follower(one, random.Random(1))
-            async with up(second):
+            async with running_service(second):
                 await until(lambda: second.replica.generation == first.store.generation)
                 assert len(reads) == 2
 
-    play(act)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("said, waits", [("7", [7.0]), ("900", [30.0]), ("soon", [0.0]), ("-3", [0.0])])
-def test_when_to_come_again_is_bounded_and_nonsense_is_no_time(
+def test_retry_after_is_bounded_and_a_malformed_one_is_ignored(
     said: str, waits: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act() -> None:
+    async def scenario() -> None:
         async def later(_: web.Request) -> web.Response:
             return web.Response(status=503, headers={"Retry-After": said})
 
-        class Low(random.Random):
+        class LowestDraw(random.Random):
             def uniform(self, low: float, high: float) -> float:
                 return low
 
@@ -284,8 +285,8 @@
         app = web.Application()
         app.router.add_get(READ_PATH, later)
         first.app = app
-        async with up(first) as one:
-            second = Follower(one, Low())
+        async with running_service(first) as one:
+            second = Follower(one, LowestDraw())
             monkeypatch.setattr(follower.asyncio, "sleep", sleep)
             task = asyncio.get_running_loop().create_task(second.follow())
             await asyncio.wait_for(stop.wait(), WAIT_S)
@@ -293,4 +294,4 @@
             task.cancel()
             assert slept == waits
 
-    play(act)
+    run_scenario(scenario)
--- a/tests/test_registry_http_service.py
+++ b/tests/test_registry_http_service.py
@@ -34,8 +34,8 @@
     def __init__(self, service: RegistryService, session: ClientSession, url: str) -> None:
         self.service, self.session, self.url = service, session, url
 
-    async def call(self, method: str, path: str, **more: object) -> tuple[int, dict]:
-        async with self.session.request(method, self.url + path, **more) as answer:
+    async def call(self, method: str, path: str, **options: object) -> tuple[int, dict]:
+        async with self.session.request(method, self.url + path, **options) as answer:
             return answer.status, json.loads(await answer.text())
 
     async def put(self, name: str, port: int, **changes: object) -> int:
@@ -61,23 +61,23 @@
     await runner.cleanup()
 
 
-def play(folder: Path, act: Callable[[Client], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[Client], Awaitable[None]]) -> None:
     async def run() -> None:
         async with serving(folder) as client:
-            await act(client)
+            await scenario(client)
 
     asyncio.run(run())
 
 
-def test_the_whole_list_and_a_watch_are_as_discovery_gives_them(
+def test_the_endpoint_list_and_a_watch_are_as_discovery_gives_them(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_service, "EMPTY_LINE_S", 0.05)
 
-    async def act(client: Client) -> None:
+    async def scenario(client: Client) -> None:
         first = await client.put("s-1", 6001, cell=3, weight=2, started_ms=7)
-        status, whole = await client.call("GET", READ)
-        assert status == 200 and whole == {
+        status, complete = await client.call("GET", READ)
+        assert status == 200 and complete == {
             "generation": first,
             "reset": True,
             "instances": [
@@ -98,27 +98,27 @@
         assert await anext(watch) == {"generation": first, "reset": False, "instances": []}
         assert await anext(watch) is None  # an empty line while nothing changes
         second = await client.put("s-2", 6002)
-        news = [line async for line in until(watch, second)][-1]
-        assert not news["reset"] and [one["instanceId"] for one in news["instances"]] == ["s-2"]
+        update = [line async for line in until(watch, second)][-1]
+        assert not update["reset"] and [one["instanceId"] for one in update["instances"]] == ["s-2"]
         assert (
             await client.call("PATCH", "/instances/s-1", json={"generation": first, "lifecycle": "DRAINING"})
         )[0] == 200
-        news = [line async for line in until(watch, second + 1)][-1]
-        assert news["instances"][0]["lifecycle"] == "DRAINING"
+        update = [line async for line in until(watch, second + 1)][-1]
+        assert update["instances"][0]["lifecycle"] == "DRAINING"
         assert (await client.call("DELETE", "/instances/s-1"))[0] == 200
-        news = [line async for line in until(watch, second + 2)][-1]
-        assert news["instances"][0]["lifecycle"] == "DELETED"
+        update = [line async for line in until(watch, second + 2)][-1]
+        assert update["instances"][0]["lifecycle"] == "DELETED"
         await watch.aclose()
         for after in ("41", "", str(2**53 - 1)):  # of another history, of none, from the future
             watch = client.watch(after)
             assert (await anext(watch))["reset"]
             await watch.aclose()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
 async def until(watch: AsyncIterator[dict | None], generation: int) -> AsyncIterator[dict]:
-    """The lines with news, up to that generation."""
+    """The updates of a watch, up to that generation."""
     async for line in watch:
         if line is not None:
             yield line
@@ -126,10 +126,10 @@
                 return
 
 
-def test_writes_that_are_refused_say_why_and_change_nothing(tmp_path: Path) -> None:
-    async def act(client: Client) -> None:
+def test_rejected_writes_say_why_and_change_nothing(tmp_path: Path) -> None:
+    async def scenario(client: Client) -> None:
         generation = await client.put("s-1", 6001)
-        for method, path, more, status, word in (
+        for method, path, options, status, expected_text in (
             ("PUT", "/instances/s-2", {"json": values(0)}, 400, "address"),
             ("PUT", "/instances/s-2", {"json": values(colour=1)}, 400, "colour"),
             ("PUT", "/instances/s-2", {"json": values(id="s-3")}, 400, "path"),
@@ -148,14 +148,14 @@
             ("GET", f"{READ}?watch=1&after=x", {}, 400, "generation"),
             ("GET", f"{READ}?watch=1&after=-1", {}, 400, "generation"),
         ):
-            found, said = await client.call(method, path, **more)
+            found, said = await client.call(method, path, **options)
             assert found == status, (method, path, said)
-            assert word in said["error"] and "\n" not in said["error"]
+            assert expected_text in said["error"] and "\n" not in said["error"]
         assert client.service.store.generation == generation
         status, said = await client.call("POST", "/instances/s-1/renew")
         assert status == 200 and said == {"generation": generation}
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
 def test_many_watchers_share_one_encoding_and_are_bounded(
@@ -163,7 +163,7 @@
 ) -> None:
     monkeypatch.setattr(http_service, "MAX_WATCHERS", 50)
 
-    async def act(client: Client) -> None:
+    async def scenario(client: Client) -> None:
         start = await client.put("s-1", 6001)
         watches = [client.watch(start) for _ in range(50)]
         for watch in watches:
@@ -175,21 +175,21 @@
         assert status == 503 and "50 watches" in said["error"]
         client.service.encoded_updates.clear()
         end = await client.put("s-2", 6002)
-        news = await asyncio.gather(*pending)
-        assert {line["generation"] for line in news} == {end}
+        updates = await asyncio.gather(*pending)
+        assert {update["generation"] for update in updates} == {end}
         assert len(client.service.encoded_updates) == 1
         for watch in watches:
             await watch.aclose()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_reader_that_takes_nothing_is_sent_away_and_memory_stays(
+def test_the_watch_of_a_reader_that_takes_nothing_ends_and_memory_is_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_service, "WATCHER_WRITE_TIMEOUT_S", 0.2)
 
-    async def act(client: Client) -> None:
+    async def scenario(client: Client) -> None:
         store = client.service.store
         for number in range(400):
             await client.put(f"s-{number}", 6000 + number)
@@ -212,11 +212,11 @@
         assert len(store.history) <= MAX_HISTORY
         assert len(client.service.encoded_updates) <= http_service.MAX_ENCODED_UPDATES
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_full_disk_refuses_writes_and_reads_go_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(client: Client) -> None:
+def test_a_full_disk_rejects_writes_and_reads_go_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(client: Client) -> None:
         await client.put("s-1", 6001)
 
         def full(*_: object) -> int:
@@ -229,10 +229,10 @@
             assert len((await client.call("GET", READ))[1]["instances"]) == 1
         await client.put("s-2", 6002)
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def started(folder: Path, *more: str) -> tuple[subprocess.Popen[str], str]:
+def started(folder: Path, *options: str) -> tuple[subprocess.Popen[str], str]:
     process = subprocess.Popen(
         [
             sys.executable,
@@ -244,7 +244,7 @@
             "127.0.0.1:0",
             "--fill",
             "0",
-            *more,
+            *options,
         ],
         cwd=ROOT,
         stdout=subprocess.PIPE,
@@ -255,11 +255,11 @@
     return process, "http://" + line.split()[-1] if line else ""
 
 
-def test_the_program_keeps_its_list_over_a_kill_and_ends_cleanly(tmp_path: Path) -> None:
-    async def call(url: str, method: str, path: str, **more: object) -> dict:
+def test_the_program_retains_its_instances_over_a_kill_and_ends_cleanly(tmp_path: Path) -> None:
+    async def call(url: str, method: str, path: str, **options: object) -> dict:
         async with (
             ClientSession(timeout=ClientTimeout(20)) as session,
-            session.request(method, url + path, **more) as answer,
+            session.request(method, url + path, **options) as answer,
         ):
             return await answer.json()
 
@@ -268,9 +268,9 @@
     process.kill()
     process.communicate()
     process, url = started(tmp_path)
-    whole = asyncio.run(call(url, "GET", READ))
-    assert whole["generation"] == before["generation"]
-    assert [one["instanceId"] for one in whole["instances"]] == ["s-1"]
+    complete = asyncio.run(call(url, "GET", READ))
+    assert complete["generation"] == before["generation"]
+    assert [one["instanceId"] for one in complete["instances"]] == ["s-1"]
 
     async def ends() -> bytes:
         async with (
@@ -279,7 +279,7 @@
         ):
             line = await answer.content.readline()
             process.send_signal(signal.SIGTERM)
-            return line + await answer.content.read()  # ends as a whole answer, or this raises
+            return line + await answer.content.read()  # ends as a complete response, or this raises
 
     assert json.loads(asyncio.run(ends()))["reset"]
     _, errors = process.communicate(timeout=20)
@@ -292,13 +292,13 @@
     process, _ = started(tmp_path)
     _, errors = process.communicate(timeout=20)
     assert process.returncode == 1 and errors.count("\n") == 1 and "snapshot is damaged" in errors
-    for words, told in (
+    for arguments, expected_text in (
         (["--data", str(tmp_path), "--listen", "nowhere"], "'nowhere' is not HOST:PORT"),
         (["--fill", "soon"], "not a valid float"),
         ([], "exactly one of --data and --follow is required"),
     ):
         done = subprocess.run(
-            [sys.executable, "-m", "thistletrail.registry", *words],
+            [sys.executable, "-m", "thistletrail.registry", *arguments],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -306,10 +306,10 @@
             check=False,
         )
         assert done.returncode == 2 and done.stderr.startswith("registry: ")
-        assert told in done.stderr and done.stderr.count("\n") == 1
+        assert expected_text in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_list_that_began_with_nothing_is_not_told_until_it_may_be_filled(
+def test_a_registry_that_began_empty_answers_no_reads_until_it_may_be_filled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = http_service.now_ms()
@@ -318,11 +318,11 @@
     with pytest.raises(UnavailableError, match=r"answers reads in 5\.0 s"):
         service.require_available()
     service.journal.close()
-    again = RegistryService(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet full
+    again = RegistryService(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet filled
     now += 4999
     with pytest.raises(UnavailableError):
         again.require_available()
     now += 1
     again.require_available()
     again.journal.close()
-    RegistryService(tmp_path, 5.0).require_available()  # with its data it is told at once
+    RegistryService(tmp_path, 5.0).require_available()  # with its data it answers at once
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -35,7 +35,7 @@
     return replace(parse_instance(values), **changes)
 
 
-def filled(count: int, now_ms: int = 0) -> tuple[Store, list[str]]:
+def filled_store(count: int, now_ms: int = 0) -> tuple[Store, list[str]]:
     warnings: list[str] = []
     store = Store(UNIX_MS, now_ms, warnings.append)
     for number in range(count):
@@ -43,31 +43,31 @@
     return store, warnings
 
 
-def run(store: Store, from_ms: int, until_ms: int, *renewing: str) -> list[str]:
-    """A tick each second, in which these renew: whose leases made them gone."""
-    gone = []
+def expire_each_second(store: Store, from_ms: int, until_ms: int, *renewing: str) -> list[str]:
+    """Check the leases each second, with these renewing; return the ids of the deleted instances."""
+    deleted = []
     for now in range(from_ms, until_ms, 1000):
         for name in renewing:
             store.renew(name, now)
-        gone += [change.id for change in store.expire_leases(now)]
-    return gone
+        deleted += [change.id for change in store.expire_leases(now)]
+    return deleted
 
 
 # --- generations and reads ---
 
 
 def test_each_change_has_the_next_generation_and_a_reader_gets_what_it_lacks() -> None:
-    store, _ = filled(2)
+    store, _ = filled_store(2)
     start = store.generation
     store.update("s-0", store.get("s-0").generation, Lifecycle.DRAINING, 0)
     store.deregister("s-1")
-    news = store.update_after(start)
-    assert [(one.id, one.lifecycle) for one in news.instances] == [
+    update = store.update_after(start)
+    assert [(entry.id, entry.lifecycle) for entry in update.instances] == [
         ("s-0", Lifecycle.DRAINING),
         ("s-1", Lifecycle.DELETED),
     ]
-    assert not news.is_reset and news.generation == start + 2
-    assert store.update_after(news.generation).instances == ()
+    assert not update.is_reset and update.generation == start + 2
+    assert store.update_after(update.generation).instances == ()
     assert json.loads(encode_update(store.full_update()))["instances"] == [
         {
             "instanceId": "s-0",
@@ -82,11 +82,11 @@
     ]
 
 
-def test_a_reader_from_before_from_the_future_or_of_another_history_gets_all() -> None:
-    store, _ = filled(3)
+def test_a_reader_from_before_from_the_future_or_of_another_history_gets_the_complete_list() -> None:
+    store, _ = filled_store(3)
     for generation in (0, store.floor - 1, store.generation + 1, 41):
-        news = store.update_after(generation)
-        assert news.is_reset and len(news.instances) == 3
+        update = store.update_after(generation)
+        assert update.is_reset and len(update.instances) == 3
     for _ in range(MAX_HISTORY):
         store.update(
             "s-0",
@@ -115,23 +115,23 @@
 
 
 def test_a_delete_and_a_new_registration_between_two_reads_show_as_the_last() -> None:
-    store, _ = filled(1)
+    store, _ = filled_store(1)
     seen = store.generation
     store.deregister("s-0")
     store.register(instance("s-0", started_ms=9), 0)
     changes = store.update_after(seen).instances
-    assert [(one.lifecycle, one.started_ms) for one in changes] == [(Lifecycle.SERVING, 9)]
+    assert [(entry.lifecycle, entry.started_ms) for entry in changes] == [(Lifecycle.SERVING, 9)]
 
 
 # --- registration ---
 
 
 def test_an_id_at_another_address_and_an_address_under_another_id() -> None:
-    store, _ = filled(1)
+    store, _ = filled_store(1)
     seen = store.generation
     store.register(instance("s-0", 7000), 0)
     store.register(instance("s-9", 7000), 0)
-    assert [(one.id, one.lifecycle) for one in store.update_after(seen).instances] == [
+    assert [(entry.id, entry.lifecycle) for entry in store.update_after(seen).instances] == [
         ("s-0", Lifecycle.DELETED),
         ("s-9", Lifecycle.SERVING),
     ]
@@ -139,8 +139,8 @@
     assert set(store.instances) == {"s-0", "s-9"}
 
 
-def test_the_same_registration_again_changes_nothing_and_keeps_a_drain() -> None:
-    store, _ = filled(1)
+def test_the_same_registration_again_changes_nothing_and_retains_a_drain() -> None:
+    store, _ = filled_store(1)
     store.update("s-0", store.get("s-0").generation, Lifecycle.DRAINING, 0)
     before = store.generation
     assert store.register(instance("s-0"), 5000).lifecycle == Lifecycle.DRAINING
@@ -150,7 +150,7 @@
 
 
 def test_an_update_by_an_older_generation_is_a_conflict() -> None:
-    store, _ = filled(1)
+    store, _ = filled_store(1)
     known = store.get("s-0").generation
     store.update("s-0", known, Lifecycle.DRAINING, 0)
     with pytest.raises(ConflictError, match=str(known)):
@@ -186,7 +186,7 @@
         ("lifecycle", "SERVING"),
     ],
 )
-def test_a_registration_that_makes_no_sense_names_the_key(key: str, value: object) -> None:
+def test_an_invalid_registration_names_the_key(key: str, value: object) -> None:
     values = {
         name: found for name, found in asdict(instance()).items() if name not in ("lifecycle", "generation")
     }
@@ -199,77 +199,77 @@
             parse_instance(values)
 
 
-def test_there_is_a_most_of_instances(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_instances_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store_module, "MAX_INSTANCES", 2)
-    store, _ = filled(2)
+    store, _ = filled_store(2)
     with pytest.raises(RejectedError, match="2 instances already"):
         store.register(instance("s-5"), 0)
-    store.register(instance("s-1", started_ms=8), 0)  # one that is known is no further one
+    store.register(instance("s-1", started_ms=8), 0)  # one that is known takes no further place
 
 
 # --- leases ---
 
 
-def test_one_lapsed_lease_makes_one_gone_and_renewals_keep_the_others() -> None:
-    store, warnings = filled(10)
+def test_one_expired_lease_deletes_one_instance_and_renewals_retain_the_others() -> None:
+    store, warnings = filled_store(10)
     others = [f"s-{number}" for number in range(1, 10)]
-    assert run(store, 0, 10_000 + MASS_EXPIRY_WINDOW_MS, *others) == []
-    assert run(store, 10_000 + MASS_EXPIRY_WINDOW_MS, 22_000, *others) == ["s-0"]
+    assert expire_each_second(store, 0, 10_000 + MASS_EXPIRY_WINDOW_MS, *others) == []
+    assert expire_each_second(store, 10_000 + MASS_EXPIRY_WINDOW_MS, 22_000, *others) == ["s-0"]
     assert set(store.instances) == set(others) and warnings == []
 
 
-def test_many_that_lapse_at_once_are_kept_for_the_grace_with_a_warning() -> None:
-    store, warnings = filled(10)
-    kept = ["s-0", "s-1"]
-    assert run(store, 0, 10_000 + GRACE_PERIOD_MS, *kept) == []
+def test_a_mass_expiry_is_retained_for_the_grace_period_with_a_warning() -> None:
+    store, warnings = filled_store(10)
+    renewing = ["s-0", "s-1"]
+    assert expire_each_second(store, 0, 10_000 + GRACE_PERIOD_MS, *renewing) == []
     assert len(warnings) == 1 and "8 of 10 leases" in warnings[0]
-    back = [f"s-{number}" for number in range(8)]  # six are heard again in time
-    store, warnings = filled(10)
-    assert run(store, 0, 25_000, *kept) == []
-    assert sorted(run(store, 25_000, 60_000, *back)) == ["s-8", "s-9"]
+    back = [f"s-{number}" for number in range(8)]  # six renew again in time
+    store, warnings = filled_store(10)
+    assert expire_each_second(store, 0, 25_000, *renewing) == []
+    assert sorted(expire_each_second(store, 25_000, 60_000, *back)) == ["s-8", "s-9"]
     assert len(warnings) == 1
 
 
-def test_those_that_stay_away_are_gone_after_the_grace() -> None:
-    store, _ = filled(10)
-    gone = run(store, 0, 80_000, "s-0")
-    assert sorted(gone) == [f"s-{number}" for number in range(1, 10)]
+def test_instances_without_renewals_are_deleted_after_the_grace_period() -> None:
+    store, _ = filled_store(10)
+    deleted = expire_each_second(store, 0, 80_000, "s-0")
+    assert sorted(deleted) == [f"s-{number}" for number in range(1, 10)]
 
 
-def test_a_service_that_paused_keeps_every_lease_for_the_grace() -> None:
-    store, warnings = filled(10)
-    assert run(store, 0, 5_000) == []
+def test_a_registry_that_paused_retains_every_lease_for_the_grace_period() -> None:
+    store, warnings = filled_store(10)
+    assert expire_each_second(store, 0, 5_000) == []
     assert store.expire_leases(35_000) == []  # a pause of 30 s, and it wakes with every lease lapsed
     assert len(warnings) == 1 and "paused for 31 s" in warnings[0]
     everyone = [f"s-{number}" for number in range(10)]
-    assert run(store, 36_000, 90_000, *everyone) == []
+    assert expire_each_second(store, 36_000, 90_000, *everyone) == []
     assert len(store.instances) == 10
 
 
-def test_a_drain_and_a_leave_hold_at_once_whatever_is_kept() -> None:
-    store, _ = filled(10)
-    run(store, 0, 15_000)
+def test_a_drain_and_a_deregistration_apply_at_once_in_a_grace_period() -> None:
+    store, _ = filled_store(10)
+    expire_each_second(store, 0, 15_000)
     store.update("s-3", store.get("s-3").generation, Lifecycle.DRAINING, 15_000)
     store.deregister("s-4")
     assert store.get("s-3").lifecycle == Lifecycle.DRAINING and "s-4" not in store.instances
 
 
-# --- the log ---
+# --- the journal ---
 
 
-def opened(folder: Path, unix_ms: int = UNIX_MS) -> tuple[Journal, Store]:
+def open_journal(folder: Path, unix_ms: int = UNIX_MS) -> tuple[Journal, Store]:
     journal = Journal(folder)
     return journal, journal.open(unix_ms, 0)
 
 
-def test_the_list_outlives_the_process(tmp_path: Path) -> None:
-    journal, store = opened(tmp_path)
+def test_the_instances_outlive_the_process(tmp_path: Path) -> None:
+    journal, store = open_journal(tmp_path)
     for number in range(3):
         store.register(instance(f"s-{number}"), 0)
     store.update("s-1", store.get("s-1").generation, Lifecycle.DRAINING, 0)
     store.deregister("s-2")
     journal.close()
-    journal, again = opened(tmp_path, UNIX_MS + 1_000_000)
+    journal, again = open_journal(tmp_path, UNIX_MS + 1_000_000)
     assert again.instances == store.instances and again.generation == store.generation
     previous = store.generation - 1
     assert again.update_after(previous).instances == store.update_after(previous).instances
@@ -277,8 +277,8 @@
     journal.close()
 
 
-def test_a_log_cut_at_every_byte_of_its_last_records_is_read_up_to_there(tmp_path: Path) -> None:
-    journal, store = opened(tmp_path)
+def test_a_journal_cut_at_every_byte_of_its_last_records_is_read_up_to_there(tmp_path: Path) -> None:
+    journal, store = open_journal(tmp_path)
     states = [(store.generation, dict(store.instances))]
     ends = [0]
     for number in range(4):
@@ -286,10 +286,10 @@
         states.append((store.generation, dict(store.instances)))
         ends.append(journal.records.size_bytes)
     journal.close()
-    whole = (tmp_path / "log").read_bytes()
-    for cut in range(ends[2], len(whole) + 1):
-        (tmp_path / "log").write_bytes(whole[:cut])
-        journal, again = opened(tmp_path)
+    complete = (tmp_path / "log").read_bytes()
+    for cut in range(ends[2], len(complete) + 1):
+        (tmp_path / "log").write_bytes(complete[:cut])
+        journal, again = open_journal(tmp_path)
         known = sum(end <= cut for end in ends) - 1
         assert (again.generation, again.instances) == states[known]
         fresh = again.register(instance("s-8"), 0)
@@ -299,31 +299,31 @@
 
 
 def test_damage_before_the_last_record_stops_the_start_with_one_line(tmp_path: Path) -> None:
-    journal, store = opened(tmp_path)
+    journal, store = open_journal(tmp_path)
     for number in range(4):
         store.register(instance(f"s-{number}"), 0)
     journal.close()
-    whole = bytearray((tmp_path / "log").read_bytes())
-    for at in range(0, len(whole) // 2, 7):
-        broken = bytearray(whole)
+    complete = bytearray((tmp_path / "log").read_bytes())
+    for at in range(0, len(complete) // 2, 7):
+        broken = bytearray(complete)
         broken[at] ^= 0x40
         (tmp_path / "log").write_bytes(broken)
         with pytest.raises(CorruptFileError, match="damaged at byte") as error:
-            opened(tmp_path)
+            open_journal(tmp_path)
         assert "\n" not in str(error.value)
-    (tmp_path / "log").write_bytes(whole)
+    (tmp_path / "log").write_bytes(complete)
     (tmp_path / "snapshot").write_bytes((tmp_path / "snapshot").read_bytes()[:-1])
     with pytest.raises(CorruptFileError, match="snapshot is damaged"):
-        opened(tmp_path)
+        open_journal(tmp_path)
     (tmp_path / "snapshot").unlink()
     with pytest.raises(CorruptFileError, match="snapshot is missing"):
-        opened(tmp_path)
+        open_journal(tmp_path)
 
 
-def test_a_full_disk_turns_writes_away_and_changes_nothing(
+def test_a_full_disk_rejects_writes_and_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    journal, store = opened(tmp_path)
+    journal, store = open_journal(tmp_path)
     store.register(instance("s-0"), 0)
     before, size = store.generation, (tmp_path / "log").stat().st_size
     write = os.pwrite
@@ -336,32 +336,32 @@
     with pytest.raises(StorageError, match="No space left"):
         store.register(instance("s-1"), 0)
     assert store.generation == before and (tmp_path / "log").stat().st_size == size
-    assert [one.id for one in store.full_update().instances] == ["s-0"]
+    assert [entry.id for entry in store.full_update().instances] == ["s-0"]
     monkeypatch.setattr(os, "pwrite", write)
     assert store.register(instance("s-1"), 0).generation == before + 1
     journal.close()
 
 
-def test_a_snapshot_takes_the_logs_place_and_a_crash_between_the_two_is_borne(tmp_path: Path) -> None:
-    journal, store = opened(tmp_path)
+def test_a_snapshot_replaces_the_journal_and_a_crash_between_the_two_is_survived(tmp_path: Path) -> None:
+    journal, store = open_journal(tmp_path)
     for number in range(3):
         store.register(instance(f"s-{number}"), 0)
     old = (tmp_path / "log").read_bytes()
     journal.write_snapshot(store)
     assert (tmp_path / "log").stat().st_size == 0 and journal.records.record_count == 0
     journal.close()
-    (tmp_path / "log").write_bytes(old)  # as though the log had not been emptied
+    (tmp_path / "log").write_bytes(old)  # as though the journal had not been cleared
     (tmp_path / "snapshot.new").write_bytes(b"half of one")
-    journal, again = opened(tmp_path)
+    journal, again = open_journal(tmp_path)
     assert again.instances == store.instances and again.generation == store.generation
     journal.close()
 
 
-def test_with_its_folder_lost_or_older_the_service_repeats_no_generation(tmp_path: Path) -> None:
-    journal, store = opened(tmp_path / "a")
+def test_with_its_directory_lost_the_registry_repeats_no_generation(tmp_path: Path) -> None:
+    journal, store = open_journal(tmp_path / "a")
     store.register(instance("s-0"), 0)
     journal.close()
-    journal, fresh = opened(tmp_path / "b", UNIX_MS + 1)
+    journal, fresh = open_journal(tmp_path / "b", UNIX_MS + 1)
     assert fresh.generation > store.generation and fresh.update_after(store.generation).is_reset
     journal.close()
 
@@ -378,12 +378,14 @@
 
 @options(derandomize=True, deadline=None, max_examples=40)
 @given(steps=STEPS, reads=st.lists(st.integers(0, 40), max_size=6))
-def test_readers_that_resume_end_with_the_stores_list_over_writes_and_crashes(
+def test_readers_that_resume_end_with_the_stores_instances_over_writes_and_crashes(
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int, int]], reads: list[int]
 ) -> None:
     folder = tmp_path_factory.mktemp("list")
-    journal, store = opened(folder)
-    now, seen, held = 0, {}, 0
+    journal, store = open_journal(folder)
+    now = 0
+    seen = {}
+    known_generation = 0
     last = store.generation
     for at, (what, number, span) in enumerate(steps):
         name = f"s-{number}"
@@ -394,7 +396,7 @@
             store.expire_leases(now)
         elif what in ("crash", "cut"):
             journal.close()
-            if what == "cut":  # what was never answered is lost with it: half a record
+            if what == "cut":  # a write that was never answered is lost: half a record
                 with (folder / "log").open("ab") as file:
                     file.write(b"RstR\0\0")
             journal = Journal(folder)
@@ -408,13 +410,13 @@
                 store.deregister(name) if what == "leave" else store.renew(name, now)
         assert store.generation >= last
         last = store.generation
-        if at in reads or at == len(steps) - 1:  # it reads now and then, and loses what came in between
-            news = store.update_after(held)
-            seen = {} if news.is_reset else seen
-            for one in news.instances:
-                seen[one.id] = one
-                if one.lifecycle == Lifecycle.DELETED:
-                    del seen[one.id]
-            held = news.generation
+        if at in reads or at == len(steps) - 1:  # it reads now and then, and misses what came in between
+            update = store.update_after(known_generation)
+            seen = {} if update.is_reset else seen
+            for entry in update.instances:
+                seen[entry.id] = entry
+                if entry.lifecycle == Lifecycle.DELETED:
+                    del seen[entry.id]
+            known_generation = update.generation
             assert seen == store.instances
     journal.close()
