--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -44,7 +44,7 @@
     costs.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
     costs.add_argument("--against", metavar="REV", help="play another revision in turns with this tree")
     costs.add_argument("--pairs", type=whole(MOST_PAIRS), default=5, metavar="N", help="of plays")
-    lists_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the list service")
+    lists_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the registry")
     lists_.add_argument("--watchers", type=whole(900), default=200, metavar="N")
     lists_.add_argument("--instances", type=whole(2000), default=200, metavar="N")
     lists_.add_argument("--changes", type=whole(10_000), default=50, metavar="N")
@@ -122,15 +122,15 @@
         args.json.write_text(json.dumps(kept, indent=1) + "\n")
 
 
-async def run_roster(args: argparse.Namespace) -> None:
-    from thistletrail.benchmarks import lists  # its packages are not those of a front door
+async def run_registry(args: argparse.Namespace) -> None:
+    from thistletrail.benchmarks import registry  # its packages are not those of a front door
 
     if args.json:
         check_writable(args.json)
-    found = await lists.play(args.watchers, args.instances, args.changes, args.seed)
-    print(lists.table(found))
+    figures = await registry.measure(args.watchers, args.instances, args.changes, args.seed)
+    print(registry.format_table(figures))
     if args.json:
-        args.json.write_text(json.dumps(lists.as_json(found), indent=1) + "\n")
+        args.json.write_text(json.dumps(registry.to_json_object(figures), indent=1) + "\n")
 
 
 def check_writable(path: Path) -> None:
@@ -148,7 +148,7 @@
     task = asyncio.current_task()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-    await {"cost": run_cost, "registry": run_roster, "takeover": run_takeover, "leases": run_leases}[
+    await {"cost": run_cost, "registry": run_registry, "takeover": run_takeover, "leases": run_leases}[
         args.command
     ](args)
 
