--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -14,6 +14,9 @@
 LIST = "KNOWN-RED.txt"
 MOST_ENTRIES = 3
 ISSUE = re.compile(r"issue [1-9][0-9]*")
+# What pytest-xdist calls a worker's answer to the process that started it: a dict, sent when the worker ends.
+WORKER_OUTPUT = "workeroutput"
+PROBLEM_KEY = "known_red_problem"
 
 
 class ListError(ValueError):
@@ -79,7 +82,22 @@
         whole_files = not any("::" in argument for argument in config.args)
         mark(read(config.rootpath), items, config.rootpath, whole_files)
     except ListError as error:
-        raise pytest.UsageError(f"{LIST}: {error}") from error
+        problem = f"{LIST}: {error}"
+        if hasattr(config, WORKER_OUTPUT):
+            getattr(config, WORKER_OUTPUT)[PROBLEM_KEY] = problem
+        raise pytest.UsageError(problem) from error
+
+
+@pytest.hookimpl(optionalhook=True)  # a hook of pytest-xdist, which need not be there
+def pytest_testnodedown(node: object, error: object | None) -> None:
+    """End a run on several workers as a run in one process would end, where the list is not in order.
+
+    The tests are collected in the workers, so that these find the problem; the process that hands out the
+    tests and reports learns of it when the first worker ends.
+    """
+    problem = getattr(node, WORKER_OUTPUT, {}).get(PROBLEM_KEY)
+    if problem:
+        raise pytest.UsageError(problem)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -3,7 +3,6 @@
 import asyncio
 import contextlib
 import json
-import socket
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterable
 from dataclasses import replace
 from typing import Any
@@ -11,6 +10,7 @@
 import hiredis
 import uvloop
 
+from thistletrail.benchmarks.process import free_port
 from thistletrail.gateway.config import Address, Config
 from thistletrail.gateway.frontdoor import FrontDoor
 from thistletrail.policy import interface as i
@@ -228,7 +228,5 @@
 
 
 def refusing_address() -> Address:
-    """An address at which nobody listens."""
-    with socket.socket() as free:
-        free.bind((HOST, 0))
-        return free.getsockname()
+    """Return an address at which nobody listens, and whose port the system gives to nobody else meanwhile."""
+    return HOST, free_port()
--- a/tests/test_frontdoor.py
+++ b/tests/test_frontdoor.py
@@ -97,10 +97,14 @@
         backend = Backend(lambda words: None)
         async with front_door(backend) as (door, address):
             client = await Client.open(address)
-            started = time.monotonic()
             client.send(submit("a1", wait_ms=300))
+            await backend.received(1)
+            loop = asyncio.get_running_loop()
+            open_at_end: asyncio.Future[list[str]] = loop.create_future()
+            # The gateway's timers and this one run in the order in which they are due, however late all are.
+            loop.call_later(0.3, lambda: open_at_end.set_result(list(door.open)))
             assert await client.answer() == "-ERR failed"
-            assert time.monotonic() - started < 0.3
+            assert await open_at_end == []
             await backend.left.wait()  # the attempt was given up by closing its connection
             assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
             assert not door.open and not door.ended and door.held_bytes == 0
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,6 +7,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
+TWO_WORKERS = ("-p", "xdist", "-n2")
 TESTS = """
 import pytest
 
@@ -31,9 +32,13 @@
     (folder / "test_a.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text(listed)
     command = [sys.executable, "-m", "pytest", "-p", "tests.known_red", "-p", "no:cacheprovider"]
-    paths = {"PYTHONPATH": str(ROOT), "PYTHONDONTWRITEBYTECODE": "1"}
+    environment = {
+        "PYTHONPATH": str(ROOT),
+        "PYTHONDONTWRITEBYTECODE": "1",
+        "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1",  # hypothesis and others have no part in it, and start slowly
+    }
     return subprocess.run(
-        [*command, *arguments], cwd=folder, env=paths, capture_output=True, text=True, check=False
+        [*command, *arguments], cwd=folder, env=environment, capture_output=True, text=True, check=False
     )
 
 
@@ -80,3 +85,44 @@
 def test_a_part_of_the_tests_may_be_run(tmp_path: Path) -> None:
     assert run(tmp_path, RED, "-k", "green").returncode == 0
     assert run(tmp_path, RED, "test_a.py::test_green").returncode == 0
+
+
+def test_list_is_printed_once_by_a_run_on_several_workers(tmp_path: Path) -> None:
+    result = run(tmp_path, RED + TWO, *TWO_WORKERS)
+    assert result.returncode == 0, result.stdout
+    assert "2 passed, 2 xfailed" in result.stdout
+    assert result.stdout.count("KNOWN-RED.txt: 2 known failures") == 1
+    assert result.stdout.count(RED.strip()) == 1 and result.stdout.count(TWO.strip()) == 1
+
+
+def test_listed_test_that_passes_on_a_worker_has_to_be_taken_off(tmp_path: Path) -> None:
+    result = run(tmp_path, RED + TWO + GREEN, *TWO_WORKERS)
+    assert result.returncode == 1
+    assert "XPASS(strict)" in result.stdout
+    assert "1 failed, 1 passed, 2 xfailed" in result.stdout
+
+
+def test_listed_test_of_a_group_is_found_by_its_plain_name(tmp_path: Path) -> None:
+    """Where groups of tests stay together, pytest-xdist puts the group behind the name of a test."""
+    listed = "test_group.py::test_grouped | it asserts a falsehood | issue 7\n"
+    (tmp_path / "test_group.py").write_text(
+        'import pytest\n@pytest.mark.xdist_group("one")\ndef test_grouped():\n    assert False\n'
+    )
+    result = run(tmp_path, RED + TWO + listed, *TWO_WORKERS, "--dist", "loadgroup")
+    assert result.returncode == 0, result.stdout
+    assert "2 passed, 3 xfailed" in result.stdout
+
+
+@pytest.mark.parametrize(
+    ("listed", "error"),
+    [
+        ("test_a.py::test_red\n", "not of the form"),
+        ("test_a.py::test_gone | it fails | issue 7\n", "there is no such test"),
+    ],
+)
+def test_list_that_is_not_in_order_fails_a_run_on_several_workers(
+    tmp_path: Path, listed: str, error: str
+) -> None:
+    result = run(tmp_path, listed, *TWO_WORKERS)
+    assert result.returncode == pytest.ExitCode.USAGE_ERROR
+    assert error in result.stderr
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,10 +1,17 @@
-"""The embedding example in README runs as printed."""
+"""The embedding example in README runs as printed, and CI runs the test command that README gives."""
 
 from pathlib import Path
 
+ROOT = Path(__file__).parent.parent
+README = (ROOT / "README.md").read_text()
+
 
 def test_example_runs() -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text()
-    code = text.split("```python\n", 1)[1].split("```", 1)[0]
+    code = README.split("```python\n", 1)[1].split("```", 1)[0]
     exec(compile(code, "README.md", "exec"), {})
     assert "assert" in code
+
+
+def test_ci_runs_the_test_command() -> None:
+    command = README.split("there runs the test command:\n\n```sh\n", 1)[1].split("```", 1)[0]
+    assert (ROOT / ".ci" / "run").read_text().endswith(f"\n{command}")
--- a/tests/test_roster_server.py
+++ b/tests/test_roster_server.py
@@ -50,19 +50,25 @@
 
 
 @asynccontextmanager
-async def serving(folder: Path) -> AsyncIterator[Client]:
+async def serving(folder: Path, send_buffer: int | None = None) -> AsyncIterator[Client]:
+    """A service; `send_buffer` bounds the bytes that the system takes for a reader that reads nothing."""
     service = Service(folder)
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
-    await web.TCPSite(runner, "127.0.0.1", 0).start()
+    listening = socket.socket()
+    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    if send_buffer is not None:  # what is accepted inherits it
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, send_buffer)
+    listening.bind(("127.0.0.1", 0))
+    await web.SockSite(runner, listening).start()
     async with ClientSession(timeout=ClientTimeout(20)) as session:
         yield Client(service, session, "http://127.0.0.1:{1}".format(*runner.addresses[0]))
     await runner.cleanup()
 
 
-def play(folder: Path, act: Callable[[Client], Awaitable[None]]) -> None:
+def play(folder: Path, act: Callable[[Client], Awaitable[None]], send_buffer: int | None = None) -> None:
     async def run() -> None:
-        async with serving(folder) as client:
+        async with serving(folder, send_buffer) as client:
             await act(client)
 
     asyncio.run(run())
@@ -201,7 +207,7 @@
             while not client.service.watchers:
                 await asyncio.sleep(0.01)
             for turn in range(3000):
-                if not client.service.watchers:
+                if not client.service.watchers and turn * 400 > MOST_HISTORY:
                     break
                 for number in range(400):  # all of them change: one merged line, whoever takes it
                     store.register(replace(store.instances[f"s-{number}"], started_ms=turn + 1), 0)
@@ -211,7 +217,7 @@
         assert len(store.history) <= MOST_HISTORY
         assert len(client.service.encoded) <= servers.MOST_ENCODED
 
-    play(tmp_path, act)
+    play(tmp_path, act, send_buffer=65_536)  # of some megabytes, which the system would grow it to
 
 
 def test_a_full_disk_refuses_writes_and_reads_go_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
