--- a/tests/test_rig_processes.py
+++ b/tests/test_rig_processes.py
@@ -78,7 +78,7 @@
     """SIGKILL stands for a crash of the rig."""
     mark = f"{os.getpid()}-{number}"
     words = (
-        "from thistletrail.simulation.commands import end_on_signals\nend_on_signals()\n"
+        "from thistletrail.command_line import end_on_signals\nend_on_signals()\n"
         "from thistletrail.benchmarks.process import ROOT, Tree\n"
         "from thistletrail.fault_injection.plan import load\n"
         "from thistletrail.fault_injection.runs import play_once\n"
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import contextlib
-import ctypes
 import io
 import json
 import os
@@ -21,6 +20,7 @@
 from thistletrail.benchmarks.callers import PING, Caller
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.standins import HOST, Address
+from thistletrail.process_lifetime import die_with_parent
 
 READY_S = 20.0  # for a front door to answer PING: machines may be slow
 END_S = 10.0  # for its drain
@@ -29,7 +29,6 @@
 LOOK_S = 0.02  # between looks at whether it is ready
 ROOT = Path(__file__).resolve().parents[2]
 KIB = 1024
-PR_SET_PDEATHSIG = 1  # of prctl(2)
 RESERVED: list[socket.socket] = []  # bound and not listening, one for each port that `free_port` gave
 
 
@@ -211,11 +210,6 @@
             os.killpg(self.process.pid, signal.SIGKILL)
 
 
-def die_with_parent() -> None:
-    """In a child before it runs its program: it is killed when its parent dies, however that dies (Linux)."""
-    ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-
-
 async def start_door(tree: Tree, config: dict[str, Any], folder: Path) -> Process:
     """A front door, started by the deploy file; it need not serve yet. Its log is added to what is there."""
     file, log = folder / "config.json", folder / "log"
--- a/thistletrail/simulation/commands.py
+++ b/thistletrail/command_line.py
@@ -1,4 +1,4 @@
-"""What the command lines of model and rig have in common: one plain line for bad input, and exit codes."""
+"""What command lines have in common: one plain line for bad input, and exit codes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,6 @@
 
 import click
 
-from thistletrail.simulation.errors import ModelError
-
 BAD_INPUT, STOPPED = 2, 130  # exit codes; 1 is a fault's
 HELP = {"help_option_names": ["-h", "--help"]}
 
@@ -18,9 +16,10 @@
 class Group(click.Group):
     """Bad input is one plain line and exit code 2; Ctrl-C says so and leaves no process."""
 
-    errors: ClassVar[tuple[type[Exception], ...]] = (ModelError,)  # whose text is one plain line
+    errors: ClassVar[tuple[type[Exception], ...]] = ()  # whose text is one plain line
 
     def main(self, *args: object, **kwargs: object) -> object:  # type: ignore[override]
+        """Run the command that the arguments name, and end with its exit code."""
         try:
             return super().main(*args, **{**kwargs, "standalone_mode": False})
         except click.ClickException as error:
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -13,13 +13,13 @@
 
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import ROOT, prepare, revision
+from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, deaths, table
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.fault_injection.leases import divided
 from thistletrail.fault_injection.plan import as_scenario, known, load
 from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
 from thistletrail.simulation import day as days
-from thistletrail.simulation.commands import HELP, Group, end_on_signals
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import BROKEN
 
--- a/thistletrail/simulation/__main__.py
+++ b/thistletrail/simulation/__main__.py
@@ -10,19 +10,25 @@
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import BinaryIO, get_args
+from typing import BinaryIO, ClassVar, get_args
 
 import click
 import msgspec
 
+from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.simulation import day as days
-from thistletrail.simulation.commands import HELP, Group, end_on_signals
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import BROKEN, THIS_TREE, Play, Runner, revision, set_constant, table
 from thistletrail.simulation.scenario import Stored, dump, known, load
 
 
-@click.group("simulation", cls=Group, context_settings=HELP)
+class SimulationGroup(Group):
+    """The commands of the simulation; what a user did wrong is one plain line."""
+
+    errors: ClassVar[tuple[type[Exception], ...]] = (ModelError,)
+
+
+@click.group("simulation", cls=SimulationGroup, context_settings=HELP)
 def cli() -> None:
     """The fleet in simulated time: one run, pairs against a revision, a constant at several values."""
     end_on_signals()
--- a/thistletrail/simulation/back.py
+++ b/thistletrail/simulation/back.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from thistletrail.process_lifetime import die_with_parent
 from thistletrail.simulation import day as days
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import Interval, bootstrap, figures
@@ -55,8 +56,6 @@
     """In a worker: Ctrl-C is its parent's, which ends it; it dies with that one."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
-    from thistletrail.benchmarks.process import die_with_parent
-
     die_with_parent()
 
 
