--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -28,8 +28,9 @@
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
+from thistletrail.gateway import snapshot_records
 from thistletrail.gateway.budget_lease_client import FURTHER
-from thistletrail.gateway.snapshot_store import HEAD, Snapshot, pack
+from thistletrail.gateway.snapshot_store import HEAD, from_record, pack
 from thistletrail.leasing.book import begin
 from thistletrail.leasing.config import read as read_config
 from thistletrail.simulation.clock import Clock
@@ -43,7 +44,7 @@
 
 def aged(data: bytes, by_ms: int) -> bytes:
     """A door's snapshot as if it had been made so much earlier."""
-    found = msgspec.msgpack.decode(data[HEAD.size :], type=Snapshot)
+    found = from_record(snapshot_records.decode(data[HEAD.size :]))
     return pack(msgspec.structs.replace(found, at_ms=found.at_ms - by_ms))
 
 
