--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from thistletrail.benchmarks import cost
+from thistletrail.benchmarks import cost, quickstart
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.loads import LOADS
 from thistletrail.benchmarks.process import ROOT, check_port, prepare, revision
@@ -36,6 +36,7 @@
 def parser() -> Parser:
     found = Parser(prog="benchmarks", description="What a front door costs, on loopback, with stand-ins.")
     commands = found.add_subparsers(dest="command", required=True, metavar="COMMAND")
+    commands.add_parser("quickstart", help="start one gateway before stubs, and send one request through it")
     costs = commands.add_parser("cost", help="processor time, memory and descriptors of requests")
     costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
     costs.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
@@ -67,6 +68,10 @@
     return found
 
 
+async def run_quickstart(_: argparse.Namespace) -> None:
+    print(quickstart.describe(await quickstart.play()))
+
+
 async def run_takeover(args: argparse.Namespace) -> None:
     from thistletrail.benchmarks import work  # its packages are not those of a front door
 
@@ -148,9 +153,14 @@
     task = asyncio.current_task()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-    await {"cost": run_cost, "registry": run_registry, "takeover": run_takeover, "leases": run_leases}[
-        args.command
-    ](args)
+    commands = {
+        "quickstart": run_quickstart,
+        "cost": run_cost,
+        "registry": run_registry,
+        "takeover": run_takeover,
+        "leases": run_leases,
+    }
+    await commands[args.command](args)
 
 
 def main() -> int:
