--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -185,6 +185,51 @@
     run(job())
 
 
+def test_call_that_has_no_answer_is_heard_out_while_the_next_one_waits(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Discovery answers it as it comes back, and what it tells then counts as told at once."""
+    monkeypatch.setattr(discovery, "ANSWER_S", 0.1)
+    monkeypatch.setattr(discovery, "BACKOFF_S", 20.0)  # what a test that misses the answer waits for
+
+    async def job() -> None:
+        async def back_late(writer: asyncio.StreamWriter) -> None:
+            await asyncio.sleep(0.4)
+            writer.write(HEAD + chunk(catalog(4, [])))
+            await asyncio.sleep(0.4)
+            writer.write(chunk(catalog(5, [], reset=False)))
+            await asyncio.Event().wait()
+
+        watch = Watch(back_late)
+        async with asyncio.timeout(10):
+            found = await news_of(watch, 2)
+        assert [news.event.version for news in found] == [4, 5]
+        assert len(watch.targets) == 1  # that was answered after all, and goes on
+
+    run(job())
+
+
+def test_watch_that_fell_silent_is_not_heard_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """What it has missed it would never tell, and what it tells later would hide that."""
+    for name in ("SILENT_S", "ANSWER_S"):
+        monkeypatch.setattr(discovery, name, 0.2)
+    monkeypatch.setattr(discovery, "BACKOFF_S", 1.0)
+
+    async def job() -> None:
+        async def missing_one(writer: asyncio.StreamWriter) -> None:
+            writer.write(HEAD + chunk(catalog(4, [])))
+            await asyncio.sleep(0.6)
+            writer.write(chunk(catalog(9, [], reset=False)))
+            await asyncio.Event().wait()
+
+        watch = Watch(missing_one, script(HEAD + chunk(catalog(6, [], reset=False))))
+        found = await news_of(watch, 2)
+        assert [news.event.version for news in found] == [4, 6]
+        assert watch.targets[1].endswith("after=4")
+
+    run(job())
+
+
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
 def test_numbers_that_make_no_sense_say_nothing(odd: object) -> None:
     listed = {**entry("s1", AT), "weight": odd, "startedAtMs": odd}
--- a/thistletrail/gateway/discovery.py
+++ b/thistletrail/gateway/discovery.py
@@ -265,11 +265,12 @@
 
     async def run(self) -> None:
         while not self.closed:
+            waited = False
             try:
                 if self.version is None:
-                    await self.read("/catalog/members")
+                    waited = await self.read("/catalog/members")
                 if self.version is not None:
-                    await self.read(f"/catalog/members?watch=1&after={self.version}")
+                    waited = await self.read(f"/catalog/members?watch=1&after={self.version}")
             except (OSError, TimeoutError) as error:
                 log.warning(
                     "no watch on discovery at %s:%d: %s; the list is %s",
@@ -282,15 +283,20 @@
             if self.retiring:
                 return
             self.at = (self.at + 1) % len(self.addresses)
-            await asyncio.sleep(self.random.uniform(0, self.backoff_s))
-            self.backoff_s = min(MOST_BACKOFF_S, self.backoff_s * 2)
+            if not waited:
+                await asyncio.sleep(self.wait_s())
+
+    def wait_s(self) -> float:
+        """The wait before the next try, drawn anew."""
+        most, self.backoff_s = self.backoff_s, min(MOST_BACKOFF_S, self.backoff_s * 2)
+        return self.random.uniform(0, most)
 
     def age(self) -> str:
         age = self.age_s()
         return f"{age:.1f} s old" if age >= 0 else "the one known at the start"
 
-    async def read(self, target: str) -> None:
-        """One answer, until it ends or has been silent for too long."""
+    async def read(self, target: str) -> bool:
+        """One answer, until it ends or has been silent for too long; whether the next try is due then."""
         host, port = self.address
         self.costs.watches += 1
         self.sockets += 1
@@ -299,19 +305,27 @@
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: self.kind(target, f"{host}:{port}", self.line), host, port
                 )
-            await self.follow(connection)
+            return await self.follow(connection)
         finally:
             self.sockets -= 1
 
-    async def follow(self, connection: WatchConnection) -> None:
+    async def follow(self, connection: WatchConnection) -> bool:
         self.connection = connection
         try:
             while not connection.ended.done():
                 left = connection.due() - time.monotonic()
                 if left <= 0:
                     log.warning("the watch on discovery is silent; the list is %s", self.age())
-                    return
-                await asyncio.wait([connection.ended], timeout=left)
+                    if connection.answered:  # what it has missed it would never tell
+                        return False
+                    # It is answered as discovery comes back, and what that tells counts at once: it stays
+                    # open while the next try waits.
+                    await asyncio.wait([connection.ended], timeout=self.wait_s())
+                    if not connection.answered:
+                        return True
+                else:
+                    await asyncio.wait([connection.ended], timeout=left)
+            return False
         finally:
             connection.close()
 
