--- a/tests/test_rig_relay.py
+++ b/tests/test_rig_relay.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.sockets import query, run
+from thistletrail.fault_injection.endpoint_list_rewriter import Listing
 from thistletrail.fault_injection.history import Writer, read
-from thistletrail.fault_injection.listing import Listing
 from thistletrail.fault_injection.relay import HOST, MOST_WAITING, Peers, Relay, Requests, State
 
 QUIET_S = 0.15  # for which nothing may come: a verdict that a slow machine can only keep
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -20,10 +20,10 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
 from thistletrail.benchmarks.standins import text
+from thistletrail.fault_injection.endpoint_list_rewriter import Listing
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.leases import Renewals
-from thistletrail.fault_injection.listing import Listing
 from thistletrail.fault_injection.plan import Fault, Plan
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
