--- a/tests/test_rig_relay.py
+++ b/tests/test_rig_relay.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.sockets import query, run
-from thistletrail.fault_injection.endpoint_list_rewriter import Listing
+from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.history import Writer, read
 from thistletrail.fault_injection.relay import HOST, MOST_WAITING, Peers, Relay, Requests, State
 
@@ -212,7 +212,7 @@
         len(line),
         line,
     )
-    listing = Listing("doors-0", address_of)
+    listing = EndpointListRewriter("doors-0", address_of)
     pieces = [piece for at in range(0, len(answer), 7) for piece in listing.feed(answer[at : at + 7])]
     data = b"".join(data for data, _ in pieces)
     assert b'"127.0.0.1:1111"' in data and b'"127.0.0.1:33"' in data and b":22" not in data
@@ -228,7 +228,7 @@
         }
     ]
     with pytest.raises(ValueError):
-        Listing("doors-0", address_of).feed(b"nonsense\r\n\r\n")
+        EndpointListRewriter("doors-0", address_of).feed(b"nonsense\r\n\r\n")
 
 
 class Ear(asyncio.DatagramProtocol):
--- a/thistletrail/fault_injection/endpoint_list_rewriter.py
+++ b/thistletrail/fault_injection/endpoint_list_rewriter.py
@@ -1,75 +1,94 @@
-"""The way of the list to one door: every scan server is named to it at the relay between the two.
+"""An endpoint list on its way from the registry to one gateway: every scan server gets its relay's address.
 
-As the platform's discovery does, each door is told other addresses for the same instances. What a line tells
-of lifecycles is noted when the line is written to the door.
+As the platform's discovery does, each gateway receives other addresses for the same instances. The lifecycles
+of an update are recorded in the history when its line is written to the gateway.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
 import h11
 import msgspec
 
 from thistletrail.fault_injection.relay import Notes
 
-MOST_LINE = 1 << 22  # bytes: two thousand entries are a fifth of that
+MAX_LINE_BYTES = 1 << 22
+"""Of one update: two thousand entries are a fifth of that."""
 
+AddressOf = Callable[[str, str], str]
+"""Gives the relay's address for an instance, by its id and the address it listens at."""
 
-class Listing:
-    """One answer of the list service on its way to a door: read, rewritten, sent on in chunks."""
 
-    def __init__(self, door: str, address_of: Callable[[str, str], str]) -> None:
-        """`address_of` gives the relay's address for an instance, by its id and the address it listens at."""
-        self.door, self.address_of = door, address_of
-        self.http = h11.Connection(h11.CLIENT)
-        self.http.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
-        self.http.send(h11.EndOfMessage())
-        self.buffer = b""
+class EndpointListRewriter:
+    """One response of the registry to a gateway: parsed, rewritten and passed on in chunks."""
+
+    def __init__(self, gateway: str, address_of: AddressOf) -> None:
+        """`gateway` is the name under which the history records what it received."""
+        self._gateway = gateway
+        self._address_of = address_of
+        self._incomplete_line = b""
+        # The parser reads a response only after a request of its own.
+        self._http = h11.Connection(h11.CLIENT)
+        self._http.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
+        self._http.send(h11.EndOfMessage())
 
     def feed(self, data: bytes) -> list[tuple[bytes, Notes]]:
-        """What to pass on, with the records of what it tells; what is no such answer is a ValueError."""
-        found: list[tuple[bytes, Notes]] = []
+        """Return the bytes to pass on, each with the history records of what they contain.
+
+        Raises `ValueError` if the data are not a response of the registry.
+        """
+        output: list[tuple[bytes, Notes]] = []
         try:
-            self.http.receive_data(data)
-            while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
-                self.take(event, found)
+            self._http.receive_data(data)
+            while (event := self._http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+                output += self._rewrite_event(event)
         except (h11.ProtocolError, msgspec.DecodeError, KeyError, TypeError) as error:
             raise ValueError(str(error)) from error
-        return found
+        return output
 
-    def take(self, event: object, found: list[tuple[bytes, Notes]]) -> None:
+    def _rewrite_event(self, event: object) -> list[tuple[bytes, Notes]]:
         if isinstance(event, h11.Response):
-            found.append((b"HTTP/1.1 %d OK\r\nTransfer-Encoding: chunked\r\n\r\n" % event.status_code, []))
-        elif isinstance(event, h11.Data):
-            *lines, self.buffer = (self.buffer + bytes(event.data)).split(b"\n")
-            if len(self.buffer) > MOST_LINE:
-                raise ValueError("a line without an end")
-            found += [self.line(line) for line in lines]
-        elif isinstance(event, h11.EndOfMessage):
-            if self.buffer:
-                found.append(self.line(self.buffer))
-                self.buffer = b""
-            found.append((b"0\r\n\r\n", []))
-
-    def line(self, line: bytes) -> tuple[bytes, Notes]:
-        notes: list[dict[str, object]] = []
+            head = b"HTTP/1.1 %d OK\r\nTransfer-Encoding: chunked\r\n\r\n" % event.status_code
+            return [(head, [])]
+        if isinstance(event, h11.Data):
+            *lines, self._incomplete_line = (self._incomplete_line + bytes(event.data)).split(b"\n")
+            if len(self._incomplete_line) > MAX_LINE_BYTES:
+                raise ValueError(f"a line of the registry has more than {MAX_LINE_BYTES} bytes")
+            return [self._rewrite_line(line) for line in lines]
+        if isinstance(event, h11.EndOfMessage):
+            return self._rewrite_end()
+        return []
+
+    def _rewrite_end(self) -> list[tuple[bytes, Notes]]:
+        output: list[tuple[bytes, Notes]] = []
+        if self._incomplete_line:
+            output.append(self._rewrite_line(self._incomplete_line))
+            self._incomplete_line = b""
+        output.append((b"0\r\n\r\n", []))
+        return output
+
+    def _rewrite_line(self, line: bytes) -> tuple[bytes, Notes]:
+        """Return the chunk with the rewritten line, and its history record unless the line is empty."""
+        records: list[dict[str, object]] = []
         if line.strip():
-            value = msgspec.json.decode(line)
-            for entry in value.get("instances", ()):
+            update = msgspec.json.decode(line)
+            for entry in update.get("instances", ()):
                 if "hostPort" in entry:
-                    entry["hostPort"] = self.address_of(entry["instanceId"], entry["hostPort"])
-            notes = [
-                {
-                    "kind": "told",
-                    "door": self.door,
-                    "generation": value.get("generation"),
-                    "whole": bool(value.get("reset")),
-                    "servers": {
-                        entry["instanceId"]: entry["lifecycle"] for entry in value.get("instances", ())
-                    },
-                }
-            ]
-            line = msgspec.json.encode(value)
+                    entry["hostPort"] = self._address_of(entry["instanceId"], entry["hostPort"])
+            records = [self._history_record(update)]
+            line = msgspec.json.encode(update)
         line += b"\n"
-        return b"%x\r\n%b\r\n" % (len(line), line), notes
+        return b"%x\r\n%b\r\n" % (len(line), line), records
+
+    def _history_record(self, update: dict[str, Any]) -> dict[str, object]:
+        """Return the record in the form of the stored histories, whose names stay as they are."""
+        entries = update.get("instances", ())
+        return {
+            "kind": "told",
+            "door": self._gateway,
+            "generation": update.get("generation"),
+            "whole": bool(update.get("reset")),
+            "servers": {entry["instanceId"]: entry["lifecycle"] for entry in entries},
+        }
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -20,7 +20,7 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
 from thistletrail.benchmarks.standins import text
-from thistletrail.fault_injection.endpoint_list_rewriter import Listing
+from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.leases import Renewals
@@ -203,7 +203,7 @@
         found = self.relays.get((link, near, far))
         if found is None:
             make = (
-                (lambda: Listing(near, lambda name, at: self.address_of(near, name, at)))
+                (lambda: EndpointListRewriter(near, lambda name, at: self.address_of(near, name, at)))
                 if link in ("doors-list", "doors-follower")
                 else None
             )
