--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -11,8 +11,8 @@
 
 from tests.sockets import CONFIG, HOST, Backend, Client, query, run
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.frontdoor import FrontDoor
-from thistletrail.policy import interface as i
+from thistletrail.gateway.server import FrontDoor
+from thistletrail.policy.events import ServerState
 from thistletrail.registry.follower import Follower
 from thistletrail.registry.http_service import ReadService, RegistryService
 from thistletrail.registry.registration import InstanceSettings, Registration
@@ -68,7 +68,7 @@
         assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
-async def wait_until_known(gateway: FrontDoor, *names: str, state: i.ServerState = i.ServerState.UP) -> None:
+async def wait_until_known(gateway: FrontDoor, *names: str, state: ServerState = ServerState.UP) -> None:
     """Wait until the gateway knows just these in that state."""
 
     def found() -> set[str]:
@@ -109,7 +109,7 @@
             await wait_until_known(gateway, "s-1", "s-2")
             client = await Client.open(gateway.address)
             await servers["s-1"][1].drain()
-            await wait_until_known(gateway, "s-1", state=i.ServerState.DRAINING)
+            await wait_until_known(gateway, "s-1", state=ServerState.DRAINING)
             before = len(servers["s-1"][0].commands)
             await send_queries(client, 20, "drained")
             assert len(servers["s-1"][0].commands) == before
@@ -163,7 +163,7 @@
             gateway.reconfigure(replace(gateway.config, discovery=(first,)))  # as SIGHUP does
             await follower_registry.stop()
             await servers["s-1"][1].drain()
-            await wait_until_known(gateway, "s-1", state=i.ServerState.DRAINING)
+            await wait_until_known(gateway, "s-1", state=ServerState.DRAINING)
             gateway.close()
         await registry.stop()
 
