--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,8 +33,8 @@
     SnapshotFound,
 )
 from thistletrail.policy.snapshot import collect
-from thistletrail.registry.log import Log
-from thistletrail.registry.store import Instance
+from thistletrail.registry.instance import Instance
+from thistletrail.registry.journal import Journal
 
 DATA = Path(__file__).parent / "data" / "a1df16a"
 
@@ -353,8 +353,8 @@
 
 def test_the_registry_of_a1df16a_is_restored(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
-    log = Log(tmp_path / "registry")
-    store = log.open(0, REGISTRY_NOW_MS)
+    journal = Journal(tmp_path / "registry")
+    store = journal.open(0, REGISTRY_NOW_MS)
     assert list(store.instances.values()) == [
         Instance("s1", "127.9.0.2:6380", "a", "m4", 0, 2.5, "SERVING", 1764699999000, 10_000, GENERATION + 6),
         Instance("s2", "127.9.0.3:6379", "b", "m2", 7, 1.0, "SERVING", 0, 15_000, GENERATION + 12),
@@ -371,35 +371,35 @@
         ("s5", "SERVING"),
         ("s2", "SERVING"),
     ]
-    assert store.addresses == {
+    assert store.id_by_address == {
         "127.9.0.2:6380": "s1",
         "127.9.0.3:6379": "s2",
         "127.9.0.4:6379": "s4",
         "127.9.0.6:6379": "s5",
     }
-    assert not log.is_filling()
-    log.close()
+    assert not journal.is_filling()
+    journal.close()
 
 
 def test_leases_of_a1df16a_hold_for_the_grace_and_then_for_their_own_time(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
-    log = Log(tmp_path / "registry")
-    store = log.open(0, REGISTRY_NOW_MS)
-    assert store.expires == dict.fromkeys(("s1", "s2", "s4", "s5"), REGISTRY_NOW_MS + GRACE_MS)
+    journal = Journal(tmp_path / "registry")
+    store = journal.open(0, REGISTRY_NOW_MS)
+    assert store.lease_end_ms == dict.fromkeys(("s1", "s2", "s4", "s5"), REGISTRY_NOW_MS + GRACE_MS)
     store.renew("s2", REGISTRY_NOW_MS + GRACE_MS)
     store.renew("s5", REGISTRY_NOW_MS + GRACE_MS)
-    assert store.expires["s2"] == REGISTRY_NOW_MS + GRACE_MS + 15_000
-    assert store.expires["s5"] == REGISTRY_NOW_MS + GRACE_MS + 600_000
-    log.close()
+    assert store.lease_end_ms["s2"] == REGISTRY_NOW_MS + GRACE_MS + 15_000
+    assert store.lease_end_ms["s5"] == REGISTRY_NOW_MS + GRACE_MS + 600_000
+    journal.close()
 
 
 def test_the_registry_goes_on_from_a1df16a_and_writes_what_it_read(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
-    log = Log(tmp_path / "registry")
-    store = log.open(0, REGISTRY_NOW_MS)
-    assert store.leave("s5").generation == GENERATION + 13
-    log.close()
+    journal = Journal(tmp_path / "registry")
+    store = journal.open(0, REGISTRY_NOW_MS)
+    assert store.deregister("s5").generation == GENERATION + 13
+    journal.close()
     written = (tmp_path / "registry" / "log").read_bytes()
     assert written.startswith((DATA / "registry" / "log").read_bytes())
-    again = Log(tmp_path / "registry").open(0, REGISTRY_NOW_MS)
+    again = Journal(tmp_path / "registry").open(0, REGISTRY_NOW_MS)
     assert again.generation == GENERATION + 13 and "s5" not in again.instances
--- a/thistletrail/registry/store.py
+++ b/thistletrail/registry/store.py
@@ -82,7 +82,8 @@
         self.grace_end_ms = 0
         """Until when no instance is deleted for its expired lease."""
         self.persist: PersistChanges = discard_changes
-        self._id_by_address: dict[str, str] = {}
+        self.id_by_address: dict[str, str] = {}
+        """Ids of the instances by the address that each has taken last."""
         self._checked_ms = now_ms
         self._warn = warn
 
@@ -94,7 +95,7 @@
         store.floor = snapshot.generation
         for instance in snapshot.instances:
             store.instances[instance.id] = instance
-            store._id_by_address[instance.address] = instance.id
+            store.id_by_address[instance.address] = instance.id
         return store
 
     def snapshot(self) -> StoreSnapshot:
@@ -117,7 +118,7 @@
             self.renew(instance.id, now_ms)
             return known
         changes = [replace(instance, lifecycle=Lifecycle.SERVING)]
-        previous_id = self._id_by_address.get(instance.address)
+        previous_id = self.id_by_address.get(instance.address)
         if previous_id is not None and previous_id != instance.id:
             changes.insert(0, replace(self.instances[previous_id], lifecycle=Lifecycle.DELETED))
         registered = self._commit(changes)[-1]
@@ -183,15 +184,15 @@
             self.expired_since_ms.pop(change.id, None)
         else:
             self.instances[change.id] = change
-            self._id_by_address[change.address] = change.id
+            self.id_by_address[change.address] = change.id
         self.history.append(change)
         while len(self.history) > MAX_HISTORY:
             self.floor = self.history.popleft().generation
 
     def _release_address(self, instance_id: str) -> None:
         known = self.instances.get(instance_id)
-        if known is not None and self._id_by_address.get(known.address) == instance_id:
-            del self._id_by_address[known.address]
+        if known is not None and self.id_by_address.get(known.address) == instance_id:
+            del self.id_by_address[known.address]
 
     # --- leases ---
 
