--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,8 +33,8 @@
     SnapshotFound,
 )
 from thistletrail.policy.snapshot import collect
+from thistletrail.registry.instance import Instance
 from thistletrail.registry.journal import Journal
-from thistletrail.registry.store import Instance
 
 DATA = Path(__file__).parent / "data" / "a1df16a"
 
@@ -371,7 +371,7 @@
         ("s5", "SERVING"),
         ("s2", "SERVING"),
     ]
-    assert store._id_by_address == {
+    assert store.id_by_address == {
         "127.9.0.2:6380": "s1",
         "127.9.0.3:6379": "s2",
         "127.9.0.4:6379": "s4",
