--- a/tests/test_roster_follow.py
+++ b/tests/test_roster_follow.py
@@ -14,6 +14,7 @@
 from hypothesis import strategies as st
 
 from tests.test_roster_store import UNIX_MS, instance
+from thistletrail.benchmarks.process import free_port
 from thistletrail.registry import follow
 from thistletrail.registry.follow import Copy, Follower, read_news
 from thistletrail.registry.server import READ_PATH, Reader, Service
@@ -23,10 +24,11 @@
 
 
 @asynccontextmanager
-async def up(service: Reader, port: int = 0) -> AsyncIterator[str]:
+async def up(service: Reader, port: int | None = None) -> AsyncIterator[str]:
+    """A service that listens while the block lasts, at a port that it can have again later in the test."""
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
-    await web.TCPSite(runner, "127.0.0.1", port, reuse_address=True).start()
+    await web.TCPSite(runner, "127.0.0.1", port or free_port(), reuse_address=True).start()
     yield "{}:{}".format(*runner.addresses[0])
     await runner.cleanup()
 
@@ -92,7 +94,7 @@
         register(first, "s-1")
         runner = web.AppRunner(first.app, access_log=None, shutdown_timeout=1)
         await runner.setup()
-        await web.TCPSite(runner, "127.0.0.1", 0).start()
+        await web.TCPSite(runner, "127.0.0.1", free_port(), reuse_address=True).start()
         port = runner.addresses[0][1]
         second = Follower(f"127.0.0.1:{port}", random.Random(1))
         async with up(second) as two:
