--- a/thistletrail/registry/follower.py
+++ b/thistletrail/registry/follower.py
@@ -12,6 +12,7 @@
 from collections import deque
 from collections.abc import AsyncIterator
 from dataclasses import replace
+from http import HTTPStatus
 
 from aiohttp import ClientError, ClientResponse, ClientSession, ClientTimeout, web
 
@@ -151,7 +152,7 @@
         return {"role": "follower", "source": self.source, "instances": len(self.replica.instances)}
 
     async def _reject_write(self, _: web.Request) -> web.Response:
-        return json_error(403, f"this is a follower: write to {self.source}")
+        return json_error(HTTPStatus.FORBIDDEN, f"this is a follower: write to {self.source}")
 
     async def follow(self) -> None:
         """Watch the source until cancelled; a watch that ends is resumed at the generation it had reached."""
@@ -189,7 +190,7 @@
 
 def _check_watch_response(response: ClientResponse) -> None:
     retry_after = response.headers.get("Retry-After", "")
-    if response.status == 503 and retry_after.isdecimal():
+    if response.status == HTTPStatus.SERVICE_UNAVAILABLE and retry_after.isdecimal():
         raise RetryLaterError(min(MAX_RETRY_AFTER_S, float(retry_after)))
-    if response.status != 200:
+    if response.status != HTTPStatus.OK:
         raise MalformedResponseError(f"expected status 200, found {response.status}")
--- a/thistletrail/registry/http_service.py
+++ b/thistletrail/registry/http_service.py
@@ -13,6 +13,7 @@
 import math
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Mapping
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any, Protocol
 
@@ -84,12 +85,12 @@
 
 def _status_of_rejection(error: RejectedError) -> int:
     if isinstance(error, ConflictError):
-        return 409
+        return HTTPStatus.CONFLICT
     if isinstance(error, UnknownInstanceError):
-        return 404
+        return HTTPStatus.NOT_FOUND
     if isinstance(error, StorageError):
-        return 507
-    return 400
+        return HTTPStatus.INSUFFICIENT_STORAGE
+    return HTTPStatus.BAD_REQUEST
 
 
 def _retry_after_header(error: UnavailableError) -> dict[str, str]:
@@ -107,9 +108,9 @@
     except RejectedError as error:
         return json_error(_status_of_rejection(error), str(error))
     except UnavailableError as error:
-        return json_error(503, str(error), _retry_after_header(error))
+        return json_error(HTTPStatus.SERVICE_UNAVAILABLE, str(error), _retry_after_header(error))
     except web.HTTPException as error:
-        if error.status < 400:
+        if error.status < HTTPStatus.BAD_REQUEST:
             raise
         return json_error(error.status, error.reason)
 
@@ -199,7 +200,7 @@
             )
         after = _parse_after(request.query.get("after", ""))
         if self.watcher_count >= MAX_WATCHERS:
-            return json_error(503, f"there are {MAX_WATCHERS} watches already")
+            return json_error(HTTPStatus.SERVICE_UNAVAILABLE, f"there are {MAX_WATCHERS} watches already")
         self.watcher_count += 1
         try:
             return await self._watch(request, after)
@@ -321,7 +322,8 @@
             try:
                 deleted = self.store.expire_leases(now_ms())
             except RejectedError as error:
-                log.error("instances with expired leases are retained for now: %s", error)
+                # The message says all: a traceback would add nothing to a full disk.
+                log.error("instances with expired leases are retained for now: %s", error)  # noqa: TRY400
                 continue
             if deleted:
                 self.notify_watchers()
--- a/thistletrail/registry/registration.py
+++ b/thistletrail/registry/registration.py
@@ -13,6 +13,7 @@
 import random
 from collections.abc import Collection, Mapping
 from dataclasses import asdict, dataclass
+from http import HTTPStatus
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
@@ -128,8 +129,10 @@
         """
         for _ in range(MAX_ATTEMPTS):
             body = {"generation": self.generation, "lifecycle": Lifecycle.DRAINING}
-            response = await self.request("PATCH", "", body, MAX_ATTEMPTS, (200, 404, 409))
-            if response.status != 409:
+            response = await self.request(
+                "PATCH", "", body, MAX_ATTEMPTS, (HTTPStatus.OK, HTTPStatus.NOT_FOUND, HTTPStatus.CONFLICT)
+            )
+            if response.status != HTTPStatus.CONFLICT:
                 return
             # Somebody else changed the instance: the renewal answers with its generation.
             await self.renew(MAX_ATTEMPTS)
@@ -143,7 +146,7 @@
         if self._session is None:
             return
         try:
-            await self.request("DELETE", "", None, MAX_ATTEMPTS, (200, 404))
+            await self.request("DELETE", "", None, MAX_ATTEMPTS, (HTTPStatus.OK, HTTPStatus.NOT_FOUND))
         finally:
             await self.aclose()
 
@@ -155,7 +158,7 @@
             self._session = None
 
     async def renew(
-        self, max_attempts: int = UNLIMITED_ATTEMPTS, accepted: Collection[int] = (200,)
+        self, max_attempts: int = UNLIMITED_ATTEMPTS, accepted: Collection[int] = (HTTPStatus.OK,)
     ) -> RegistryResponse:
         """Renew the lease once; the parameters and errors are those of `request`."""
         return await self.request("POST", "/renew", None, max_attempts, accepted)
@@ -166,7 +169,7 @@
         path: str,
         body: Mapping[str, object] | None,
         max_attempts: int = UNLIMITED_ATTEMPTS,
-        accepted: Collection[int] = (200,),
+        accepted: Collection[int] = (HTTPStatus.OK,),
     ) -> RegistryResponse:
         """Repeat a call until the registry answers with a status below 500, and return the answer.
 
@@ -176,7 +179,7 @@
         response = await self._request_until_answered(method, path, body, max_attempts)
         if response.status not in accepted:
             raise RegistrationRejectedError(response.error or f"the registry answered {response.status}")
-        if response.status == 200 and response.generation is not None:
+        if response.status == HTTPStatus.OK and response.generation is not None:
             self.generation = response.generation
         return response
 
@@ -188,7 +191,7 @@
             attempts += 1
             try:
                 response = await self.request_once(method, path, body)
-                if response.status < 500:
+                if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
                     return response
                 reason = response.error or str(response.status)
             except (ClientError, OSError, TimeoutError, ValueError) as error:
@@ -214,13 +217,14 @@
         while True:
             await asyncio.sleep(self.renewal_interval_s * (1 - RENEWAL_JITTER * self._random.random()))
             try:
-                response = await self.renew(accepted=(200, 404))
-                if response.status == 404:
+                response = await self.renew(accepted=(HTTPStatus.OK, HTTPStatus.NOT_FOUND))
+                if response.status == HTTPStatus.NOT_FOUND:
                     # The registry has lost its data, or the lease expired while renewals did not arrive.
                     log.warning("the registry does not know this instance: it registers again")
                     await self._register()
             except RegistrationError as error:
-                log.error("the registry rejects this instance: %s", error)
+                # The message is the sentence of the registry: a traceback would add nothing.
+                log.error("the registry rejects this instance: %s", error)  # noqa: TRY400
 
 
 def _decode_response(status: int, text: str) -> RegistryResponse:
