--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -10,7 +10,8 @@
 from thistletrail.fault_injection.checks import Seen, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
-from thistletrail.gateway.config import ConfigError, read_steward
+from thistletrail.gateway.config import read_budget_leases
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.policy.actions import Action, RejectRequest, StartAttempt
 from thistletrail.policy.events import AttemptResult, BudgetGranted, BudgetKey, BudgetKind, ClientDisconnected
 from thistletrail.policy.leased_budgets import FLOOR, WANTED_US, wanted
@@ -243,14 +244,17 @@
     "values, said",
     [
         ([], None),
-        (3, "no object"),
+        (3, "expected an object"),
         ({"secret_file": "/nowhere", "addresses": "x"}, "cannot read"),
-        ({"secret_file": __file__, "addresses": "nowhere"}, "not an address"),
-        ({"secret_file": __file__, "addresses": "127.0.0.1:1", "lease_ms": 5}, "less than 500"),
-        ({"secret_file": __file__, "addresses": "127.0.0.1:1", "further_attempts": 3}, "no rate from 0"),
+        ({"secret_file": __file__, "addresses": "nowhere"}, "expected an address as host:port"),
+        ({"secret_file": __file__, "addresses": "127.0.0.1:1", "lease_ms": 5}, "expected at least 500"),
+        (
+            {"secret_file": __file__, "addresses": "127.0.0.1:1", "further_attempts": 3},
+            "expected a rate from 0",
+        ),
         (
             {"secret_file": __file__, "addresses": "127.0.0.1:1", "further_attempts": {"rate": 1}},
-            "no burst from",
+            "expected a burst from",
         ),
         (
             {
@@ -258,7 +262,7 @@
                 "addresses": "127.0.0.1:1",
                 "further_attempts": {"rate": 1, "burst": 0.5},
             },
-            "burst of less than 1",
+            "burst of at least 1",
         ),
         (
             {
@@ -266,17 +270,20 @@
                 "addresses": "127.0.0.1:1",
                 "further_attempts": {"rate": float("nan"), "burst": 1},
             },
-            "no rate from 0",
+            "expected a rate from 0",
+        ),
+        (
+            {"secret_file": __file__, "addresses": "127.0.0.1:1", "quotas": 1},
+            "expected true or false as quotas",
         ),
-        ({"secret_file": __file__, "addresses": "127.0.0.1:1", "quotas": 1}, "neither true nor false"),
     ],
 )
-def test_what_is_wrong_with_the_part_on_the_steward_is_one_line(values: object, said: str | None) -> None:
+def test_what_is_wrong_with_the_part_on_budget_leases_is_one_line(values: object, said: str | None) -> None:
     if said is None:
-        assert read_steward(values) is None
+        assert read_budget_leases(values) is None
         return
     with pytest.raises(ConfigError, match=said):
-        read_steward(values)
+        read_budget_leases(values)
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -12,8 +12,9 @@
 from tests.test_program import config, start, write
 from thistletrail.gateway import backends
 from thistletrail.gateway import cost_counters as costs
-from thistletrail.gateway.config import ConfigError, load
+from thistletrail.gateway.config import load
 from thistletrail.gateway.cost_counters import REST, Costs, Stages
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.peer_transport import Peers
 from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import SendPeerMessage
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -17,7 +17,7 @@
 from tests.test_program import config as values_of
 from tests.test_program import write as write_config
 from thistletrail.gateway import snapshot_store as keep
-from thistletrail.gateway.config import ConfigError
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.server import FrontDoor
 from thistletrail.gateway.snapshot_store import (
     Keep,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,7 +29,8 @@
     value,
 )
 from thistletrail.gateway.__main__ import LINES_AT_ONCE, LINES_SPAN_S, RateLimit
-from thistletrail.gateway.config import ConfigError, load
+from thistletrail.gateway.config import load
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.policy.events import (
     EndpointUpdate,
     EndpointUpdateKind,
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -7,7 +7,8 @@
 import pytest
 
 from tests.helpers import SETTINGS, S, World, copied, log_of, of, servers
-from thistletrail.gateway.config import ConfigError, read_takeover
+from thistletrail.gateway.config import read_work_leases
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.leasing import book as books
 from thistletrail.leasing import check_work, work
 from thistletrail.leasing.book import Book, begin
@@ -546,17 +547,20 @@
 @pytest.mark.parametrize(
     "values, said",
     [
-        ([1], "no object"),
-        ({"addresses": "h:1", "classes": ["x"], "secret_file": "/nowhere"}, "'x' that is none"),
-        ({"addresses": "h:1", "classes": [], "secret_file": "/nowhere"}, "names no classes"),
+        ([1], "expected an object"),
+        (
+            {"addresses": "h:1", "classes": ["x"], "secret_file": "/nowhere"},
+            "expected a class of the settings in work_leases, found 'x'",
+        ),
+        ({"addresses": "h:1", "classes": [], "secret_file": "/nowhere"}, "expected names of classes"),
         ({"addresses": "h:1", "classes": ["a"], "secret_file": "/nowhere"}, "cannot read"),
     ],
 )
-def test_what_is_wrong_with_the_part_on_takeover_is_one_line(values: object, said: str) -> None:
+def test_what_is_wrong_with_the_part_on_work_leases_is_one_line(values: object, said: str) -> None:
     with pytest.raises(ConfigError, match=said) as caught:
-        read_takeover(values, {"a": 0})
+        read_work_leases(values, {"a": 0})
     assert "\n" not in str(caught.value)
-    assert read_takeover(None, {}) is None
+    assert read_work_leases(None, {}) is None
 
 
 # --- the wire ---
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -41,6 +41,9 @@
     run: str
     tells_costs: bool  # whether SIGUSR1 brings a line; else it would end the process
     many_lists: bool = True  # whether a front door takes several addresses of discovery
+    has_lease_keys: bool = (
+        True  # whether its file has `budget_leases`, `work_leases`; else `steward`, `takeover`
+    )
 
 
 def last_line(said: bytes) -> str:
@@ -79,7 +82,8 @@
     folder = gateway_folder(root)
     takes_many = "read_addresses" in (folder / "config.py").read_text()
     tells_costs = any((folder / name).exists() for name in ("cost_counters.py", "costs.py"))
-    return Tree(root, run, tells_costs, takes_many)
+    has_lease_keys = (folder / "legacy_settings.py").exists()
+    return Tree(root, run, tells_costs, takes_many, has_lease_keys)
 
 
 @contextlib.contextmanager
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -93,7 +93,8 @@
             async with contextlib.AsyncExitStack() as stack:
                 keeper = await stack.enter_async_context(steward(folder, seed)) if kept else None
                 if keeper:
-                    values["takeover"] = {
+                    key = "work_leases" if tree.has_lease_keys else "takeover"
+                    values[key] = {
                         "addresses": text(keeper.address),
                         "classes": ["submit-record"],
                         "secret_file": str(folder / "secret"),
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -303,7 +303,7 @@
                     "may-cancel": True,
                 },
             },
-            **({"takeover": told} if self.takeover else {}),
+            **({"work_leases" if self.tree.has_lease_keys else "takeover": told} if self.takeover else {}),
         }
 
     async def start_door(self, number: int) -> None:
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -329,12 +329,15 @@
             "secret_file": str(found[0].folder / "secret"),
         }
         leased = {**told, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
-        config: dict[str, Any] = {"steward": leased} if self.plan.steward else {}
+        has_lease_keys = self.tree.has_lease_keys
+        budget_key = "budget_leases" if has_lease_keys else "steward"
+        work_key = "work_leases" if has_lease_keys else "takeover"
+        config: dict[str, Any] = {budget_key: leased} if self.plan.steward else {}
         if self.plan.further:
             rate, burst = self.plan.further
-            config["steward"]["further_attempts"] = {"rate": rate, "burst": int(burst)}
+            config[budget_key]["further_attempts"] = {"rate": rate, "burst": int(burst)}
         if self.plan.takeover:
-            config["takeover"] = {**told, "classes": list(self.plan.takeover)}
+            config[work_key] = {**told, "classes": list(self.plan.takeover)}
         return config
 
     async def start_own(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -11,7 +11,8 @@
 
 import uvloop
 
-from thistletrail.gateway.config import Config, ConfigError, load, reload
+from thistletrail.gateway.config import Config, load, reload
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.server import FrontDoor
 
 log = logging.getLogger("thistletrail.gateway")
@@ -92,13 +93,13 @@
         take_over(door)
     if keep:
         keep.recall(door)
-    if config.takeover:
+    if config.work_leases:
         from thistletrail.gateway.takeover import Takeover
 
         door.takeover = Takeover(door, config)
         working = loop.create_task(door.takeover.run())
     await door.start()
-    if config.steward:
+    if config.budget_leases:
         from thistletrail.gateway.budget_lease_client import Allowances  # no steward, no packages for it
 
         allowances = Allowances(door, config)
@@ -111,9 +112,9 @@
     await stopped.wait()
     log.info("%s drains", config.name)
     await door.drain()
-    if config.steward:
+    if config.budget_leases:
         renewing.cancel()
-    if config.takeover:
+    if config.work_leases:
         await door.takeover.close()
         working.cancel()
     if keep:
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -43,8 +43,8 @@
         self.taken: dict[str, int] = {}  # by budget: the fence of the grant that was handed on last
         self.needs = 0  # units that were waited for at the last ask
         self.patience_s = self.asked_at = 0.0  # for how long after an ask none is made for units alone
-        self.most_s = config.steward.lease_ms * RENEW_SHARE / 1000
-        steward = config.steward
+        self.most_s = config.budget_leases.lease_ms * RENEW_SHARE / 1000
+        steward = config.budget_leases
         self.renewer = Renewer(
             self.holder,
             steward.addresses,
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -1,47 +1,71 @@
-"""What a front door is told at its start: the environment and the JSON file, checked and typed."""
+"""The configuration of a gateway: the environment and the JSON file that it names, checked and typed."""
 
 import json
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, NamedTuple
 
+from thistletrail.gateway.errors import ConfigError
+from thistletrail.gateway.legacy_settings import with_current_keys
 from thistletrail.policy.codec import Pairs, read_settings
 from thistletrail.policy.settings import Settings
 
-Address = tuple[str, int]
+MAX_ERROR_CHARACTERS = 200  # of an error's text that are shown: a value of the file may be in it
+MAX_PORT = 65535
+DEFAULT_LEASE_MS = 3000
+MIN_LEASE_MS = 500  # renewed at a third of it: a shorter one would leave a renewal under 170 ms
+MAX_RETRY_BUDGET = 1e6  # of both rate (a second) and burst, in retries; more is taken for a mistake
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 64
+# What holds where the operators' file has no ceiling of this name.
+DEFAULT_CONNECTION_IDLE_US = 30_000_000
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+DEFAULT_MAX_OPEN_REQUESTS = 20_000
 
-MOST_TEXT = 200  # characters of an error: a value of the file may be in it
 
+class Address(NamedTuple):
+    """A host and port; equal to the plain tuple that the socket module gives."""
 
-class ConfigError(Exception):
-    """The environment or the configuration is not usable; the text is one plain line."""
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
-class Steward:
-    """The steward of the fleet's budgets: where it is, one address of several at a time, and the secret."""
+class RetryBudget:
+    """A token bucket for the retries of all gateways together; a rate of 0 divides none."""
 
-    addresses: tuple[Address, ...]
-    secret: bytes
+    rate: float = 0.0  # retries a second
+    burst: float = 0.0  # retries
+
+
+@dataclass(frozen=True, slots=True)
+class BudgetLeaseSettings:
+    """The lease service that divides budgets among gateways (`budget_leases` of the file)."""
+
+    addresses: tuple[Address, ...]  # one is used at a time, the next where that fails
+    secret: bytes  # signs requests to the lease service and its answers
     lease_ms: int
-    retry_rate: float = 0.0  # of all front doors' further attempts, a second; 0: not divided
-    retry_burst: float = 0.0
-    quotas: bool = False  # whether customers' quotas are divided too, and what plans let be open at once
-    open: bool = False
+    retry_budget: RetryBudget = RetryBudget()
+    divides_quotas: bool = False
+    divides_in_flight: bool = False  # the limits of plans on requests in flight
 
 
 @dataclass(frozen=True, slots=True)
-class Takeover:
-    """Who keeps work in hand, so that another door goes on with it: the steward, and for which classes."""
+class WorkLeaseSettings:
+    """The lease service that records work items, so that another gateway finishes those of one that failed
+    (`work_leases` of the file)."""
 
     addresses: tuple[Address, ...]
     secret: bytes
-    classes: frozenset[int]
+    classes: frozenset[int]  # the indices of the request classes that are recorded
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The front door's own address, whom it talks to, its limits and the module's settings."""
+    """All that a gateway is configured with. Durations have their unit in their name."""
 
     name: str
     listen: Address
@@ -53,211 +77,244 @@
     kind_numbers: Mapping[str, int]
     conn_idle_us: int
     connect_timeout_us: int
-    max_open: int
+    max_open: int  # requests
     sockets: int
     memory_mb: int
-    known: Mapping[str, Any]
-    time_stages: bool = False  # tell the processor time by stage, which itself takes some
+    known: Mapping[str, Any]  # an endpoint list in discovery's form, used until discovery sends one
+    time_stages: bool = False  # measure processor time by stage, which itself takes some
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
-    steward: Steward | None = None  # who divides ceilings by leases; none: fixed parts and words
-    takeover: Takeover | None = None  # none: work in hand is lost with its door
-    state_dir: str = ""  # where a snapshot is kept for the next start; none: nowhere
+    budget_leases: BudgetLeaseSettings | None = None  # None: fixed shares and quota messages
+    work_leases: WorkLeaseSettings | None = None  # None: requests in flight are lost with their gateway
+    state_dir: str = ""  # the folder of the snapshot for the next start; empty: nothing is stored
     clock_offset_ms: int = 0  # added to the system's time, for tests of clocks that are off
 
 
+def load(env: Mapping[str, str]) -> Config:
+    """The configuration that the environment points to; a ConfigError where it cannot be used."""
+    path = env.get("PROXY_CONFIG")
+    if not path:
+        raise ConfigError("PROXY_CONFIG is not set")
+    values = _read_file(path)
+    try:
+        return parse(with_current_keys(values), env)
+    except ConfigError as error:
+        raise ConfigError(one_line(error)) from error
+    except KeyError as error:
+        raise ConfigError(f"the configuration lacks or does not know {one_line(error)}") from error
+    except (TypeError, ValueError, AttributeError, IndexError, ArithmeticError) as error:
+        raise ConfigError(f"the configuration is malformed: {one_line(error)}") from error
+
+
+def reload(env: Mapping[str, str]) -> Config:
+    """The configuration anew. The environment is as old as the process: in a file that was replaced
+    since, the address of discovery is the newer one."""
+    return load({name: value for name, value in env.items() if name != "PROXY_DISCOVERY"})
+
+
+def parse(values: Mapping[str, Any], env: Mapping[str, str]) -> Config:
+    """The configuration from the file's values, where the environment goes before them."""
+    settings = values["settings"]
+    pairs = Pairs(dict(flatten(settings)))
+    class_numbers = index_by_name(settings["categories"])
+    peer_listen = values.get("peer_listen")
+    limits = values.get("limits") or {}
+    budget_leases = read_budget_leases(values.get("budget_leases"))
+    config = Config(
+        name=env.get("PROXY_NAME") or values["name"],
+        listen=read_address(env.get("PROXY_LISTEN") or values["listen"]),
+        discovery=read_addresses(env.get("PROXY_DISCOVERY") or values["discovery"]),
+        settings=with_budget_leases(read_settings(int(values["seed"], 16), pairs), budget_leases),
+        class_numbers=class_numbers,
+        plan_numbers=index_by_name(settings["plans"]),
+        zone_numbers=index_by_name(settings.get("zones")),
+        kind_numbers=index_by_name(settings.get("kinds")),
+        conn_idle_us=pairs.whole("ceilings.conn-idle-us", DEFAULT_CONNECTION_IDLE_US),
+        connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", DEFAULT_CONNECT_TIMEOUT_US),
+        max_open=pairs.whole("ceilings.max-open", DEFAULT_MAX_OPEN_REQUESTS),
+        sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+        memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
+        known=values.get("known") or {},
+        time_stages=read_flag(values, "time_stages"),
+        peer_listen=read_address(peer_listen) if peer_listen else None,
+        peers=tuple(map(read_address, values.get("peers") or ())),
+        budget_leases=budget_leases,
+        work_leases=read_work_leases(values.get("work_leases"), class_numbers),
+        state_dir=read_path(values, "state_dir"),
+        clock_offset_ms=int(values.get("clock_offset_ms") or 0),
+    )
+    _check(config)
+    return config
+
+
 def read_address(text: str) -> Address:
+    """An address from `host:port`; a ConfigError for any other text."""
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ConfigError(f"'{text}' is not an address")
-    return host, int(port)
+    if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise ConfigError(f"expected an address as host:port, found '{text}'")
+    return Address(host, int(port))
 
 
 def read_addresses(value: object) -> tuple[Address, ...]:
-    """One address, or several: a list of texts, or a text with commas between them."""
+    """One address, or several: a list of texts, or a text with commas between them. Repeats are dropped."""
     texts = value.split(",") if isinstance(value, str) else value
     if not isinstance(texts, list) or not texts or not all(isinstance(text, str) for text in texts):
-        raise ConfigError(f"'{value}' is no address and no list of them")
+        raise ConfigError(f"expected an address or a list of addresses, found '{value}'")
     return tuple(dict.fromkeys(read_address(text.strip()) for text in texts))
 
 
-def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value pairs of the simulator's wire."""
-    if isinstance(value, dict):
-        for name, inner in value.items():
-            yield from flatten(inner, f"{path}.{name}" if path else name)
-    elif isinstance(value, list) and all(isinstance(item, dict) for item in value):
-        yield f"{path}.count", str(len(value))
-        for number, item in enumerate(value):
-            yield from flatten(item, f"{path}.{number}")
-    elif isinstance(value, list):
-        yield path, ",".join(map(str, value))
-    elif isinstance(value, bool):
-        yield path, "true" if value else "false"
-    elif value is not None:
-        yield path, str(value)
-
-
-def numbers(values: object) -> dict[str, int]:
-    """The index of each name in a list of the settings: of plain names, or of objects with one."""
-    if not isinstance(values, list):
-        return {}
-    names = [value["name"] if isinstance(value, dict) else value for value in values]
-    return {str(name): number for number, name in enumerate(names)}
-
-
-def flag(values: Mapping[str, Any], name: str) -> bool:
+def read_flag(values: Mapping[str, Any], name: str) -> bool:
+    """A value that is true or false; false where there is none."""
     value = values.get(name, False)
     if not isinstance(value, bool):
-        raise ConfigError(f"{name} is neither true nor false")
+        raise ConfigError(f"expected true or false as {name}, found '{value}'")
+    return value
+
+
+def read_path(values: Mapping[str, Any], name: str) -> str:
+    """A path; empty where there is none."""
+    value = values.get(name) or ""
+    if not isinstance(value, str) or "\0" in value:
+        raise ConfigError(f"expected a path as {name}, found {value!r}")
     return value
 
 
 def read_secret(values: Mapping[str, Any]) -> bytes:
-    """What front doors and steward share is in a file of its own."""
-    path = path_of(values, "secret_file")
+    """The secret that gateways and lease service share, which is in a file of its own."""
+    path = read_path(values, "secret_file")
     try:
         with open(path, "rb") as file:
             return file.read().strip()
     except OSError as error:
-        raise ConfigError(f"cannot read the steward's secret: {error.strerror}") from error
+        raise ConfigError(f"cannot read the lease service's secret: {error.strerror}") from error
 
 
-def read_takeover(values: object, classes: Mapping[str, int]) -> Takeover | None:
-    """The part of the file on work in hand."""
+def read_budget_leases(values: object) -> BudgetLeaseSettings | None:
+    """The settings from the file's `budget_leases`; None where nothing is set."""
     if not values:
         return None
     if not isinstance(values, dict):
-        raise ConfigError("takeover is no object")
-    names = values["classes"]
-    if not isinstance(names, list) or not names:
-        raise ConfigError("takeover names no classes")
-    if strange := [name for name in names if name not in classes]:
-        raise ConfigError(f"takeover names a class '{strange[0]}' that is none")
-    return Takeover(
-        read_addresses(values["addresses"]), read_secret(values), frozenset(classes[name] for name in names)
+        raise ConfigError(f"expected an object as budget_leases, found '{values}'")
+    secret = read_secret(values)
+    lease_ms = int(values.get("lease_ms") or DEFAULT_LEASE_MS)
+    if lease_ms < MIN_LEASE_MS:
+        raise ConfigError(f"expected at least {MIN_LEASE_MS} as lease_ms of budget_leases, found {lease_ms}")
+    return BudgetLeaseSettings(
+        addresses=read_addresses(values["addresses"]),
+        secret=secret,
+        lease_ms=lease_ms,
+        retry_budget=read_retry_budget(values.get("further_attempts")),
+        divides_quotas=read_flag(values, "quotas"),
+        divides_in_flight=read_flag(values, "open"),
     )
 
 
-def read_steward(values: object) -> Steward | None:
-    """The part of the file on the steward."""
+def read_retry_budget(values: object) -> RetryBudget:
+    """The retry budget from `further_attempts`; none where nothing is set."""
+    if not values:
+        return RetryBudget()
+    found = values if isinstance(values, dict) else {}
+    figures = {}
+    for name in ("rate", "burst"):
+        figure = found.get(name)
+        # Not isinstance: a bool is an int, and no figure.
+        if type(figure) not in (int, float) or not 0 <= figure <= MAX_RETRY_BUDGET:
+            raise ConfigError(
+                f"expected a {name} from 0 to {MAX_RETRY_BUDGET:.0f} in further_attempts, found '{figure}'"
+            )
+        figures[name] = float(figure)
+    if figures["rate"] and figures["burst"] < 1:
+        raise ConfigError(f"expected a burst of at least 1 in further_attempts, found {figures['burst']}")
+    return RetryBudget(**figures)
+
+
+def read_work_leases(values: object, class_numbers: Mapping[str, int]) -> WorkLeaseSettings | None:
+    """The settings from the file's `work_leases`; None where nothing is set."""
     if not values:
         return None
     if not isinstance(values, dict):
-        raise ConfigError("steward is no object")
-    secret = read_secret(values)
-    lease_ms = int(values.get("lease_ms") or 3000)
-    if lease_ms < 500:
-        raise ConfigError("the steward's lease_ms is less than 500")
-    further = values.get("further_attempts") or {"rate": 0, "burst": 0}
-    rate, burst = (further.get(name) if isinstance(further, dict) else None for name in ("rate", "burst"))
-    for value, name in ((rate, "rate"), (burst, "burst")):
-        if type(value) not in (int, float) or not 0 <= value <= 1e6:
-            raise ConfigError(f"the steward's further_attempts have no {name} from 0 to 1000000")
-    if rate and burst < 1:
-        raise ConfigError("the steward's further_attempts have a burst of less than 1")
-    return Steward(
-        read_addresses(values["addresses"]),
-        secret,
-        lease_ms,
-        float(rate),
-        float(burst),
-        flag(values, "quotas"),
-        flag(values, "open"),
+        raise ConfigError(f"expected an object as work_leases, found '{values}'")
+    names = values["classes"]
+    if not isinstance(names, list) or not names:
+        raise ConfigError(f"expected names of classes in work_leases, found '{names}'")
+    for name in names:
+        if name not in class_numbers:
+            raise ConfigError(f"expected a class of the settings in work_leases, found '{name}'")
+    return WorkLeaseSettings(
+        addresses=read_addresses(values["addresses"]),
+        secret=read_secret(values),
+        classes=frozenset(class_numbers[name] for name in names),
     )
 
 
-def leased(settings: Settings, steward: Steward | None) -> Settings:
-    """The settings with what a steward divides."""
-    if steward is None:
+def with_budget_leases(settings: Settings, budget_leases: BudgetLeaseSettings | None) -> Settings:
+    """The policy's settings with what the lease service divides."""
+    if budget_leases is None:
         return settings
     return replace(
         settings,
         leases_ceilings=True,
-        leases_quotas=steward.quotas,
-        leases_in_flight=steward.open,
-        retry_rate=steward.retry_rate,
-        retry_burst=steward.retry_burst,
+        leases_quotas=budget_leases.divides_quotas,
+        leases_in_flight=budget_leases.divides_in_flight,
+        retry_rate=budget_leases.retry_budget.rate,
+        retry_burst=budget_leases.retry_budget.burst,
     )
 
 
-def path_of(values: Mapping[str, Any], name: str) -> str:
-    value = values.get(name) or ""
-    if not isinstance(value, str) or "\0" in value:
-        raise ConfigError(f"{name} is not a path")
-    return value
+def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
+    """Nested JSON as the path=value pairs of the simulator's wire."""
+    if isinstance(value, dict):
+        for name, inner in value.items():
+            yield from flatten(inner, f"{path}.{name}" if path else name)
+    elif isinstance(value, list) and all(isinstance(item, dict) for item in value):
+        yield f"{path}.count", str(len(value))
+        for number, item in enumerate(value):
+            yield from flatten(item, f"{path}.{number}")
+    elif isinstance(value, list):
+        yield path, ",".join(map(str, value))
+    elif isinstance(value, bool):
+        yield path, "true" if value else "false"
+    elif value is not None:
+        yield path, str(value)
 
 
-def parse(values: Mapping[str, Any], env: Mapping[str, str]) -> Config:
-    """The configuration from the file's values, where the environment goes before them."""
-    settings = values["settings"]
-    pairs = Pairs(dict(flatten(settings)))
-    peer_listen = values.get("peer_listen")
-    limits = values.get("limits") or {}
-    steward = read_steward(values.get("steward"))
-    config = Config(
-        name=env.get("PROXY_NAME") or values["name"],
-        listen=read_address(env.get("PROXY_LISTEN") or values["listen"]),
-        discovery=read_addresses(env.get("PROXY_DISCOVERY") or values["discovery"]),
-        settings=leased(read_settings(int(values["seed"], 16), pairs), steward),
-        class_numbers=numbers(settings["categories"]),
-        plan_numbers=numbers(settings["plans"]),
-        zone_numbers=numbers(settings.get("zones")),
-        kind_numbers=numbers(settings.get("kinds")),
-        conn_idle_us=pairs.whole("ceilings.conn-idle-us", 30_000_000),
-        connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", 250_000),
-        max_open=pairs.whole("ceilings.max-open", 20_000),
-        sockets=int(limits.get("sockets", 1024)),
-        memory_mb=int(limits.get("memory_mb", 64)),
-        known=values.get("known") or {},
-        time_stages=flag(values, "time_stages"),
-        peer_listen=read_address(peer_listen) if peer_listen else None,
-        peers=tuple(map(read_address, values.get("peers") or ())),
-        steward=steward,
-        takeover=read_takeover(values.get("takeover"), numbers(settings["categories"])),
-        state_dir=path_of(values, "state_dir"),
-        clock_offset_ms=int(values.get("clock_offset_ms") or 0),
-    )
-    if not config.class_numbers or not config.plan_numbers:
-        raise ConfigError("the settings name no class or no plan")
-    named = len(config.class_numbers), len(config.plan_numbers)
-    if named != (len(config.settings.classes), len(config.settings.plans)):
-        raise ConfigError("the settings name a class or a plan twice or not at all")
-    if not 0 <= config.settings.gateway_index < config.settings.gateway_count:
-        raise ConfigError(
-            f"there is no front door {config.settings.gateway_index} of {config.settings.gateway_count}"
-        )
-    if config.memory_mb < 1 or config.sockets < 1:
-        raise ConfigError("the limits leave no memory or no sockets")
-    return config
+def index_by_name(values: object) -> dict[str, int]:
+    """The index of each name in a list of the settings: of plain names, or of objects with one."""
+    if not isinstance(values, list):
+        return {}
+    names = [value["name"] if isinstance(value, dict) else value for value in values]
+    return {str(name): number for number, name in enumerate(names)}
 
 
-def load(env: Mapping[str, str]) -> Config:
-    """The configuration that the environment points to."""
-    path = env.get("PROXY_CONFIG")
-    if not path:
-        raise ConfigError("PROXY_CONFIG is not set")
+def one_line(error: Exception) -> str:
+    """The text of an error as a part of one line, cut where it is long."""
+    return " ".join(str(error).split())[:MAX_ERROR_CHARACTERS]
+
+
+def _read_file(path: str) -> Mapping[str, Any]:
+    """The JSON object in a file."""
     try:
         with open(path, "rb") as file:  # pathlib would be loaded for this alone, and stay
             values = json.loads(file.read())
     except (OSError, ValueError, RecursionError) as error:
-        raise ConfigError(f"cannot read the configuration: {line_of(error)}") from error
-    try:
-        return parse(values, env)
-    except ConfigError as error:
-        raise ConfigError(line_of(error)) from error
-    except KeyError as error:
-        raise ConfigError(f"the configuration lacks or does not know {line_of(error)}") from error
-    except (TypeError, ValueError, AttributeError, IndexError, ArithmeticError) as error:
-        raise ConfigError(f"the configuration is malformed: {line_of(error)}") from error
-
-
-def line_of(error: Exception) -> str:
-    """What an error says, as a part of one line."""
-    return " ".join(str(error).split())[:MOST_TEXT]
+        raise ConfigError(f"cannot read the configuration: {one_line(error)}") from error
+    if not isinstance(values, dict):
+        raise ConfigError(
+            f"the configuration is malformed: expected an object, found {type(values).__name__}"
+        )
+    return values
 
 
-def reload(env: Mapping[str, str]) -> Config:
-    """The configuration anew. The environment is as old as the process: in a file that was replaced
-    since, the address of discovery is the newer one."""
-    return load({name: value for name, value in env.items() if name != "PROXY_DISCOVERY"})
+def _check(config: Config) -> None:
+    """A ConfigError where values that are right by themselves do not fit together."""
+    settings = config.settings
+    if not config.class_numbers or not config.plan_numbers:
+        raise ConfigError("expected at least one class and one plan in the settings, found none")
+    has_unique_classes = len(config.class_numbers) == len(settings.classes)
+    has_unique_plans = len(config.plan_numbers) == len(settings.plans)
+    if not has_unique_classes or not has_unique_plans:
+        raise ConfigError("the settings name a class or a plan twice or not at all")
+    if not 0 <= settings.gateway_index < settings.gateway_count:
+        raise ConfigError(f"there is no gateway {settings.gateway_index} of {settings.gateway_count}")
+    if config.memory_mb < 1 or config.sockets < 1:
+        raise ConfigError("the limits leave no memory or no sockets")
--- a/thistletrail/gateway/discovery_client.py
+++ b/thistletrail/gateway/discovery_client.py
@@ -15,8 +15,9 @@
 
 import h11
 
-from thistletrail.gateway.config import Address, Config, ConfigError, read_address
+from thistletrail.gateway.config import Address, Config, read_address
 from thistletrail.gateway.cost_counters import DISCOVERY, Costs
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.json_stream import ObjectReader
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Server, ServerState
 
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -26,7 +26,8 @@
 import msgspec
 
 from thistletrail.gateway import snapshot_records
-from thistletrail.gateway.config import Config, ConfigError
+from thistletrail.gateway.config import Config
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.settings_digest import settings_digest
 from thistletrail.policy.events import PolicySnapshot, SnapshotFound
 from thistletrail.policy.snapshot import collect
--- a/thistletrail/gateway/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -114,7 +114,7 @@
     """One start's work in hand."""
 
     def __init__(self, door: FrontDoor, config: Config) -> None:
-        self.door, self.told = door, config.takeover
+        self.door, self.told = door, config.work_leases
         self.hand = Hand(config.settings.gateway_index, now_ms())
         self.random = random.Random(config.settings.seed)
         self.pieces: dict[str, Piece] = {}  # by the id under which the module knows the request
