--- a/tests/test_costs.py
+++ b/tests/test_cost_counters.py
@@ -13,9 +13,9 @@
 from thistletrail.gateway import backends
 from thistletrail.gateway import cost_counters as costs
 from thistletrail.gateway.config import load
-from thistletrail.gateway.cost_counters import REST, Costs, Stages
+from thistletrail.gateway.cost_counters import REST, CostCounters, StageTimer
 from thistletrail.gateway.errors import ConfigError
-from thistletrail.gateway.peer_transport import Peers
+from thistletrail.gateway.peer_transport import PeerTransport
 from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
@@ -97,39 +97,39 @@
 def test_what_the_system_does_not_tell_is_left_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(costs, "DESCRIPTORS", tmp_path / "none")
     monkeypatch.setattr(costs, "STATUS", tmp_path / "none")
-    found = costs.report(Costs(), {}, {"clients": 3})
+    found = costs.report(CostCounters(), {}, {"clients": 3})
     assert found["descriptors"] == {"clients": 3}
     assert not {"resident_bytes", "resident_most_bytes"} & set(found)
     (tmp_path / "none").write_text("Name:\tx\nVmHWM:\t  9 kB\nVmRSS:\t  7 kB\n")
-    assert costs.resident() == {"resident_bytes": 7 * 1024, "resident_most_bytes": 9 * 1024}
+    assert costs.resident_memory() == {"resident_bytes": 7 * 1024, "resident_most_bytes": 9 * 1024}
     (tmp_path / "none").write_text("VmRSS:\tmuch\n")
-    assert costs.resident() == {}
+    assert costs.resident_memory() == {}
 
 
 def test_each_moment_counts_for_the_innermost_stage() -> None:
     ticks = iter([0, 10, 13, 20, 27, 30])
-    stages = Stages(True, clock=lambda: next(ticks))
-    inner = stages.call("in", lambda text: text * 2)
-    outer = stages.call("out", inner)
+    stages = StageTimer(True, clock=lambda: next(ticks))
+    inner = stages.wrap("in", lambda text: text * 2)
+    outer = stages.wrap("out", inner)
     assert outer("a") == "aa"  # 0..10 rest, 10..13 out, 13..20 in, 20..27 out, then rest
     assert stages.report() == {"in": 7e-9, "out": 10e-9, REST: 13e-9}
 
 
 def test_a_stage_ends_with_a_fault_too() -> None:
     ticks = iter([0, 10, 15, 16])
-    stages = Stages(True, clock=lambda: next(ticks))
+    stages = StageTimer(True, clock=lambda: next(ticks))
 
     def fault() -> None:
         raise ValueError("boom")
 
     with pytest.raises(ValueError, match="boom"):
-        stages.call("out", fault)()
+        stages.wrap("out", fault)()
     assert stages.stage == REST and stages.report() == {"out": 5e-9, REST: 11e-9}
 
 
 def test_stages_that_are_off_change_nothing() -> None:
-    stages = Stages(False, clock=lambda: 1 // 0)
-    assert stages.call("x", len) is len and stages.kind("x", Backend, "serve") is Backend
+    stages = StageTimer(False, clock=lambda: 1 // 0)
+    assert stages.wrap("x", len) is len and stages.wrap_class("x", Backend, "serve") is Backend
     assert stages.report() == {}
 
 
@@ -159,13 +159,13 @@
             ports.append(transport.get_extra_info("sockname"))
             transport.close()
         heard: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
-        counted = [Costs(), Costs()]
-        ends = [Peers(tuple(ports), number, heard.put_nowait, counted[number]) for number in (0, 1)]
+        counted = [CostCounters(), CostCounters()]
+        ends = [PeerTransport(tuple(ports), number, heard.put_nowait, counted[number]) for number in (0, 1)]
         for end, port in zip(ends, ports, strict=True):
             await asyncio.sleep(0)
             await loop.create_datagram_endpoint(lambda end=end: end, local_addr=port)
         for _ in range(3):
-            ends[0].tell(SendPeerMessage(1, (QuotaMessage(7, 0, 0, 2),)))
+            ends[0].send(SendPeerMessage(1, (QuotaMessage(7, 0, 0, 2),)))
             await heard.get()
         ends[0].transport.sendto(b"nonsense", ports[1])
         while not counted[1].datagrams_dropped:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -345,7 +345,7 @@
             await backend.came.wait()
             (pool,) = door.backends.pools.values()
             ours = [one.transport for one in (*pool.connections, *door.clients.connections)]
-            ours.append(door.discovery.source.connection.transport)
+            ours.append(door.discovery.watcher.connection.transport)
             for transport in ours:
                 wire = transport.get_extra_info("socket")
                 assert wire.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
--- a/tests/test_discovery.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The watch on discovery and the datagrams between front doors."""
+"""The watch on discovery and the datagrams between gateways."""
 
 import asyncio
 import json
@@ -11,9 +11,10 @@
 import pytest
 
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
-from thistletrail.gateway import discovery_client as discovery
-from thistletrail.gateway.discovery_client import Catalog, Discovery, News
-from thistletrail.gateway.peer_transport import Peers
+from thistletrail.gateway import discovery_client, watch_connection
+from thistletrail.gateway.discovery_client import DiscoveryClient
+from thistletrail.gateway.endpoint_list import EndpointListCodec, EndpointListUpdate
+from thistletrail.gateway.peer_transport import PeerTransport
 from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.codec import pack_message
@@ -29,21 +30,21 @@
         return b
 
 
-async def news_of(watch: Watch, count: int, version: int = 0) -> list[News]:
-    """The first news that a watch brings."""
-    heard: asyncio.Queue[News] = asyncio.Queue()
+async def receive_updates(watch: Watch, count: int, version: int = 0) -> list[EndpointListUpdate]:
+    """The first updates that a watch brings."""
+    received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
     tasks = []
-    found = Discovery(
+    found = DiscoveryClient(
         (await watch.start(),),
-        Catalog(CONFIG),
+        EndpointListCodec(CONFIG),
         version,
-        heard.put_nowait,
+        received.put_nowait,
         lambda job: tasks.append(asyncio.create_task(job)),
-        chance=Longest(),
+        rng=Longest(),
     )
     found.start()
     try:
-        return [await heard.get() for _ in range(count)]
+        return [await received.get() for _ in range(count)]
     finally:
         tasks[0].cancel()
 
@@ -67,7 +68,7 @@
         stream = HEAD + chunk(b"\n") + chunk(line[:30])
         stream += chunk(line[30:] + b"\n" + gone[:9]) + chunk(gone[9:])
         pieces = [stream[n : n + 50] for n in range(0, len(stream), 50)]
-        first, second = await news_of(Watch(script(*pieces)), 2)
+        first, second = await receive_updates(Watch(script(*pieces)), 2)
         states = {server.name: server.state for server in first.event.servers}
         assert (first.event.kind, first.event.version) == (EndpointUpdateKind.FULL, 5)
         draining = ServerState.DRAINING
@@ -82,14 +83,14 @@
     return json.dumps(json.loads(listed), indent=2).encode() + b"\n"
 
 
-def test_indented_lists_are_read_whole_and_as_changes() -> None:
+def test_indented_lists_are_read_as_complete_lists_and_as_changes() -> None:
     async def job() -> None:
         brace = entry("s2", AT) | {"zone": 'a "{" b'}  # braces in strings open nothing
-        whole = indented(catalog(5, [entry("s1", AT), brace]))
+        complete = indented(catalog(5, [entry("s1", AT), brace]))
         change = indented(catalog(6, [entry("s1", AT, "DRAINING")], reset=False))
-        stream = HEAD + chunk(whole[:70]) + chunk(whole[70:] + b"\n") + chunk(change)
+        stream = HEAD + chunk(complete[:70]) + chunk(complete[70:] + b"\n") + chunk(change)
         pieces = [stream[n : n + 90] for n in range(0, len(stream), 90)]
-        first, second = await news_of(Watch(script(*pieces)), 2)
+        first, second = await receive_updates(Watch(script(*pieces)), 2)
         assert [server.name for server in first.event.servers] == ["s1", "s2"]
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.DRAINING
@@ -97,20 +98,20 @@
     run(job())
 
 
-def test_whole_list_that_is_indented_and_has_no_line_end_is_read() -> None:
+def test_complete_list_that_is_indented_and_has_no_line_end_is_read() -> None:
     async def job() -> None:
         body = indented(catalog(5, [entry("s1", AT)])).strip()
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         old, new = Watch(script(HEAD)), Watch(script(answer, stay=False))
         moved = Moved(await old.start())
-        moved.discovery.move((await new.start(),))
+        moved.discovery.change_addresses((await new.start(),))
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
 
 
-def test_whole_list_that_ends_with_its_connection_is_read(caplog: pytest.LogCaptureFixture) -> None:
+def test_complete_list_that_ends_with_its_connection_is_read(caplog: pytest.LogCaptureFixture) -> None:
     """It has neither a length nor chunks nor a last line's end."""
 
     async def job() -> None:
@@ -119,19 +120,19 @@
         )
         old, new = Watch(script(HEAD, stay=False)), Watch(script(answer, stay=False))
         moved = Moved(await old.start())
-        moved.discovery.move((await new.start(),))
+        moved.discovery.change_addresses((await new.start(),))
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
-    assert "makes no sense" not in caplog.text
+    assert "malformed" not in caplog.text
 
 
 def test_an_object_that_does_not_go_on_is_given_up_though_empty_lines_come(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What stands half on the wire must not swallow the changes behind it."""
-    monkeypatch.setattr(discovery, "OBJECT_S", 0.1)
+    monkeypatch.setattr(watch_connection, "OBJECT_TIMEOUT_S", 0.1)
 
     async def job() -> None:
         async def stuck(writer: asyncio.StreamWriter) -> None:
@@ -141,76 +142,83 @@
                 await asyncio.sleep(0.02)
 
         watch = Watch(stuck, script(HEAD + chunk(catalog(5, []))))
-        assert (await news_of(watch, 1))[0].event.version == 5
+        assert (await receive_updates(watch, 1))[0].event.version == 5
 
     run(job())
 
 
-def test_all_that_a_call_may_take_to_be_made_anew_fits_in_what_counts_as_told() -> None:
+def test_all_that_a_call_may_take_to_be_made_anew_fits_in_what_counts_as_notified() -> None:
     """6 s after a watch fell silent, which may be right after a line, and 6 s after discovery is back, which
     may be right after a call that will not be answered; 0.25 s are left to carry a change out."""
-    told = 6.0 - 0.25
-    silent = discovery.SILENT_S + discovery.BACKOFF_S
-    failed = max(discovery.CONNECT_S, discovery.ANSWER_S, discovery.OBJECT_S) + discovery.MOST_BACKOFF_S
-    assert max(silent, failed) < told
-    assert discovery.ANSWER_S > 2.0  # the first empty line may be all that comes
+    notified_s = 6.0 - 0.25
+    silent_s = watch_connection.SILENT_TIMEOUT_S + discovery_client.MIN_BACKOFF_S
+    failed_s = (
+        max(
+            discovery_client.CONNECT_TIMEOUT_S,
+            watch_connection.FIRST_BYTE_TIMEOUT_S,
+            watch_connection.OBJECT_TIMEOUT_S,
+        )
+        + discovery_client.MAX_BACKOFF_S
+    )
+    assert max(silent_s, failed_s) < notified_s
+    assert watch_connection.FIRST_BYTE_TIMEOUT_S > 2.0  # the first empty line may be all that comes
 
 
-def test_watch_that_ends_is_reopened_after_what_was_heard() -> None:
+def test_watch_that_ends_is_reopened_after_what_was_received() -> None:
     async def job() -> None:
         watch = Watch(
             script(HEAD + chunk(catalog(5, [])), stay=False),
             script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
-            script(HEAD + chunk(catalog(6, [])[:20]), stay=False),  # breaks within a line: not heard
+            script(HEAD + chunk(catalog(6, [])[:20]), stay=False),  # breaks within a line: not received
             script(HEAD + chunk(b"{not json\n")),
             script(HEAD + chunk(catalog(9, [], reset=False))),
         )
         started = time.monotonic()
-        found = await news_of(watch, 2, version=3)
-        assert [news.event.version for news in found] == [5, 9]
+        found = await receive_updates(watch, 2, version=3)
+        assert [update.event.version for update in found] == [5, 9]
         afters = [target.partition("after=")[2] for target in watch.targets]
         assert afters == ["3", "5", "5", "5", "5"]
-        assert time.monotonic() - started > 4 * discovery.BACKOFF_S  # no busy loop
+        assert time.monotonic() - started > 4 * discovery_client.MIN_BACKOFF_S  # no busy loop
 
     run(job())
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENT_S", 0.2)
+    monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.2)
 
     async def job() -> None:
         watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
-        assert (await news_of(watch, 1))[0].event.version == 4
+        assert (await receive_updates(watch, 1))[0].event.version == 4
         assert len(watch.targets) == 2
 
     run(job())
 
 
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
-def test_numbers_that_make_no_sense_say_nothing(odd: object) -> None:
+def test_numbers_out_of_range_say_nothing(odd: object) -> None:
     listed = {**entry("s1", AT), "weight": odd, "startedAtMs": odd}
-    news = Catalog(CONFIG).news({"generation": 1, "instances": [listed]})
-    (server,) = news.event.servers
+    update = EndpointListCodec(CONFIG).decode_update({"generation": 1, "instances": [listed]})
+    (server,) = update.event.servers
     assert (server.size, server.started_us) == (1.0, 0)
 
 
 def test_start_times_go_over_to_our_clock() -> None:
-    read = Catalog(CONFIG)
-    assert read.started_us(0) == 0
+    read = EndpointListCodec(CONFIG)
+    assert read.to_monotonic_us(0) == 0
     now_ms = time.time_ns() // 1_000_000
-    assert abs(read.started_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
-    assert read.started_us(now_ms) == read.started_us(now_ms)
-    assert read.started_us(1) < 0  # before this machine's clock began, but not 'long ago'
+    assert abs(read.to_monotonic_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
+    assert read.to_monotonic_us(now_ms) == read.to_monotonic_us(now_ms)
+    assert read.to_monotonic_us(1) < 0  # before this machine's clock began, but not 'long ago'
 
 
 def test_known_list_serves_while_discovery_is_silent() -> None:
     async def job() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
         door = FrontDoor(replace(CONFIG, known=known, discovery=(await Watch(script()).start(),)))
-        heard: list[Event] = []
-        door.gateway.handle = lambda now, event: heard.append(event) or []
+        received: list[Event] = []
+        door.gateway.handle = lambda now, event: received.append(event) or []
         await door.start()
-        assert [event.kind for event in heard if isinstance(event, EndpointUpdate)] == [
+        assert [event.kind for event in received if isinstance(event, EndpointUpdate)] == [
             EndpointUpdateKind.CACHED
         ]
         assert door.discovery.version == 3 and list(door.backends.pools) == ["s1"]
@@ -219,26 +227,26 @@
     run(job())
 
 
-def test_peers_words_arrive_and_strangers_are_dropped() -> None:
+def test_messages_of_peers_arrive_and_those_of_strangers_are_dropped() -> None:
     async def job() -> None:
-        loop, heard = asyncio.get_running_loop(), asyncio.Queue()
+        loop, received = asyncio.get_running_loop(), asyncio.Queue()
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         ports = [refusing_address(), refusing_address()]
-        gateway_index, friend = (Peers(tuple(ports), number, heard.put_nowait) for number in (0, 1))
-        for peers, at in zip((gateway_index, friend), ports, strict=True):
+        own, friend = (PeerTransport(tuple(ports), number, received.put_nowait) for number in (0, 1))
+        for peers, at in zip((own, friend), ports, strict=True):
             await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
-        words = tuple(QuotaMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
+        messages = tuple(QuotaMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
         with stranger:
-            stranger.sendto(pack_message(words[:1])[0], ports[0])
+            stranger.sendto(pack_message(messages[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
-        friend.transport.sendto(pack_message(words)[0] * 2, ports[0])  # longer than the wire allows
-        friend.tell(SendPeerMessage(0, words))
+        friend.transport.sendto(pack_message(messages)[0] * 2, ports[0])  # longer than the wire allows
+        friend.send(SendPeerMessage(0, messages))
         got: tuple[QuotaMessage, ...] = ()
-        while len(got) < len(words):
-            message = await heard.get()
+        while len(got) < len(messages):
+            message = await received.get()
             assert message.sender == 1
             got += message.quota_messages
-        assert got == words and heard.empty()
+        assert got == messages and received.empty()
 
     run(job())
 
@@ -247,20 +255,20 @@
     """A front door's discovery that is moved from one address to others."""
 
     def __init__(self, *addresses: tuple[str, int]) -> None:
-        self.heard: asyncio.Queue[News] = asyncio.Queue()
+        self.received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             addresses,
-            Catalog(CONFIG),
+            EndpointListCodec(CONFIG),
             3,
-            self.heard.put_nowait,
+            self.received.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
-            chance=random.Random(1),
+            rng=random.Random(1),
         )
         self.discovery.start()
 
     async def names(self) -> tuple[EndpointUpdateKind, list[str]]:
-        event = (await self.heard.get()).event
+        event = (await self.received.get()).event
         return event.kind, [server.name for server in event.servers]
 
 
@@ -270,34 +278,34 @@
     return script(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, stay=False)
 
 
-def test_new_address_takes_over_with_its_whole_list() -> None:
+def test_new_address_takes_over_with_its_complete_list() -> None:
     async def job() -> None:
         late = asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(catalog(9, [entry("s1", AT)])))
             await late.wait()
-            writer.write(chunk(catalog(10, [entry("s9", AT)])))  # must not undo what the new one has told
+            writer.write(chunk(catalog(10, [entry("s9", AT)])))  # must not undo what the new one has sent
             await writer.drain()
 
         old = Watch(old_watch)
         new = Watch(listing("s2", version=2), script(HEAD + chunk(catalog(3, [], reset=False))))
         moved = Moved(await old.start())
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        moved.discovery.move((await new.start(),))
+        moved.discovery.change_addresses((await new.start(),))
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s2"])
         late.set()
         assert await moved.names() == (EndpointUpdateKind.CHANGES, [])
         assert new.targets == ["/catalog/members", "/catalog/members?watch=1&after=2"]
         assert len(old.targets) == 1
         await moved.tasks[0]  # the old watch has ended for good
-        assert moved.heard.empty() and moved.discovery.version == 3
-        moved.discovery.source.close()
+        assert moved.received.empty() and moved.discovery.version == 3
+        moved.discovery.watcher.close()
 
     run(job())
 
 
-def test_old_watch_is_heard_until_the_new_one_speaks() -> None:
+def test_old_watch_goes_on_until_the_new_one_sends_its_list() -> None:
     async def job() -> None:
         moves, speak = asyncio.Event(), asyncio.Event()
 
@@ -314,14 +322,14 @@
         last = Watch(slow, script(HEAD))
         moved = Moved(await Watch(old_watch).start())
         assert (await moved.names())[1] == ["s1"]
-        moved.discovery.move((await never.start(),))
-        moved.discovery.move((await last.start(),))  # twice, as reloads may come in a row
+        moved.discovery.change_addresses((await never.start(),))
+        moved.discovery.change_addresses((await last.start(),))  # twice, as reloads may come in a row
         moves.set()
         assert (await moved.names())[1] == ["s2"]
         speak.set()
         assert (await moved.names())[1] == ["s3"]
-        assert moved.discovery.source.address == last.server.sockets[0].getsockname()
-        moved.discovery.source.close()
+        assert moved.discovery.watcher.address == last.server.sockets[0].getsockname()
+        moved.discovery.watcher.close()
 
     run(job())
 
@@ -331,7 +339,7 @@
 
 
 async def versions(moved: Moved, count: int) -> list[int]:
-    return [(await moved.heard.get()).event.version for _ in range(count)]
+    return [(await moved.received.get()).event.version for _ in range(count)]
 
 
 def test_another_address_is_watched_where_one_fails() -> None:
@@ -341,7 +349,7 @@
         moved = Moved(refusing_address(), await ends.start(), await stays.start())
         assert await versions(moved, 2) == [5, 6]
         assert stays.targets == ["/catalog/members?watch=1&after=5"]
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
 
@@ -357,7 +365,7 @@
         )
         moved = Moved(await ends.start(), await lags.start())
         assert await versions(moved, 2) == [9, 10]
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
 
@@ -365,8 +373,8 @@
 def test_an_older_list_is_taken_only_when_it_is_all_there_is(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(discovery, "STALE_S", 0.4)
-    monkeypatch.setattr(discovery, "MOST_BACKOFF_S", 0.1)
+    monkeypatch.setattr(discovery_client, "STALE_LIST_GRACE_S", 0.4)
+    monkeypatch.setattr(discovery_client, "MAX_BACKOFF_S", 0.1)
 
     async def job() -> None:
         ends = Watch(
@@ -377,11 +385,11 @@
         began = time.monotonic()
         assert await versions(moved, 2) == [9, 4]
         assert time.monotonic() - began >= 0.4 and len(older.targets) > 1
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
-    assert "the watch brings an older list: version 4 is older than 9" in caplog.text
-    assert "there is but an older list: version 4 after 9" in caplog.text
+    assert "the watch sent an older endpoint list: version 4 is older than 9" in caplog.text
+    assert "there is only an older list: version 4 after 9" in caplog.text
 
 
 def test_a_list_of_another_history_replaces_all_and_a_single_address_is_always_believed() -> None:
@@ -394,7 +402,7 @@
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s2"])
         assert moved.discovery.version == 4
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
 
@@ -402,8 +410,8 @@
 def test_the_age_of_the_list_is_known_and_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENT_S", 0.3)
-    monkeypatch.setattr(discovery, "ANSWER_S", 0.3)
+    monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(watch_connection, "FIRST_BYTE_TIMEOUT_S", 0.3)
 
     async def job() -> None:
         moved = Moved(await Watch(script(), always(catalog(5, [])), script()).start())
@@ -412,7 +420,7 @@
         assert 0 <= moved.discovery.age_s() < 0.3
         while moved.discovery.age_s() < 0.5:
             await asyncio.sleep(0.02)
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
     assert "the watch on discovery is silent; the list is the one known at the start" in caplog.text
@@ -433,19 +441,19 @@
 def test_what_fails_is_bounded_and_the_next_address_serves(
     pieces: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name in ("SILENT_S", "ANSWER_S", "OBJECT_S"):
-        monkeypatch.setattr(discovery, name, 0.3)
+    for name in ("SILENT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "OBJECT_TIMEOUT_S"):
+        monkeypatch.setattr(watch_connection, name, 0.3)
 
     async def job() -> None:
         good = Watch(always(catalog(5, [entry("s1", AT)])))
         moved = Moved(await Watch(script(*pieces)).start(), await good.start())
         assert await versions(moved, 1) == [5]
-        moved.discovery.source.close()
+        moved.discovery.watcher.close()
 
     run(job())
 
 
-def test_waits_between_tries_have_full_jitter_and_a_bound() -> None:
+def test_waits_between_attempts_have_full_jitter_and_a_bound() -> None:
     async def job() -> None:
         waits = []
 
@@ -454,20 +462,20 @@
                 waits.append((a, b))
                 return 0.0
 
-        found = Discovery(
+        found = DiscoveryClient(
             (refusing_address(),),
-            Catalog(CONFIG),
+            EndpointListCodec(CONFIG),
             0,
-            lambda news: None,
+            lambda update: None,
             lambda job: asyncio.create_task(job),
-            chance=Noted(),
+            rng=Noted(),
         )
         found.start()
         while len(waits) < 8:
             await asyncio.sleep(0.01)
-        found.source.close()
+        found.watcher.close()
         assert [low for low, _ in waits] == [0] * len(waits)
         highs = [high for _, high in waits]
-        assert highs[:4] == [0.2, 0.4, 0.8, 1.6] and max(highs) == discovery.MOST_BACKOFF_S
+        assert highs[:4] == [0.2, 0.4, 0.8, 1.6] and max(highs) == discovery_client.MAX_BACKOFF_S
 
     run(job())
--- a/tests/test_objects.py
+++ b/tests/test_json_stream.py
@@ -6,7 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thistletrail.gateway.json_stream import ObjectReader
+from thistletrail.gateway.errors import MalformedJsonError
+from thistletrail.gateway.json_stream import JsonObjectReader
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(),
@@ -21,22 +22,22 @@
     objects: list[dict[str, object]], indent: int | None, size: int
 ) -> None:
     stream = b"\n".join(json.dumps(value, indent=indent).encode() + b"\n" for value in objects)
-    reader, found = ObjectReader(1 << 20), []
+    reader, found = JsonObjectReader(1 << 20), []
     for at in range(0, len(stream), size):
         found += reader.feed(stream[at : at + size])
-    assert [json.loads(whole) for whole in found] == objects
-    assert not reader.is_within() and reader.finish() == []
+    assert [json.loads(data) for data in found] == objects
+    assert not reader.has_partial_object() and reader.finish() == []
 
 
 @pytest.mark.parametrize("line", [b"{not json\n", b'{"generation":43,"inst\n', b'{"a": tru\n'])
 def test_a_first_line_that_is_cut_off_or_malformed_is_told_at_once(line: bytes) -> None:
-    with pytest.raises(ValueError):
-        ObjectReader(1 << 20).feed(line)
+    with pytest.raises(MalformedJsonError):
+        JsonObjectReader(1 << 20).feed(line)
 
 
 @pytest.mark.parametrize("piece", [b"{", b'{"a":\n', b"x"])
 def test_an_object_is_bounded(piece: bytes) -> None:
-    reader = ObjectReader(1000)
-    with pytest.raises(ValueError):
+    reader = JsonObjectReader(1000)
+    with pytest.raises(MalformedJsonError):
         for _ in range(1001):
             reader.feed(piece)
--- a/thistletrail/gateway/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.cost_counters import BACKENDS, Costs
+from thistletrail.gateway.cost_counters import BACKENDS, CostCounters
 from thistletrail.gateway.resp import Answer, AnswerReader, ProtocolError, has_unread
 from thistletrail.policy.codec import read_report
 from thistletrail.policy.events import AttemptResult, LoadReport, ServerState
@@ -432,12 +432,12 @@
         idle_us: int,
         connect_timeout_us: int,
         most: int,
-        costs: Costs | None = None,
+        costs: CostCounters | None = None,
         most_bytes: int = MOST_BYTES,
     ) -> None:
         self.held_bytes, self.most_bytes = 0, most_bytes  # of answers that are not whole yet
-        self.costs = costs or Costs()
-        self.connection = self.costs.stages.kind(
+        self.costs = costs or CostCounters()
+        self.connection = self.costs.stages.wrap_class(
             BACKENDS, Connection, "connection_made", "data_received", "connection_lost"
         )
         self.idle_us, self.connect_s, self.most = round(idle_us * IDLE_SHARE), connect_timeout_us / 1e6, most
--- a/thistletrail/gateway/clients.py
+++ b/thistletrail/gateway/clients.py
@@ -17,8 +17,14 @@
 
 from thistletrail.gateway.backends import NEVER, now_us
 from thistletrail.gateway.config import Address, Config
-from thistletrail.gateway.cost_counters import CLIENTS, Costs
-from thistletrail.gateway.deadline import LATE_LEAST_US, Budget, from_text, to_text, unread_us
+from thistletrail.gateway.cost_counters import CLIENTS, CostCounters
+from thistletrail.gateway.deadline import (
+    MIN_LATE_US,
+    Deadline,
+    decode_remaining,
+    encode_remaining,
+    estimate_unread_us,
+)
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode, has_ended, has_unread
 from thistletrail.policy.events import RequestArrived
 from thistletrail.policy.settings import Effect
@@ -70,7 +76,7 @@
 
     def payload(self, remaining_us: int) -> bytes:
         """The command for a backend: unchanged but for how long this front door will wait."""
-        fields = b"%b%b%b" % (self.fields_head, to_text(remaining_us), self.fields_tail)
+        fields = b"%b%b%b" % (self.fields_head, encode_remaining(remaining_us), self.fields_tail)
         words = [*self.words[:3], fields, *self.words[4:]]
         return encode(words)
 
@@ -123,7 +129,7 @@
         plan = self.plans.get(values.get("t", ""))
         if plan is None:
             raise CommandError("unknown plan")
-        wait_us = from_text(values.get("d", ""), self.most_us[number])
+        wait_us = decode_remaining(values.get("d", ""), self.most_us[number])
         if wait_us is None:
             raise CommandError("invalid time")
         size, first = self.customers_set(values, own)
@@ -193,7 +199,7 @@
         self.id: str | None = None  # of the request that it answers
         # Of a request whose answer waits behind others: when its time is up, and what was spent of it by now.
         self.end_us = 0
-        self.budget: Callable[[], Budget] | None = None
+        self.budget: Callable[[], Deadline] | None = None
 
     def waits(self) -> bool:
         """Whether others have to leave before it."""
@@ -297,7 +303,7 @@
             self.read_us = now = now_us()
             self.late_us = self.clients.late_us(now)
             if self.resumed_us:
-                if now - self.resumed_us < LATE_LEAST_US:  # they may have come in between
+                if now - self.resumed_us < MIN_LATE_US:  # they may have come in between
                     self.late_us = max(self.late_us, now - self.stopped_us)
                 self.resumed_us = 0
             self.process()
@@ -369,7 +375,7 @@
             reply = self.replies.pop(0)
             ready.append(reply.data)
             if reply.end_us:
-                self.clients.costs.note_behind(reply.end_us, reply.budget, now_us())
+                self.clients.costs.count_behind(reply.end_us, reply.budget, now_us())
                 reply.budget = None  # it holds the reply in turn
         if self.transport.is_closing():
             return
@@ -384,7 +390,7 @@
     def unread_us(self, now: int) -> int:
         """How long a command that is taken now lay before its first look, by estimate: the loop may have been
         late, its bytes may have stood behind what was open, and others that came with it went first."""
-        return unread_us(self.late_us, now - self.read_us)
+        return estimate_unread_us(self.late_us, now - self.read_us)
 
     def finish(self, data: bytes) -> None:
         """A last answer, then close. What still comes is not read."""
@@ -511,15 +517,15 @@
         take: Callable[[list[bytes], Reply], None],
         gone: Callable[[Reply], None],
         spawn: Callable[[Coroutine[None, None, None]], object],
-        costs: Costs,
+        costs: CostCounters,
         due_us: Callable[[], int],
     ) -> None:
         self.due_us, self.sweep_us = due_us, NEVER  # when another's timer is due; when the own is
         self.costs, stages = costs, costs.stages
-        self.connection = stages.kind(
+        self.connection = stages.wrap_class(
             CLIENTS, ClientConnection, "connection_made", "buffer_updated", "process_more", "connection_lost"
         )
-        self.accept, self.sweep = stages.call(CLIENTS, self.accept), stages.call(CLIENTS, self.sweep)
+        self.accept, self.sweep = stages.wrap(CLIENTS, self.accept), stages.wrap(CLIENTS, self.sweep)
         self.most, self.most_bytes, self.take, self.gone, self.spawn = most, most_bytes, take, gone, spawn
         self.loop = asyncio.get_running_loop()
         self.read_buffer = memoryview(bytearray(READ_BYTES))  # each read is copied from it at once
--- a/thistletrail/gateway/cost_counters.py
+++ b/thistletrail/gateway/cost_counters.py
@@ -1,7 +1,9 @@
-"""What requests cost this front door: counters that are always on, and timing by stage, off unless set.
+"""What requests cost this gateway: counters that are always on, and timing by stage, off unless set.
 
-A counter is one addition to an attribute. All that has to be added up or asked of the system is read only
-when a report is asked for. What this system does not tell is left out of the report, as 0 would be a claim.
+A counter is one addition to an attribute, as it is on the path of each request. All that has to be added up
+or read from the system is read only for a report. What this system does not provide is left out of the
+report, as 0 would be a claim. The names of counters are the keys of the `costs` line, which the benchmarks
+read.
 """
 
 import contextlib
@@ -11,13 +13,16 @@
 from collections.abc import Callable, Mapping
 from typing import Any, ParamSpec, TypeVar
 
-from thistletrail.gateway.deadline import Budget, Stage
+from thistletrail.gateway.deadline import Deadline, Stage
 
-P, R, T = ParamSpec("P"), TypeVar("R"), TypeVar("T", bound=type)
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
+ConnectionClass = TypeVar("ConnectionClass", bound=type)
 
+# Stages of processor time.
 CLIENTS = "clients"  # reading and parsing what clients send
-DECISIONS = "decisions"  # the module
-ACTIONS = "actions"  # carrying out what the module decided: answers, attempts, timers
+DECISIONS = "decisions"  # the policy
+ACTIONS = "actions"  # carrying out what the policy decided: answers, attempts, timers
 BACKENDS = "backends"
 DISCOVERY = "discovery"
 PEERS = "peers"
@@ -25,9 +30,11 @@
 
 DESCRIPTORS = "/proc/self/fd"
 STATUS = "/proc/self/status"
-RESIDENT = {"VmRSS": "resident_bytes", "VmHWM": "resident_most_bytes"}
-KIB = 1024  # the system's figures on memory are in these
-
+# By the name in STATUS: the key in the report.
+RESIDENT_KEYS = {"VmRSS": "resident_bytes", "VmHWM": "resident_most_bytes"}
+KIB = 1024  # bytes; the unit of STATUS
+NANOSECONDS_PER_SECOND = 1e9
+MICROSECONDS_PER_SECOND = 1e6
 
 COUNTERS = (
     "accepted",
@@ -52,66 +59,90 @@
 )
 
 
-class Costs:
+class CostCounters:
     """What happened since the start, counted where it happens, and where the time went if that is on."""
 
     __slots__ = (*COUNTERS, "late", "late_us", "stages")
 
     def __init__(self, time_stages: bool = False) -> None:
-        self.stages = Stages(time_stages)
-        # Of requests that failed or were answered past their aim: which stage took the most, how often; and
-        # what each stage took of all of them.
-        self.late, self.late_us = dict.fromkeys(Stage, 0), dict.fromkeys(Stage, 0)
-        self.accepted = self.turned_away = 0  # connections of clients
-        self.pings = self.wrong_commands = 0  # commands that are no request; a PING is a probe of this one
-        # Each request taken is one of the four in the end; `gone`: its client left before the answer.
-        self.requests = self.served = self.refused = self.failed = self.gone = 0
+        self.stages = StageTimer(time_stages)
+        # Of requests that failed or were answered past their latency objective: how often each stage took the
+        # most, and what each stage took of all of them.
+        self.late = dict.fromkeys(Stage, 0)
+        self.late_us = dict.fromkeys(Stage, 0)
+        # Connections of clients.
+        self.accepted = 0
+        self.turned_away = 0
+        # Commands that are no request; a PING is a health check of this gateway.
+        self.pings = 0
+        self.wrong_commands = 0
+        # Each accepted request is one of the other four in the end; `gone`: its client disconnected before.
+        self.requests = 0
+        self.served = 0
+        self.refused = 0
+        self.failed = 0
+        self.gone = 0
         self.behind = 0  # answers that waited behind others on their connection
-        self.attempts = 0  # handed to a pool, whether or not anything was written
-        self.handshakes = self.handshakes_failed = 0  # connections to backends begun; those never up
-        self.reused = 0  # attempts given to a connection that had carried one
-        self.datagrams_in = self.datagrams_out = self.datagrams_dropped = 0  # the last were not read
-        self.watches = self.list_lines = 0  # of discovery
-
-    def note_late(self, budget: Budget, now: int) -> None:
-        self.late[budget.slowest(now)] += 1
-        for stage, spent in zip(Stage, budget.spent_by(now), strict=True):
-            self.late_us[stage] += spent
-
-    def note_behind(self, end_us: int, budget: Callable[[], Budget], now: int) -> None:
-        """An answer has left that waited behind others; it is late if it did so past its client's time."""
+        self.attempts = 0  # given to a connection pool, whether or not anything was written
+        # Connections to servers that were begun, those that were never established, and attempts on a
+        # connection that had carried one.
+        self.handshakes = 0
+        self.handshakes_failed = 0
+        self.reused = 0
+        # Datagrams of peers; dropped ones came and were not read.
+        self.datagrams_in = 0
+        self.datagrams_out = 0
+        self.datagrams_dropped = 0
+        # Requests to discovery, and objects in its answers.
+        self.watches = 0
+        self.list_lines = 0
+
+    def count_late(self, deadline: Deadline, now_us: int) -> None:
+        """A request has failed, or was answered past its latency objective."""
+        self.late[deadline.longest_stage(now_us)] += 1
+        for stage, spent_us in zip(Stage, deadline.spent_by(now_us), strict=True):
+            self.late_us[stage] += spent_us
+
+    def count_behind(self, end_us: int, deadline: Callable[[], Deadline], now_us: int) -> None:
+        """An answer was sent that waited behind others; it is late if it did so past its client's time."""
         self.behind += 1
-        if now >= end_us:
-            self.note_late(budget(), now)
+        if now_us >= end_us:
+            self.count_late(deadline(), now_us)
 
     def counts(self) -> dict[str, int]:
+        """All counters by their key in the `costs` line."""
         return {name: getattr(self, name) for name in COUNTERS}
 
 
-class Stages:
+class StageTimer:
     """Processor time by stage. Each moment counts for one stage only, the innermost that is under way.
 
-    While it is off, `call` and `kind` give back what they are given, so that nothing is paid for it.
+    While it is off, `wrap` and `wrap_class` return what they are given, so that it costs nothing.
     """
 
-    def __init__(self, on: bool, clock: Callable[[], int] = time.thread_time_ns) -> None:
-        self.on, self.clock = on, clock
+    def __init__(self, is_on: bool, clock: Callable[[], int] = time.thread_time_ns) -> None:
+        """`clock` gives the processor time of this thread, in nanoseconds."""
+        self.is_on = is_on
+        self.clock = clock
         self.spent_ns: dict[str, int] = {}
-        self.stage, self.since_ns = REST, clock() if on else 0
+        self.stage = REST
+        self.since_ns = clock() if is_on else 0  # when the present stage began
 
     def enter(self, stage: str) -> str:
-        """Charge what has passed to the stage so far, and go on with another; the one so far."""
-        now, before = self.clock(), self.stage
-        self.spent_ns[before] = self.spent_ns.get(before, 0) + now - self.since_ns
-        self.stage, self.since_ns = stage, now
+        """Charge what has passed to the stage so far, and go on with another; returns the one so far."""
+        now_ns = self.clock()
+        before = self.stage
+        self.spent_ns[before] = self.spent_ns.get(before, 0) + now_ns - self.since_ns
+        self.stage = stage
+        self.since_ns = now_ns
         return before
 
-    def call(self, stage: str, function: Callable[P, R]) -> Callable[P, R]:
+    def wrap(self, stage: str, function: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
         """The function, timed."""
-        if not self.on:
+        if not self.is_on:
             return function
 
-        def timed(*args: P.args, **kwargs: P.kwargs) -> R:
+        def timed(*args: Parameters.args, **kwargs: Parameters.kwargs) -> Result:
             before = self.enter(stage)
             try:
                 return function(*args, **kwargs)
@@ -120,55 +151,62 @@
 
         return timed
 
-    def kind(self, stage: str, kind: T, *names: str) -> T:
-        """The class with those of its methods timed, for what the loop makes calls to by itself."""
-        if not self.on:
-            return kind
-        return type(kind.__name__, (kind,), {name: self.call(stage, getattr(kind, name)) for name in names})
+    def wrap_class(self, stage: str, connection_class: ConnectionClass, *names: str) -> ConnectionClass:
+        """The class with those of its methods timed, for methods that the event loop calls by itself."""
+        if not self.is_on:
+            return connection_class
+        timed = {name: self.wrap(stage, getattr(connection_class, name)) for name in names}
+        return type(connection_class.__name__, (connection_class,), timed)
 
     def report(self) -> dict[str, float]:
         """Seconds by stage up to now; empty while it is off."""
-        if not self.on:
+        if not self.is_on:
             return {}
         self.enter(self.stage)
-        return {stage: spent / 1e9 for stage, spent in sorted(self.spent_ns.items())}
+        return {stage: spent_ns / NANOSECONDS_PER_SECOND for stage, spent_ns in sorted(self.spent_ns.items())}
 
 
 def open_descriptors() -> int | None:
-    """How many this process holds; None where the system does not tell."""
+    """How many descriptors this process has; None where the system does not provide it."""
     try:
         return len(os.listdir(DESCRIPTORS)) - 1  # one was open for the reading itself
     except OSError:
         return None
 
 
-def resident() -> dict[str, int]:
-    """Resident memory now and at most, as far as the system tells."""
+def resident_memory() -> dict[str, int]:
+    """Resident memory now and at its maximum, in bytes by key of the report; without what the system does not
+    provide."""
     found = {}
     with contextlib.suppress(OSError, ValueError), open(STATUS) as lines:
         for line in lines:
             name, _, text = line.partition(":")
-            if name in RESIDENT:
-                found[RESIDENT[name]] = int(text.split()[0]) * KIB
+            if name in RESIDENT_KEYS:
+                found[RESIDENT_KEYS[name]] = int(text.split()[0]) * KIB
     return found
 
 
 def report(
-    costs: Costs,
-    held_bytes: Mapping[str, int],
+    costs: CostCounters,
+    buffered_bytes: Mapping[str, int],
     descriptors: Mapping[str, int],
     ages_s: Mapping[str, float] | None = None,
 ) -> dict[str, Any]:
-    """All figures by name. Descriptors that have no owner are the process's own: loop, signals, log."""
+    """All figures by their key in the `costs` line: buffered bytes and descriptors by owner, ages in
+    seconds by what is cached. Descriptors that have no owner are the process's own: loop, signals, log."""
     found: dict[str, Any] = {
-        "processor_s": time.process_time_ns() / 1e9,
+        "processor_s": time.process_time_ns() / NANOSECONDS_PER_SECOND,
         **costs.counts(),
-        "bytes": dict(held_bytes),
-        **resident(),
+        "bytes": dict(buffered_bytes),
+        **resident_memory(),
         "late": {stage.name.lower(): count for stage, count in costs.late.items() if count},
-        "late_s": {stage.name.lower(): spent / 1e6 for stage, spent in costs.late_us.items() if spent},
+        "late_s": {
+            stage.name.lower(): spent_us / MICROSECONDS_PER_SECOND
+            for stage, spent_us in costs.late_us.items()
+            if spent_us
+        },
     }
-    if costs.stages.on:
+    if costs.stages.is_on:
         found["stages_s"] = costs.stages.report()
     if ages_s:
         found["ages_s"] = dict(ages_s)
@@ -181,6 +219,6 @@
     return found
 
 
-def line(found: Mapping[str, Any]) -> str:
-    """The report as one line for the log: the word `costs` and a JSON object."""
+def to_log_line(found: Mapping[str, Any]) -> str:
+    """A report as one line for the log: the word `costs` and a JSON object."""
     return "costs " + json.dumps(found, separators=(",", ":"))
--- a/thistletrail/gateway/deadline.py
+++ b/thistletrail/gateway/deadline.py
@@ -1,8 +1,11 @@
-"""A request's time, from its client's sending to the last attempt: what was given, what is left, who took it.
+"""A request's deadline: how much time it was given, what is left, and which stage took the rest.
 
-A budget is made once, when a request is taken, and each later limit is read from it: the module's, those of
-an attempt's connect, wait and written `d`, the back-stop, the drain. It goes by the monotonic clock, so that
-a step of the wall clock changes nothing, and a pause of the process is charged to the stage it fell in.
+A deadline is made once, when a request is accepted, and each later limit is read from it: the policy's,
+those of an attempt's connect, wait and written `d`, the back-stop, the graceful shutdown. It goes by the
+monotonic clock, so that a step of the wall clock changes nothing, and a pause of the process is charged to
+the stage it fell in.
+
+All of this is on the path of each request: it is plain code on one small object with slots.
 """
 
 from dataclasses import dataclass
@@ -11,102 +14,104 @@
 # Taken off what a client says once, here, and nowhere else: for its request's way here and our answer's back.
 ANSWER_MARGIN_US = 25_000
 # A loop that is late by less may only have a coarse timer.
-LATE_LEAST_US = 10_000
+MIN_LATE_US = 10_000
 # Of the loop's lateness, what a command that was read in it is charged: it may have come at any time in it.
 LATE_SHARE = 0.5
-MS = 1000
+MICROSECONDS_PER_MILLISECOND = 1000
+MAX_DIGITS = 12  # of a time as text: more than anybody waits, and cheap to read
 
 
 class Stage(IntEnum):
-    """Where a request's time goes."""
+    """Where a request's time goes. The names, in lower case, are keys of the `costs` line."""
 
-    UNREAD = 0  # it had come, and was not looked at: an estimate
-    HELD = 1  # with the module, which has no attempt out
-    CONNECTING = 2  # an attempt is out and not written
+    UNREAD = 0  # it had come, and was not read: an estimate
+    HELD = 1  # with the policy, which has no attempt in flight
+    CONNECTING = 2  # an attempt is in flight and not written
     WAITING = 3  # an attempt is written
     ANSWERING = 4  # the answer is known, and waits behind others on its connection
 
 
-class Source(IntEnum):
-    """Where a budget's end comes from."""
+class DeadlineSource(IntEnum):
+    """What a deadline's end comes from."""
 
     CLIENT = 0  # the time that its client said
-    DRAIN = 1  # what a drain leaves
+    DRAIN = 1  # what a graceful shutdown leaves
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
-    """What was given, its end on the monotonic clock, and what each stage has taken by `since_us`.
+class Deadline:
+    """What was given, its end on the monotonic clock, and what each stage has taken by `stage_began_us`.
 
     At any time what all stages have taken and what is left are what was given. Time past the end is nobody's.
     """
 
     given_us: int
     end_us: int
-    source: Source
+    source: DeadlineSource
     stage: Stage
-    since_us: int  # when the present stage began
-    spent_us: tuple[int, int, int, int, int] = (0, 0, 0, 0, 0)
+    stage_began_us: int  # when the present stage began
+    spent_us: tuple[int, int, int, int, int] = (0, 0, 0, 0, 0)  # by stage
 
     @classmethod
-    def taken(cls, wait_us: int, unread_us: int, now_us: int) -> "Budget":
-        """That of a request that is taken now, whose client waits for so long from its sending on.
+    def start(cls, wait_us: int, unread_us: int, now_us: int) -> "Deadline":
+        """That of a request that is accepted now, whose client waits for so long from its sending on.
 
         What it lay unread for is an estimate: never below nothing, and never more than there was to lose.
         """
-        given = max(0, wait_us - ANSWER_MARGIN_US)
-        unread = max(0, min(unread_us, given))
-        return cls(given, now_us + given - unread, Source.CLIENT, Stage.HELD, now_us, (unread, 0, 0, 0, 0))
+        given_us = max(0, wait_us - ANSWER_MARGIN_US)
+        unread_us = max(0, min(unread_us, given_us))
+        end_us = now_us + given_us - unread_us
+        return cls(given_us, end_us, DeadlineSource.CLIENT, Stage.HELD, now_us, (unread_us, 0, 0, 0, 0))
 
     def remaining_us(self, now_us: int) -> int:
-        """Never below nothing; it only falls."""
-        return max(0, self.end_us - max(now_us, self.since_us))
+        """What is left; never below nothing, and it only falls."""
+        return max(0, self.end_us - max(now_us, self.stage_began_us))
 
     def spent_by(self, now_us: int) -> tuple[int, int, int, int, int]:
-        """By stage, with the present one up to now."""
-        took = max(0, min(now_us, self.end_us) - self.since_us)
-        if not took:
+        """Microseconds by stage, with the present one up to now."""
+        took_us = max(0, min(now_us, self.end_us) - self.stage_began_us)
+        if not took_us:
             return self.spent_us
-        return tuple(spent + took * (at == self.stage) for at, spent in enumerate(self.spent_us))
+        return tuple(spent + took_us * (stage == self.stage) for stage, spent in enumerate(self.spent_us))
 
-    def enter(self, stage: Stage, now_us: int) -> "Budget":
+    def enter(self, stage: Stage, now_us: int) -> "Deadline":
         """Go on in another stage."""
         if stage is self.stage:
             return self
-        now = max(now_us, self.since_us)
-        return Budget(self.given_us, self.end_us, self.source, stage, now, self.spent_by(now))
+        began_us = max(now_us, self.stage_began_us)
+        return Deadline(self.given_us, self.end_us, self.source, stage, began_us, self.spent_by(began_us))
 
-    def until(self, end_us: int, source: Source) -> "Budget":
-        """The lesser of its own end and another; what has been taken by now stays taken."""
-        end = max(end_us, self.since_us)
+    def until(self, end_us: int, source: DeadlineSource) -> "Deadline":
+        """The earlier of its own end and another; what has been spent by now stays spent."""
+        end = max(end_us, self.stage_began_us)
         if end >= self.end_us:
             return self
-        given = self.given_us - (self.end_us - end)
-        return Budget(given, end, source, self.stage, self.since_us, self.spent_us)
+        given_us = self.given_us - (self.end_us - end)
+        return Deadline(given_us, end, source, self.stage, self.stage_began_us, self.spent_us)
 
-    def slowest(self, now_us: int) -> Stage:
+    def longest_stage(self, now_us: int) -> Stage:
         """Which stage has taken the most."""
-        spent = self.spent_by(now_us)
-        return Stage(max(range(len(spent)), key=spent.__getitem__))
+        spent_us = self.spent_by(now_us)
+        return Stage(max(range(len(spent_us)), key=spent_us.__getitem__))
 
 
-def unread_us(late_us: int, waited_us: int) -> int:
-    """An estimate of how long a command lay before its first look: a share of the time by which the loop was
-    late when it was read, and all of the time for which it then waited behind others on its connection."""
-    late = round(late_us * LATE_SHARE) if late_us >= LATE_LEAST_US else 0
+def estimate_unread_us(late_us: int, waited_us: int) -> int:
+    """An estimate of how long a command lay unread: a share of the time by which the loop was late when it
+    was read, and all of the time for which it then waited behind others on its connection."""
+    late = round(late_us * LATE_SHARE) if late_us >= MIN_LATE_US else 0
     return late + max(0, waited_us)
 
 
-def to_text(remaining_us: int) -> bytes:
+def encode_remaining(remaining_us: int) -> bytes:
     """What is left as it crosses to another process: whole milliseconds, rounded down, as a relative figure,
     so that clocks need not agree."""
-    return b"%d" % (max(0, remaining_us) // MS)
+    return b"%d" % (max(0, remaining_us) // MICROSECONDS_PER_MILLISECOND)
 
 
-def from_text(text: str, most_us: int) -> int | None:
-    """What is left by such a text, never more than was written; None where it is no such text or is more than
-    anybody gives."""
-    if len(text) > 12 or not (text.isascii() and text.isdigit()):
+def decode_remaining(text: str, max_us: int) -> int | None:
+    """What is left by such a text, in microseconds, never more than was written; None where it is no such
+    text or is more than `max_us`."""
+    if len(text) > MAX_DIGITS or not (text.isascii() and text.isdigit()):
         return None
-    left = int(text) * MS
-    return left if left <= most_us else None
+    remaining_us = int(text) * MICROSECONDS_PER_MILLISECOND
+    return remaining_us if remaining_us <= max_us else None
--- a/thistletrail/gateway/errors.py
+++ b/thistletrail/gateway/errors.py
@@ -17,5 +17,10 @@
     """A discovery address sent an older endpoint list than the one that is in use."""
 
 
-class DiscoveryProtocolError(GatewayError):
-    """Discovery sent what is no endpoint list, or answered with an error."""
+class DiscoveryProtocolError(GatewayError, ValueError):
+    """Discovery sent what is no endpoint list, or answered with an error. A ValueError as well, as an
+    endpoint list is also a value of the configuration."""
+
+
+class MalformedJsonError(GatewayError):
+    """A stream of JSON objects has bytes that can be no part of one, or an object that is too large."""
--- a/thistletrail/gateway/peer_transport.py
+++ b/thistletrail/gateway/peer_transport.py
@@ -1,55 +1,63 @@
-"""Datagrams between the front doors of a tier."""
+"""Datagrams between the gateways of a fleet."""
 
 import asyncio
 from collections.abc import Callable
 
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.cost_counters import PEERS, Costs
+from thistletrail.gateway.cost_counters import PEERS, CostCounters
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.codec import MESSAGE_BYTES, pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived
 
 
-class Peers(asyncio.DatagramProtocol):
-    """Words to and from the other front doors; what strangers send or what is malformed is dropped."""
+class PeerTransport(asyncio.DatagramProtocol):
+    """Messages to and from the other gateways; datagrams of strangers and malformed ones are dropped."""
 
     def __init__(
         self,
         addresses: tuple[Address, ...],
         gateway_index: int,
-        heard: Callable[[PeerMessageReceived], None],
-        costs: Costs | None = None,
+        on_message: Callable[[PeerMessageReceived], None],
+        costs: CostCounters | None = None,
     ) -> None:
-        self.costs = costs or Costs()
-        self.addresses, self.gateway_index, self.heard = addresses, gateway_index, heard
+        """`addresses` are those of all gateways, by index, this one's among them."""
+        self.addresses = addresses
+        self.gateway_index = gateway_index
+        self.on_message = on_message
+        self.costs = costs or CostCounters()
         self.senders = {
             address: number for number, address in enumerate(addresses) if number != gateway_index
         }
         self.transport: asyncio.DatagramTransport | None = None
         # The loop calls it for each datagram.
-        self.datagram_received = self.costs.stages.call(PEERS, self.datagram_received)
+        self.datagram_received = self.costs.stages.wrap(PEERS, self.datagram_received)
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
+        """The socket is open."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Address) -> None:
+        """Report the message of a peer."""
         sender = self.senders.get(address)
-        known = sender is not None and len(data) <= MESSAGE_BYTES
-        if message := unpack_message(data) if known else None:
+        is_readable = sender is not None and len(data) <= MESSAGE_BYTES
+        message = unpack_message(data) if is_readable else None
+        if message:
             self.costs.datagrams_in += 1
-            self.heard(PeerMessageReceived(sender, *message))
+            self.on_message(PeerMessageReceived(sender, *message))
         else:
             self.costs.datagrams_dropped += 1
 
     def error_received(self, error: OSError) -> None:
-        """A peer that is down may show as an error here; words may be lost in any case."""
+        """A peer that is down may show as an error here; messages may be lost in any case."""
 
-    def tell(self, action: SendPeerMessage) -> None:
+    def send(self, action: SendPeerMessage) -> None:
+        """Send a message to a peer, in as many datagrams as it needs; none before the socket is open."""
         if self.transport and action.peer != self.gateway_index and action.peer < len(self.addresses):
             for data in pack_message(action.quota_messages, action.digest):
                 self.transport.sendto(data, self.addresses[action.peer])
                 self.costs.datagrams_out += 1
 
     def close(self) -> None:
+        """Close the socket."""
         if self.transport:
             self.transport.close()
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -17,9 +17,10 @@
 from thistletrail.gateway.backends import NEVER, Attempt, Backends, now_us
 from thistletrail.gateway.clients import FAILED, Clients, Command, CommandError, CommandParser, Reply
 from thistletrail.gateway.config import Config
-from thistletrail.gateway.deadline import Budget, Source, Stage
-from thistletrail.gateway.discovery_client import Catalog, Discovery, News
-from thistletrail.gateway.peer_transport import Peers
+from thistletrail.gateway.deadline import Deadline, DeadlineSource, Stage
+from thistletrail.gateway.discovery_client import DiscoveryClient
+from thistletrail.gateway.endpoint_list import EndpointListCodec, EndpointListUpdate
+from thistletrail.gateway.peer_transport import PeerTransport
 from thistletrail.policy.actions import (
     Action,
     CancelAttempt,
@@ -76,7 +77,7 @@
 
     __slots__ = ("attempts", "budget", "command", "course", "out", "ran_us", "reply", "timer")
 
-    def __init__(self, command: Command, reply: Reply, budget: Budget) -> None:
+    def __init__(self, command: Command, reply: Reply, budget: Deadline) -> None:
         self.command, self.reply, self.budget = command, reply, budget
         self.attempts = 0
         self.course: list[tuple[int, int, int]] = []  # of ended attempts: begun, written or 0, ended
@@ -84,7 +85,7 @@
         self.ran_us = NEVER  # when the first attempt was written that may have run
         self.timer: asyncio.TimerHandle | None = None
 
-    def spent(self, now: int) -> Budget:
+    def spent(self, now: int) -> Deadline:
         """Its budget with what each stage has taken by now."""
         budget = self.budget
         out = [(attempt.sent_us, attempt.written_us, now) for attempt in self.out.values()]
@@ -100,11 +101,11 @@
     def __init__(self, config: Config) -> None:
         self.config, self.settings = config, config.settings
         self.loop = asyncio.get_running_loop()
-        self.costs = costs.Costs(config.time_stages)
+        self.costs = costs.CostCounters(config.time_stages)
         stages = self.costs.stages
         self.gateway = Gateway(config.settings)
-        self.gateway.handle = stages.call(costs.DECISIONS, self.gateway.handle)
-        self.run_batch = stages.call(costs.ACTIONS, self.run_batch)
+        self.gateway.handle = stages.wrap(costs.DECISIONS, self.gateway.handle)
+        self.run_batch = stages.wrap(costs.ACTIONS, self.run_batch)
         self.inbox: list[Event | Exchange] = []  # an exchange: its request, which is new
         self.takeover: Takeover | None = None  # where work in hand is kept
         self.open: dict[str, Exchange] = {}  # requests that are owed an answer
@@ -136,11 +137,11 @@
             self.costs,
             lambda: self.timer_us,
         )
-        self.peers = Peers(config.peers, config.settings.gateway_index, self.post, self.costs)
-        self.catalog = Catalog(config)
+        self.peers = PeerTransport(config.peers, config.settings.gateway_index, self.post, self.costs)
+        self.catalog = EndpointListCodec(config)
         known = self.read_known()
         version = known.event.version if known else 0
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             config.discovery,
             self.catalog,
             version,
@@ -150,13 +151,13 @@
             random.Random(config.settings.seed),
         )
         self.carry_out: dict[type, Callable[..., None]] = {
-            StartAttempt: stages.call(costs.BACKENDS, self.send),
+            StartAttempt: stages.wrap(costs.BACKENDS, self.send),
             CancelAttempt: self.cancel,
             RejectRequest: self.refuse,
             FailRequest: self.fail,
             SetTimer: self.set_timer,
             WriteLog: self.log_line,
-            SendPeerMessage: stages.call(costs.PEERS, self.peers.tell),
+            SendPeerMessage: stages.wrap(costs.PEERS, self.peers.send),
             CloseIdleConnections: lambda action: self.backends.close_idle(action.server),
             WatchEndpoints: lambda action: None,
             FetchEndpoints: lambda action: None,  # the watch is always on
@@ -164,11 +165,11 @@
 
     # --- start and end ---
 
-    def read_known(self) -> News | None:
+    def read_known(self) -> EndpointListUpdate | None:
         if not self.config.known:
             return None
         try:
-            news = self.catalog.news(self.config.known, EndpointUpdateKind.CACHED)
+            news = self.catalog.decode_update(self.config.known, EndpointUpdateKind.CACHED)
         except (KeyError, TypeError, ValueError) as error:
             log.error("the known list makes no sense: %s", error)
             return None
@@ -179,7 +180,7 @@
         """The list of scan servers as it is known now, in discovery's form."""
         pools = self.backends.pools
         entries = [
-            self.catalog.entry(server.entry, pools[name].address)
+            self.catalog.encode_entry(server.entry, pools[name].address)
             for name, server in self.gateway.servers.items()
             if name in pools
         ]
@@ -192,7 +193,7 @@
             await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=self.config.peer_listen)
         self.discovery.start()
         try:
-            await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST_S)
+            await asyncio.wait_for(self.discovery.first_update.wait(), FIRST_LIST_S)
         except TimeoutError:
             log.warning("discovery is silent; starting with the known list")
         self.address = self.clients.listen(self.config.listen)
@@ -214,7 +215,7 @@
             log.warning("a restart is needed for new values of: %s", ", ".join(changed))
         where = ", ".join(f"{host}:{port}" for host, port in config.discovery)
         log.info("takes over the configuration: discovery at %s", where)
-        self.discovery.move(config.discovery)
+        self.discovery.change_addresses(config.discovery)
 
     async def drain(self) -> None:
         """Take and answer what still comes, then close what is idle, and answer all that is held."""
@@ -255,13 +256,13 @@
         }
         age = self.discovery.age_s()
         ages = {"list": round(age, 1)} if age >= 0 else {}
-        return costs.line(costs.report(self.costs, held, descriptors, ages))
+        return costs.to_log_line(costs.report(self.costs, held, descriptors, ages))
 
     # --- events ---
 
     def limit(self, exchange: Exchange) -> None:
         """Hold a request to what the drain leaves, with its attempts and its back-stop."""
-        budget = exchange.budget.until(self.last_us, Source.DRAIN)
+        budget = exchange.budget.until(self.last_us, DeadlineSource.DRAIN)
         if budget is exchange.budget:
             return
         exchange.budget = budget
@@ -316,7 +317,7 @@
             self.fail(FailRequest(request_id))
             self.tell_gone(request_id, exchange)
 
-    def list_heard(self, news: News) -> None:
+    def list_heard(self, news: EndpointListUpdate) -> None:
         whole = news.event.kind is not EndpointUpdateKind.CHANGES
         states = {server.name: server.state for server in news.event.servers}
         self.backends.update(states, news.addresses, whole)
@@ -330,16 +331,16 @@
         if self.is_full():
             raise CommandError("too many requests are open")
         now = now_us()
-        budget = Budget.taken(command.wait_us, reply.connection.unread_us(now), now)
+        budget = Deadline.start(command.wait_us, reply.connection.unread_us(now), now)
         if self.last_us < budget.end_us:
-            budget = budget.until(self.last_us, Source.DRAIN)
+            budget = budget.until(self.last_us, DeadlineSource.DRAIN)
         reply.id = command.id
         self.post(self.begin(command, reply, budget, now))
 
     def is_full(self) -> bool:
         return len(self.open) >= self.config.max_open or self.held_bytes > self.most_held
 
-    def begin(self, command: Command, reply: "Reply | Nobody", budget: Budget, now: int) -> Exchange:
+    def begin(self, command: Command, reply: "Reply | Nobody", budget: Deadline, now: int) -> Exchange:
         """A request is owed an answer, by the id of its reply."""
         exchange = Exchange(command, reply, budget)
         self.back_stop(exchange, now)
@@ -348,7 +349,7 @@
         self.costs.requests += 1
         return exchange
 
-    def exchange(self, command: Command, reply: "Nobody", budget: Budget) -> Exchange | None:
+    def exchange(self, command: Command, reply: "Nobody", budget: Deadline) -> Exchange | None:
         """One for work that another front door has taken; none where too much is open here."""
         if reply.id in self.open or self.is_full():
             return None
@@ -473,7 +474,7 @@
         took = now - budget.end_us + budget.given_us
         if data is FAILED or took > self.settings.classes[exchange.command.class_index].latency_objective_us:
             budget = exchange.spent(now)
-            self.costs.note_late(budget, now)
+            self.costs.count_late(budget, now)
             log.info(
                 "request %s %s after %d ms: %s",
                 name,
--- a/thistletrail/gateway/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -22,7 +22,7 @@
 from thistletrail.gateway.backends import Attempt, now_us
 from thistletrail.gateway.clients import FAILED, Command, CommandError, read_fields
 from thistletrail.gateway.config import Config
-from thistletrail.gateway.deadline import ANSWER_MARGIN_US, Budget, Source
+from thistletrail.gateway.deadline import ANSWER_MARGIN_US, Deadline, DeadlineSource
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.leasing.client import CallError, Stream, TurnedAwayError
 from thistletrail.leasing.hand import Hand
@@ -352,7 +352,7 @@
 
     def limit(self, piece: Piece, left_ms: int) -> None:
         """What has run may run again only while its servers remember it."""
-        budget = piece.exchange.budget.until(now_us() + left_ms * 1000, Source.CLIENT)
+        budget = piece.exchange.budget.until(now_us() + left_ms * 1000, DeadlineSource.CLIENT)
         if piece.ran and budget is not piece.exchange.budget:
             piece.exchange.budget = budget
 
@@ -578,7 +578,7 @@
             return
         name = f"{command.id}.{handed.fence}"
         now = now_us()
-        budget = Budget.taken(handed.left_ms * 1000 + ANSWER_MARGIN_US, 0, now)
+        budget = Deadline.start(handed.left_ms * 1000 + ANSWER_MARGIN_US, 0, now)
         exchange = self.door.exchange(command, Nobody(name), budget)
         if exchange is None:
             self.hand.leave(handed.name, on=True, unrun=not handed.server)
