--- a/tests/test_rig_recovery.py
+++ b/tests/test_rig_recovery.py
@@ -55,8 +55,8 @@
 
 def test_bad_state_is_one_warning_and_a_door_that_crashes_waits() -> None:
     seen = played("state")
-    assert said(seen, 0).count("is not used: it is damaged") == 1
-    assert said(seen, 1).count("is not used: it is 36") == 1
+    assert said(seen, 0).count("is rejected: damaged: expected") == 1
+    assert said(seen, 1).count("is rejected: written 36") == 1
     assert "takes up a snapshot of" in said(seen, 2)
     waits = said(seen, 3).count("has started again and again: it waits for")
     assert waits >= 1  # the third start within ten seconds, and each one after it
@@ -108,8 +108,8 @@
         return found
 
     (one, two, three) = asyncio.run(act())
-    assert one[0] == two[0] == 2 and "another front door has the folder" in one[1]
-    assert "another front door has the folder" in two[1]
+    assert one[0] == two[0] == 2 and "another gateway has the folder" in one[1]
+    assert "another gateway has the folder" in two[1]
     assert three[0] == 1 and "cannot start" in three[1]
 
 
@@ -156,7 +156,7 @@
     assert check(seen) == []
     assert not seen.by["fell"]  # no cold one was pushed over
     assert sum(record["who"] == "doors-0" for record in seen.by["started"]) == 3
-    assert said(seen, 0).count("is not used: it is 36") == 1 and "takes up a snapshot of" in said(seen, 3)
+    assert said(seen, 0).count("is rejected: written 36") == 1 and "takes up a snapshot of" in said(seen, 3)
     back = max(record["at"] for record in seen.by["started"])
     served = {record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > back}
     assert {record["door"] for record in seen.by["try"] if record["id"] in served} == set(range(4))
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 import time
+import zlib
 from dataclasses import replace
 from pathlib import Path
 
@@ -16,18 +17,14 @@
 from tests.sockets import CONFIG, HOST, Backend, Client, Watch, front_door, query, run
 from tests.test_program import config as values_of
 from tests.test_program import write as write_config
-from thistletrail.gateway import snapshot_store as keep
-from thistletrail.gateway.errors import ConfigError
+from thistletrail.gateway import snapshot_file, snapshot_store
+from thistletrail.gateway.config import Config
+from thistletrail.gateway.errors import ConfigError, RejectedSnapshotError
 from thistletrail.gateway.server import FrontDoor
-from thistletrail.gateway.snapshot_store import (
-    Keep,
-    RejectedError,
-    Snapshot,
-    pack,
-    settings_of,
-    unpack,
-    wait_s,
-)
+from thistletrail.gateway.settings_digest import settings_digest
+from thistletrail.gateway.snapshot_file import Snapshot, decode_snapshot, encode_snapshot
+from thistletrail.gateway.snapshot_store import SnapshotStore, check_snapshot
+from thistletrail.gateway.start_history import CRASH_SPAN_S, crash_backoff_s
 from thistletrail.policy import memory
 from thistletrail.policy.actions import WriteLog
 from thistletrail.policy.events import CustomerSnapshot, EjectedServerSnapshot, PolicySnapshot, SnapshotFound
@@ -39,85 +36,93 @@
 
 
 def snapshot(**changes: object) -> Snapshot:
-    return msgspec.structs.replace(
+    return replace(
         Snapshot(
-            name=CONFIG.name,
-            settings=settings_of(CONFIG),
-            at_ms=NOW_MS,
-            mark=3,
-            memory=PolicySnapshot(
+            gateway_name=CONFIG.name,
+            settings_digest=settings_digest(CONFIG.settings),
+            written_at_ms=NOW_MS,
+            incarnation=3,
+            policy=PolicySnapshot(
                 (CustomerSnapshot(*KEY, 2.0, 5.0, 0.0, 0.0),),
                 (EjectedServerSnapshot("s1", 10, 20, 0.5),),
                 7.5,
             ),
-            known={"generation": 4, "instances": []},
+            endpoint_list={"generation": 4, "instances": []},
         ),
         **changes,
     )
 
 
-def why_not(data: bytes, now_ms: int = NOW_MS, config: object = CONFIG) -> str:
-    with pytest.raises(RejectedError) as caught:
-        unpack(data, config, now_ms)
+def read(data: bytes, now_ms: int, config: Config = CONFIG) -> Snapshot:
+    """A snapshot that may be used."""
+    found = decode_snapshot(data)
+    check_snapshot(found, config, now_ms)
+    return found
+
+
+def why_not(data: bytes, now_ms: int = NOW_MS, config: Config = CONFIG) -> str:
+    with pytest.raises(RejectedSnapshotError) as caught:
+        read(data, now_ms, config)
     assert "\n" not in str(caught.value)
     return str(caught.value)
 
 
 def test_a_snapshot_comes_back_as_it_was() -> None:
-    assert unpack(pack(snapshot()), CONFIG, NOW_MS + 500) == snapshot()
+    assert read(encode_snapshot(snapshot()), NOW_MS + 500) == snapshot()
 
 
-def test_what_is_wrong_with_a_snapshot_is_told_and_it_is_not_used() -> None:
-    good = pack(snapshot())
-    assert why_not(b"") == "it is cut off"
-    assert why_not(b"x" * 100) == "it is none"
-    assert "version 2" in why_not(good[:4] + b"\x02" + good[5:])
-    assert why_not(pack(snapshot(name="another"))) == "it is of another"
-    assert "other settings" in why_not(pack(snapshot(settings="0")))
+def test_a_snapshot_that_is_wrong_is_rejected_with_the_reason() -> None:
+    good = encode_snapshot(snapshot())
+    assert why_not(b"") == "cut off: expected 13 bytes at least, found 0"
+    assert why_not(b"x" * 100) == "no snapshot: expected b'MrSt' at its beginning, found b'xxxx'"
+    assert "version: expected 1, found 2" in why_not(good[:4] + b"\x02" + good[5:])
+    another = encode_snapshot(snapshot(gateway_name="another"))
+    assert why_not(another) == "expected one of n0, found one of another"
+    assert "other settings" in why_not(encode_snapshot(snapshot(settings_digest="0")))
     assert "in the future" in why_not(good, NOW_MS - 3_600_000)
-    assert why_not(good, NOW_MS + 3_600_000) == "it is 3600 s old"
+    assert why_not(good, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
     other = replace(CONFIG, settings=replace(CONFIG.settings, gateway_count=3))
     assert "other settings" in why_not(good, config=other)
     # A new seed comes with each start, and is no other setting.
-    unpack(good, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)), NOW_MS)
+    read(good, NOW_MS, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)))
     body = msgspec.msgpack.encode({"name": 1})
-    wrong = keep.HEAD.pack(keep.MARK, keep.VERSION, len(body), keep.zlib.crc32(body)) + body
+    magic, version = snapshot_file.MAGIC, snapshot_file.VERSION
+    wrong = snapshot_file.HEADER.pack(magic, version, len(body), zlib.crc32(body)) + body
     assert "Expected `str`" in why_not(wrong)
 
 
 def test_a_snapshot_that_is_cut_or_changed_at_any_byte_is_not_used() -> None:
-    good = pack(snapshot())
+    good = encode_snapshot(snapshot())
     for at in range(len(good)):
         why_not(good[:at])
         why_not(good[:at] + bytes([good[at] ^ 0x41]) + good[at + 1 :])
 
 
-# --- the module's part ---
+# --- the policy's part ---
 
 PLAN = Plan(rate=10.0, burst=20.0, over_quota_cost=1.0, ceiling_rate=20.0, ceiling_burst=40.0)
 SET = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
 
 
-def recalled(age_us: int, **changes: object) -> World:
+def restored(age_us: int, **changes: object) -> World:
     world = World(SET)
-    kept = msgspec.structs.replace(snapshot()).memory
-    world.tell(SnapshotFound(replace(kept, **changes), age_us))
+    world.tell(SnapshotFound(replace(snapshot().policy, **changes), age_us))
     return world
 
 
-def test_a_memory_is_what_the_gateway_knew() -> None:
+def test_a_snapshot_is_what_the_gateway_knew() -> None:
     world = World(replace(SET, plans=(replace(PLAN, ceiling_rate=0.0),)))  # a ceiling's store starts empty
     for number in range(8):
         world.ask(f"r{number}", set_size=2)
     world.gateway.set_n(12.0)
-    suspect = world.gateway.servers["s1"]
-    suspect.on_trial, suspect.avoid_until, suspect.backoff_us = True, world.now + S, 2 * S
+    ejected = world.gateway.servers["s1"]
+    ejected.on_trial, ejected.avoid_until, ejected.backoff_us = True, world.now + S, 2 * S
     found = collect(world.gateway)
     ((key, customer),) = world.gateway.customers.items()
-    (kept,) = found.customers
-    assert (kept.customer, kept.plan_index, kept.set_first, kept.set_size) == key
-    assert kept.share == customer.part < 10.0 and kept.level == customer.level < 20.0
-    assert found.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, suspect.latency_ratio),)
+    (stored,) = found.customers
+    assert (stored.customer, stored.plan_index, stored.set_first, stored.set_size) == key
+    assert stored.share == customer.part < 10.0 and stored.level == customer.level < 20.0
+    assert found.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
     assert found.admission_rate_per_s == pytest.approx(12.0)
 
     successor = World(SET)
@@ -142,7 +147,7 @@
 def test_what_is_past_its_bound_is_not_used(
     age_us: int, customers: int, ejected_servers: bool, n: int | None
 ) -> None:
-    world = recalled(age_us)
+    world = restored(age_us)
     assert len(world.gateway.customers) == customers
     assert world.gateway.servers["s1"].on_trial is ejected_servers
     assert world.gateway.n_past == n
@@ -152,7 +157,7 @@
     world = World(SET)
     forget_us = world.gateway.forget_us
     assert forget_us >= 10 * S
-    assert recalled(forget_us - 1).gateway.customers and not recalled(forget_us).gateway.customers
+    assert restored(forget_us - 1).gateway.customers and not restored(forget_us).gateway.customers
 
 
 @pytest.mark.parametrize(
@@ -163,43 +168,43 @@
     ],
 )
 def test_a_customer_that_cannot_be_is_passed_over(odd: CustomerSnapshot) -> None:
-    assert not recalled(0, customers=(odd,)).gateway.customers
+    assert not restored(0, customers=(odd,)).gateway.customers
 
 
-def test_what_is_recalled_is_never_more_than_a_store_holds() -> None:
-    world = recalled(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
+def test_what_is_restored_is_never_more_than_a_store_holds() -> None:
+    world = restored(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
     customer = world.gateway.customers[KEY]
     assert (customer.part, customer.level) == (10.0, 20.0)
     assert customer.ceiling <= 40.0 * customer.ceiling_part and customer.grants <= 40.0
 
 
-def test_what_is_recalled_is_told() -> None:
+def test_what_is_restored_is_logged() -> None:
     world = World(SET)
-    (said,) = of(WriteLog, world.tell(SnapshotFound(snapshot().memory, 2_500_000)))
+    (said,) = of(WriteLog, world.tell(SnapshotFound(snapshot().policy, 2_500_000)))
     assert said.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 suspect servers, N 7.5 a second"
 
 
-# --- the front door's part ---
+# --- the gateway's part ---
 
 
-def keeper(folder: Path, **changes: object) -> Keep:
-    return Keep(replace(CONFIG, state_dir=str(folder), **changes))
+def store_in(folder: Path, **changes: object) -> SnapshotStore:
+    return SnapshotStore(replace(CONFIG, state_dir=str(folder), **changes))
 
 
-def test_a_door_takes_up_what_its_predecessor_kept(tmp_path: Path) -> None:
+def test_a_gateway_restores_what_its_predecessor_stored(tmp_path: Path) -> None:
     async def act() -> None:
         async with front_door(Backend()) as (door, address):
-            first = keeper(tmp_path)
+            first = store_in(tmp_path)
             client = await Client.open(address)
             for number in range(5):
                 await client.ask(query(f"r{number}"))
-            first.write(first.snapshot(door))
+            first.write(first.collect(door))
             first.close()
-            second = keeper(tmp_path)
-            assert second.found.known["generation"] == 7
-            config = second.with_known(replace(CONFIG, discovery=(await Watch(never).start(),)))
+            second = store_in(tmp_path)
+            assert second.found.endpoint_list["generation"] == 7
+            config = second.with_stored_list(replace(CONFIG, discovery=(await Watch(never).start(),)))
             successor = FrontDoor(config)
-            second.recall(successor)
+            second.restore(successor)
             await asyncio.sleep(0)
             successor.run_batch()
             assert list(successor.gateway.servers) == ["s0"]
@@ -218,86 +223,88 @@
 def test_an_old_snapshot_is_good_for_its_list_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def act() -> None:
         async with front_door(Backend()) as (door, _):
-            first = keeper(tmp_path)
-            first.write(first.snapshot(door))
+            first = store_in(tmp_path)
+            first.write(first.collect(door))
             first.close()
-            offset = round(keep.MOST_AGE_S * 1000) + 1000
-            second = keeper(tmp_path, clock_offset_ms=offset)
-            second.recall(door)
+            offset = round(snapshot_store.MAX_AGE_S * 1000) + 1000
+            second = store_in(tmp_path, clock_offset_ms=offset)
+            second.restore(door)
             assert second.found is not None and not door.inbox
             second.close()
-            third = keeper(tmp_path, clock_offset_ms=3_600_000)  # a clock that is an hour off
+            third = store_in(tmp_path, clock_offset_ms=3_600_000)  # a clock that is an hour off
             assert third.found is None
             third.close()
 
     run(act())
-    assert "is too old for all but its list" in caplog.text and "it is 3600 s old" in caplog.text
+    assert "is too old for all but its list" in caplog.text and "written 3600 s ago" in caplog.text
 
 
 def test_a_damaged_snapshot_is_one_warning(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    (tmp_path / "door").write_bytes(pack(snapshot())[:-1])
+    (tmp_path / "door").write_bytes(encode_snapshot(snapshot())[:-1])
     (tmp_path / "starts").write_bytes(b"\xff")
-    found = keeper(tmp_path)
-    assert found.found is None and found.starts == []
-    assert len(caplog.records) == 1 and "is not used: it is damaged" in caplog.text
+    found = store_in(tmp_path)
+    assert found.found is None and found.start_history.start_times_s == []
+    assert len(caplog.records) == 1 and "is rejected: damaged: expected" in caplog.text
     found.close()
 
 
-def test_two_doors_cannot_have_one_folder(tmp_path: Path) -> None:
-    first = keeper(tmp_path)
-    with pytest.raises(ConfigError, match="another front door has the folder"):
-        keeper(tmp_path)
+def test_two_gateways_cannot_have_one_folder(tmp_path: Path) -> None:
+    first = store_in(tmp_path)
+    with pytest.raises(ConfigError, match="another gateway has the folder"):
+        store_in(tmp_path)
     first.close()
-    keeper(tmp_path).close()
+    store_in(tmp_path).close()
     with pytest.raises(ConfigError, match="cannot be used"):
-        keeper(tmp_path / "lock" / "below")
+        store_in(tmp_path / "lock" / "below")
 
 
 def test_a_full_disk_is_one_warning_and_leaves_the_old_snapshot(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    found = keeper(tmp_path)
-    found.write(snapshot(at_ms=1))
+    found = store_in(tmp_path)
+    found.write(snapshot(written_at_ms=1))
     before = (tmp_path / "door").read_bytes()
 
     def full(file: int) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", full)
-    found.write(snapshot(at_ms=2))
-    found.write(snapshot(at_ms=3))
+    found.write(snapshot(written_at_ms=2))
+    found.write(snapshot(written_at_ms=3))
     assert (tmp_path / "door").read_bytes() == before
     assert [record.message for record in caplog.records] == [
         "no snapshot can be written: No space left on device"
     ]
     monkeypatch.undo()
-    found.write(snapshot(at_ms=4))
-    assert (tmp_path / "door").read_bytes() == pack(snapshot(at_ms=4)) and not found.failing
+    found.write(snapshot(written_at_ms=4))
+    assert (tmp_path / "door").read_bytes() == encode_snapshot(snapshot(written_at_ms=4))
+    assert not found.is_failing
     found.close()
 
 
-def test_a_door_that_crashes_again_and_again_waits_longer_each_time() -> None:
+def test_a_gateway_that_crashes_again_and_again_waits_longer_each_time() -> None:
     now = 1000.0
-    assert wait_s([], now) == 0.0 and wait_s([999.0], now) == 0.0  # a first start, and a restart
-    waits = [wait_s([now - 0.1 * n for n in range(count)], now) for count in range(2, 8)]
+    assert crash_backoff_s([], now) == 0.0  # a first start
+    assert crash_backoff_s([999.0], now) == 0.0  # a restart
+    waits = [crash_backoff_s([now - 0.1 * n for n in range(count)], now) for count in range(2, 8)]
     assert waits == [1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
-    assert wait_s([now - keep.CRASH_SPAN_S - 1] * 5, now) == 0.0
-    assert wait_s([now + 3600] * 5, now) == 0.0  # a clock that was off
+    assert crash_backoff_s([now - CRASH_SPAN_S - 1] * 5, now) == 0.0
+    assert crash_backoff_s([now + 3600] * 5, now) == 0.0  # a clock that was off
 
 
-def test_starts_that_ended_well_are_no_crashes(tmp_path: Path) -> None:
+def test_planned_ends_are_no_crashes(tmp_path: Path) -> None:
     for _ in range(4):
-        found = keeper(tmp_path)
-        assert found.wait_s() == 0.0
-        found.end(None)
+        found = store_in(tmp_path)
+        assert found.register_start() == 0.0
+        found.finish(None)
         found.close()
     for expected in (False, False, True):
-        found = keeper(tmp_path)
-        assert (found.wait_s() > 0) is expected
-        found.close()  # and no word of a planned end
+        found = store_in(tmp_path)
+        assert (found.register_start() > 0) is expected
+        found.close()  # and no planned end
 
 
-def test_a_door_in_its_wait_ends_cleanly_and_keeps_the_crashes_in_mind(tmp_path: Path) -> None:
+def test_a_gateway_in_its_wait_ends_cleanly_and_the_crashes_still_count(tmp_path: Path) -> None:
     now = time.time()
     state = tmp_path / "state"
     state.mkdir()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,9 +12,11 @@
 import pytest
 
 from tests.helpers import World
-from thistletrail.gateway import snapshot_store as keep
 from thistletrail.gateway.config import Config, load
-from thistletrail.gateway.snapshot_store import Keep, pack, settings_of, unpack
+from thistletrail.gateway.settings_digest import settings_digest
+from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
+from thistletrail.gateway.snapshot_store import SnapshotStore, check_snapshot
+from thistletrail.gateway.start_history import crash_backoff_s
 from thistletrail.leasing import book as books
 from thistletrail.leasing.book import Book
 from thistletrail.leasing.config import read as read_leasing_config
@@ -73,13 +75,13 @@
 
 def test_a_snapshot_of_a1df16a_is_read_in_full(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
-    found = Keep(config)
+    found = SnapshotStore(config)
     assert found.found is not None
-    assert (found.found.name, found.found.settings) == ("n1", "f2c2f9286bcb3aaa")
-    assert (found.found.at_ms, found.found.mark) == (1_764_700_000_000, 1_469_153_534)
-    assert found.found.memory.customers == CUSTOMERS
-    assert found.found.memory.ejected_servers == EJECTED_SERVERS
-    assert found.found.memory.admission_rate_per_s == ADMISSION_RATE_PER_S
+    assert (found.found.gateway_name, found.found.settings_digest) == ("n1", "f2c2f9286bcb3aaa")
+    assert (found.found.written_at_ms, found.found.incarnation) == (1_764_700_000_000, 1_469_153_534)
+    assert found.found.policy.customers == CUSTOMERS
+    assert found.found.policy.ejected_servers == EJECTED_SERVERS
+    assert found.found.policy.admission_rate_per_s == ADMISSION_RATE_PER_S
     found.close()
 
 
@@ -87,9 +89,9 @@
     config: Config, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
-    found = Keep(config)
+    found = SnapshotStore(config)
     assert not config.known
-    known = found.with_known(config).known
+    known = found.with_stored_list(config).known
     assert (known["generation"], known["reset"]) == (7, True)
     shown = [
         (one["instanceId"], one["hostPort"], one["zone"], one["machineType"], one["cell"], one["lifecycle"])
@@ -108,12 +110,12 @@
 
 def test_the_policy_takes_up_what_a1df16a_knew(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S)
-    found = Keep(config)
+    found = SnapshotStore(config)
     assert found.found is not None
     world = World(config.settings, ())
     servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.UP) for number in range(4))
     world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 7, servers))
-    world.tell(SnapshotFound(found.found.memory, 0))
+    world.tell(SnapshotFound(found.found.policy, 0))
     gateway = world.gateway
     restored = [
         (*key, customer.part, customer.level, customer.ceiling, customer.grants)
@@ -134,25 +136,26 @@
 
 def test_a_snapshot_of_a1df16a_is_written_again_byte_for_byte(config: Config) -> None:
     written = (Path(config.state_dir) / "door").read_bytes()
-    snapshot = unpack(written, config, round(SNAPSHOT_UNIX_S * 1000))
-    assert pack(snapshot) == written
+    snapshot = decode_snapshot(written)
+    check_snapshot(snapshot, config, round(SNAPSHOT_UNIX_S * 1000))
+    assert encode_snapshot(snapshot) == written
 
 
 def test_the_configuration_of_the_snapshot_has_the_digest_in_it(config: Config) -> None:
-    assert settings_of(config) == "f2c2f9286bcb3aaa"
+    assert settings_digest(config.settings) == "f2c2f9286bcb3aaa"
 
 
 def test_start_times_of_a1df16a_are_waited_for(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     now = SNAPSHOT_UNIX_S + 0.5
     set_unix_time(monkeypatch, now)
-    found = Keep(config)
-    assert found.starts == STARTS
-    assert keep.wait_s(STARTS, now) == 4.0
-    assert 3.0 <= found.wait_s() <= 5.0  # with the jitter of a quarter
-    assert found.starts == [*STARTS, now]
+    found = SnapshotStore(config)
+    assert found.start_history.start_times_s == STARTS
+    assert crash_backoff_s(STARTS, now) == 4.0
+    assert 3.0 <= found.register_start() <= 5.0  # with the jitter of a quarter
+    assert found.start_history.start_times_s == [*STARTS, now]
     found.close()
-    again = Keep(config)
-    assert again.starts == [*STARTS, now]
+    again = SnapshotStore(config)
+    assert again.start_history.start_times_s == [*STARTS, now]
     again.close()
 
 
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -11,6 +11,7 @@
 import signal
 import socket
 from collections.abc import Awaitable, Callable
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -29,7 +30,7 @@
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
 from thistletrail.gateway.budget_lease_client import FURTHER
-from thistletrail.gateway.snapshot_store import HEAD, Snapshot, pack
+from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
 from thistletrail.leasing.book import begin
 from thistletrail.leasing.config import read as read_config
 from thistletrail.simulation.clock import Clock
@@ -43,8 +44,8 @@
 
 def aged(data: bytes, by_ms: int) -> bytes:
     """A door's snapshot as if it had been made so much earlier."""
-    found = msgspec.msgpack.decode(data[HEAD.size :], type=Snapshot)
-    return pack(msgspec.structs.replace(found, at_ms=found.at_ms - by_ms))
+    snapshot = decode_snapshot(data)
+    return encode_snapshot(replace(snapshot, written_at_ms=snapshot.written_at_ms - by_ms))
 
 
 class Member:
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -73,26 +73,26 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
-    keep = None
+    store = None
     if config.state_dir:
-        from thistletrail.gateway.snapshot_store import Keep  # what is kept nowhere needs not be loaded
+        from thistletrail.gateway.snapshot_store import SnapshotStore  # not loaded where nothing is stored
 
-        keep = Keep(config)
-        if wait := keep.wait_s():
+        store = SnapshotStore(config)
+        if wait := store.register_start():
             log.warning("%s has started again and again: it waits for %.1f s", config.name, wait)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(stopped.wait(), wait)
-                keep.end(None)
+                store.finish(None)
                 log.info("%s ends", config.name)
                 return
-        config = keep.with_known(config)
+        config = store.with_stored_list(config)
     door = FrontDoor(config)
     loop.add_signal_handler(signal.SIGHUP, take_over, door)
     loop.add_signal_handler(signal.SIGUSR1, tell_costs, door)
     if reload_asked.is_set():
         take_over(door)
-    if keep:
-        keep.recall(door)
+    if store:
+        store.restore(door)
     if config.work_leases:
         from thistletrail.gateway.takeover import Takeover
 
@@ -104,7 +104,7 @@
 
         allowances = Allowances(door, config)
         renewing = loop.create_task(allowances.run())
-    keeping = loop.create_task(keep.run(door)) if keep else None
+    saving = loop.create_task(store.run(door)) if store else None
     # What lives as long as the process need not be looked through by every collection.
     gc.collect()
     gc.freeze()
@@ -117,9 +117,9 @@
     if config.work_leases:
         await door.takeover.close()
         working.cancel()
-    if keep:
-        keeping.cancel()
-        keep.end(door)
+    if store:
+        saving.cancel()
+        store.finish(door)
     tell_costs(door)
     log.info("%s ends", config.name)
 
--- /dev/null
+++ b/thistletrail/gateway/snapshot_file.py
@@ -0,0 +1,83 @@
+"""The bytes of a gateway's snapshot file: a header with a checksum, then one record in msgpack.
+
+The record's keys are in snapshot_records.py. The format must not change without a new version: gateways of
+an older and a newer release read each other's files.
+"""
+
+from __future__ import annotations
+
+import struct
+import zlib
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from thistletrail.gateway import snapshot_records
+from thistletrail.gateway.errors import RejectedSnapshotError
+from thistletrail.policy.events import PolicySnapshot
+
+MAGIC = b"MrSt"
+VERSION = 1
+HEADER = struct.Struct("!4sBII")  # magic, version, length of the record in bytes, its CRC-32
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Snapshot:
+    """What a gateway leaves to its successor, and where it comes from."""
+
+    gateway_name: str
+    settings_digest: str  # of the settings that it was made under
+    written_at_ms: int  # Unix time
+    incarnation: int  # drawn anew with each start of a gateway
+    policy: PolicySnapshot
+    endpoint_list: dict[str, Any]  # in discovery's form
+
+
+def encode_snapshot(snapshot: Snapshot) -> bytes:
+    """The bytes of a file."""
+    record = snapshot_records.SnapshotRecord(
+        gateway_name=snapshot.gateway_name,
+        settings_digest=snapshot.settings_digest,
+        written_at_ms=snapshot.written_at_ms,
+        incarnation=snapshot.incarnation,
+        policy=snapshot_records.to_policy_record(snapshot.policy),
+        server_list=snapshot.endpoint_list,
+    )
+    body = snapshot_records.encode(record)
+    return HEADER.pack(MAGIC, VERSION, len(body), zlib.crc32(body)) + body
+
+
+def decode_snapshot(data: bytes) -> Snapshot:
+    """The snapshot in the bytes of a file; a RejectedSnapshotError where there is none that can be read."""
+    body = _checked_body(data)
+    try:
+        record = snapshot_records.decode(body)
+    except msgspec.MsgspecError as error:
+        raise RejectedSnapshotError(f"malformed: {error}") from error
+    return Snapshot(
+        gateway_name=record.gateway_name,
+        settings_digest=record.settings_digest,
+        written_at_ms=record.written_at_ms,
+        incarnation=record.incarnation,
+        policy=snapshot_records.from_policy_record(record.policy),
+        endpoint_list=record.server_list,
+    )
+
+
+def _checked_body(data: bytes) -> bytes:
+    """What follows the header, after that was found to be right."""
+    if len(data) < HEADER.size:
+        raise RejectedSnapshotError(f"cut off: expected {HEADER.size} bytes at least, found {len(data)}")
+    magic, version, length, checksum = HEADER.unpack_from(data)
+    if magic != MAGIC:
+        raise RejectedSnapshotError(f"no snapshot: expected {MAGIC!r} at its beginning, found {magic!r}")
+    if version != VERSION:
+        raise RejectedSnapshotError(f"of another version: expected {VERSION}, found {version}")
+    body = data[HEADER.size :]
+    if len(body) != length:
+        raise RejectedSnapshotError(f"damaged: expected {length} bytes after the header, found {len(body)}")
+    found_checksum = zlib.crc32(body)
+    if found_checksum != checksum:
+        raise RejectedSnapshotError(f"damaged: expected checksum {checksum:08x}, found {found_checksum:08x}")
+    return body
--- a/thistletrail/gateway/snapshot_records.py
+++ b/thistletrail/gateway/snapshot_records.py
@@ -51,7 +51,7 @@
     gateway_name: str = msgspec.field(name="name")
     settings_digest: str = msgspec.field(name="settings")
     written_at_ms: int = msgspec.field(name="at_ms")  # Unix time
-    start_mark: int = msgspec.field(name="mark")
+    incarnation: int = msgspec.field(name="mark")
     policy: PolicyRecord = msgspec.field(name="memory")
     server_list: dict[str, Any] = msgspec.field(name="known")  # in the form of the discovery protocol
 
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -1,35 +1,30 @@
-"""A front door's stored state: a small snapshot now and then, for the process that comes after it.
+"""A gateway's stored state: a small snapshot now and then, for the process that comes after it.
 
 Off unless `state_dir` is set. A snapshot is written in a thread, to a file of its own that then takes the
-old one's place; it has a version, a checksum, the door it is of, its settings, a time and a start mark.
-Whatever is wrong with it is one warning, and then it is as if there were none. The folder also tells of
-starts that came one soon after the other: a door that crashes again and again waits longer each time before
-it takes load.
+old one's place; it says of which gateway and settings it is, and when it was made. Whatever is wrong with
+it is one warning, and then it is as if there were none. The folder also has the times of recent starts
+(start_history.py): a gateway that crashes again and again waits longer each time before it takes load.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import fcntl
 import logging
 import os
 import random
-import struct
 import threading
 import time
-import zlib
 from dataclasses import replace
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-import msgspec
-
-from thistletrail.gateway import snapshot_records
 from thistletrail.gateway.config import Config
-from thistletrail.gateway.errors import ConfigError
+from thistletrail.gateway.errors import ConfigError, RejectedSnapshotError
 from thistletrail.gateway.settings_digest import settings_digest
-from thistletrail.policy.events import PolicySnapshot, SnapshotFound
+from thistletrail.gateway.snapshot_file import Snapshot, decode_snapshot, encode_snapshot
+from thistletrail.gateway.start_history import CLOCK_TOLERANCE_S, StartHistory, crash_backoff_s
+from thistletrail.policy.events import SnapshotFound
 from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
@@ -37,215 +32,164 @@
 
 log = logging.getLogger(__name__)
 
-VERSION = 1
-HEAD = struct.Struct("!4sBII")  # mark, version, length of what follows, its checksum
-MARK = b"MrSt"
-MOST_BYTES = 8 << 20  # of a snapshot: 5,000 customers and 2,000 servers are a tenth of that
-SAVE_S, SAVE_JITTER = 1.0, 0.25  # between snapshots: what a crash loses; doors must not all write at once
-# Bounds on age. A store is full again within some seconds, and nothing else is kept for as long; the list is
-# read anew within a second where anybody tells it, and an older one names servers that have gone.
-MOST_AGE_S, MOST_LIST_AGE_S = 30.0, 600.0
-AHEAD_S = 2.0  # by which a snapshot may be from the future: clocks of one machine step by less
-# Starts within a span after which the next one waits: the second is a restart, more are a crash that repeats.
-CRASH_SPAN_S, USUAL_STARTS, FIRST_WAIT_S, MOST_WAIT_S = 10.0, 1, 1.0, 8.0
-
-
-class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What is kept; snapshot_records.py says how it is written."""
-
-    name: str
-    settings: str  # a digest of them
-    at_ms: int  # Unix time
-    mark: int
-    memory: PolicySnapshot
-    known: dict[str, Any]  # the list, in discovery's form
-
-
-class RejectedError(ValueError):
-    """A snapshot that is not to be used, and why."""
-
-
-def settings_of(config: Config) -> str:
-    """A digest of what the module is told: another one means other customers, servers or numbers."""
-    return settings_digest(config.settings)
-
-
-def to_record(snapshot: Snapshot) -> snapshot_records.SnapshotRecord:
-    """The record that a snapshot is written as."""
-    return snapshot_records.SnapshotRecord(
-        gateway_name=snapshot.name,
-        settings_digest=snapshot.settings,
-        written_at_ms=snapshot.at_ms,
-        start_mark=snapshot.mark,
-        policy=snapshot_records.to_policy_record(snapshot.memory),
-        server_list=snapshot.known,
-    )
-
-
-def from_record(record: snapshot_records.SnapshotRecord) -> Snapshot:
-    """The snapshot of a record that was read."""
-    return Snapshot(
-        name=record.gateway_name,
-        settings=record.settings_digest,
-        at_ms=record.written_at_ms,
-        mark=record.start_mark,
-        memory=snapshot_records.from_policy_record(record.policy),
-        known=record.server_list,
-    )
-
-
-def pack(snapshot: Snapshot) -> bytes:
-    body = snapshot_records.encode(to_record(snapshot))
-    return HEAD.pack(MARK, VERSION, len(body), zlib.crc32(body)) + body
-
-
-def unpack(data: bytes, config: Config, now_ms: int) -> Snapshot:
-    """A snapshot that may be used; else a RejectedError that says why not."""
-    if len(data) < HEAD.size:
-        raise RejectedError("it is cut off")
-    mark, version, length, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
-    if mark != MARK or version != VERSION:
-        raise RejectedError(f"it is of version {version}, not {VERSION}" if mark == MARK else "it is none")
-    if len(body) != length or zlib.crc32(body) != checksum:
-        raise RejectedError("it is damaged")
-    try:
-        found = from_record(snapshot_records.decode(body))
-    except msgspec.MsgspecError as error:
-        raise RejectedError(str(error)) from error
-    if found.name != config.name:
-        raise RejectedError(f"it is of {found.name}")
-    if found.settings != settings_of(config):
-        raise RejectedError("it was made under other settings")
-    if found.at_ms > now_ms + AHEAD_S * 1000:
-        raise RejectedError(f"it is from {(found.at_ms - now_ms) / 1000:.1f} s in the future")
-    if now_ms - found.at_ms > MOST_LIST_AGE_S * 1000:
-        raise RejectedError(f"it is {(now_ms - found.at_ms) / 1000:.0f} s old")
-    return found
-
-
-def wait_s(starts: list[float], now: float) -> float:
-    """How long a start waits before it takes load, by the times of those before it that did not end well."""
-    lately = sum(now - CRASH_SPAN_S <= start <= now + AHEAD_S for start in starts)
-    over = lately - USUAL_STARTS
-    return min(MOST_WAIT_S, FIRST_WAIT_S * 2 ** (over - 1)) if over > 0 else 0.0
-
-
-class Keep:
-    """The folder of one front door. One that another process has or that is of no use is a ConfigError."""
+MAX_SNAPSHOT_BYTES = 8 << 20  # 5,000 customers and 2,000 servers are a tenth of that
+SAVE_INTERVAL_S = 1.0  # between snapshots: what a crash loses
+SAVE_JITTER = 0.25  # of the interval, either way: gateways must not all write at once
+# A customer's buckets are full again within some seconds, and nothing else is stored for as long.
+MAX_AGE_S = 30.0
+# The list is read anew within a second where anybody has it, and an older one names servers that were
+# removed.
+MAX_LIST_AGE_S = 600.0
+BACKOFF_JITTER = 0.25  # of the wait after crashes, either way
+
+SNAPSHOT_NAME = "door"  # the names of files in the folder, as every release has them
+NEW_SNAPSHOT_NAME = "door.new"
+START_TIMES_NAME = "starts"
+LOCK_NAME = "lock"
+
+
+class SnapshotStore:
+    """The folder of one gateway. One that another process has or that is of no use is a ConfigError."""
 
     def __init__(self, config: Config) -> None:
+        """Lock the folder, and read what a predecessor left in it."""
         self.config = config
         folder = Path(config.state_dir)
-        self.path, self.fresh, self.starts_path = folder / "door", folder / "door.new", folder / "starts"
-        try:
-            folder.mkdir(parents=True, exist_ok=True)
-            self.lock = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
-            raise ConfigError(f"another front door has the folder {folder}") from None
-        except OSError as error:
-            raise ConfigError(f"the folder {folder} cannot be used: {error.strerror}") from error
-        self.failing = False
-        self.writing = threading.Lock()  # the last one is written while the one before it may be on its way
-        self.random = random.Random(config.settings.seed)
-        self.mark = self.random.getrandbits(32)
-        self.starts = self.read_starts()
-        self.found = self.read()
+        self.lock = _lock(folder)
+        self.snapshot_path = folder / SNAPSHOT_NAME
+        self.new_snapshot_path = folder / NEW_SNAPSHOT_NAME
+        self.is_failing = False  # whether the last snapshot could not be written
+        self.write_lock = threading.Lock()  # the last write may begin while the one before it goes on
+        self.rng = random.Random(config.settings.seed)
+        self.incarnation = self.rng.getrandbits(32)
+        self.start_history = StartHistory(folder / START_TIMES_NAME)
+        self.found = self._read()  # a predecessor's snapshot
 
     def unix_ms(self) -> int:
+        """The system's time, in milliseconds."""
         return round(time.time() * 1000) + self.config.clock_offset_ms
 
     # --- at the start ---
 
-    def read(self) -> Snapshot | None:
-        """What a predecessor left, if it may be used."""
-        try:
-            with self.path.open("rb") as file:
-                data = file.read(MOST_BYTES)
-            return unpack(data, self.config, self.unix_ms())
-        except FileNotFoundError:
-            return None
-        except (OSError, RejectedError) as error:
-            reason = getattr(error, "strerror", None) or error
-            log.warning("the snapshot in %s is not used: %s", self.path, reason)
-            return None
-
-    def with_known(self, config: Config) -> Config:
-        """The configuration with the list of the snapshot, where it knows none itself."""
-        return replace(config, known=self.found.known) if self.found and not config.known else config
-
-    def recall(self, door: FrontDoor) -> None:
-        """Hand the module what the snapshot tells, where that is young enough."""
+    def register_start(self) -> float:
+        """Note a start as one that has not ended well yet; for how many seconds it is to wait, with
+        jitter."""
+        now_s = self.unix_ms() / 1000
+        backoff_s = crash_backoff_s(self.start_history.start_times_s, now_s)
+        jitter = self.rng.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
+        self.start_history.add(now_s)
+        return backoff_s * jitter
+
+    def with_stored_list(self, config: Config) -> Config:
+        """The configuration with the endpoint list of the snapshot, where it has none itself."""
+        if self.found is None or config.known:
+            return config
+        return replace(config, known=self.found.endpoint_list)
+
+    def restore(self, gateway_server: FrontDoor) -> None:
+        """Give the policy what the snapshot says, where that is young enough."""
         if self.found is None:
             return
-        age_ms = max(0, self.unix_ms() - self.found.at_ms)
-        if age_ms <= MOST_AGE_S * 1000:
-            door.post(SnapshotFound(self.found.memory, age_ms * 1000))
+        age_ms = max(0, self.unix_ms() - self.found.written_at_ms)
+        if age_ms <= MAX_AGE_S * 1000:
+            gateway_server.post(SnapshotFound(self.found.policy, age_ms * 1000))
         else:
             log.warning("a snapshot of %.1f s ago is too old for all but its list", age_ms / 1000)
 
-    def read_starts(self) -> list[float]:
+    def _read(self) -> Snapshot | None:
+        """What a predecessor left, if it may be used."""
         try:
-            return msgspec.msgpack.decode(self.starts_path.read_bytes(), type=list[float])
-        except (OSError, msgspec.MsgspecError):
-            return []
-
-    def wait_s(self) -> float:
-        """How long this start is to wait, with jitter; it is noted as one that has not ended well yet."""
-        now = self.unix_ms() / 1000
-        wait = wait_s(self.starts, now) * self.random.uniform(0.75, 1.25)
-        recent = [start for start in self.starts if abs(now - start) < CRASH_SPAN_S + MOST_WAIT_S]
-        self.starts = [*recent, now]
-        self.write_starts()
-        return wait
-
-    def write_starts(self) -> None:
-        with contextlib.suppress(OSError):  # a folder that takes nothing is told of with the first snapshot
-            self.starts_path.write_bytes(msgspec.msgpack.encode(self.starts))
+            with self.snapshot_path.open("rb") as file:
+                data = file.read(MAX_SNAPSHOT_BYTES)
+            snapshot = decode_snapshot(data)
+            check_snapshot(snapshot, self.config, self.unix_ms())
+        except FileNotFoundError:
+            return None
+        except (OSError, RejectedSnapshotError) as error:
+            reason = getattr(error, "strerror", None) or error
+            log.warning("the snapshot in %s is rejected: %s", self.snapshot_path, reason)
+            return None
+        return snapshot
 
     # --- while it serves ---
 
-    async def run(self, door: FrontDoor) -> None:
-        """Keep a snapshot every now and then, until it is cancelled."""
+    async def run(self, gateway_server: FrontDoor) -> None:
+        """Write a snapshot every now and then, until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(SAVE_S * self.random.uniform(1 - SAVE_JITTER, 1 + SAVE_JITTER))
-            await loop.run_in_executor(None, self.write, self.snapshot(door))
+            jitter = self.rng.uniform(1 - SAVE_JITTER, 1 + SAVE_JITTER)
+            await asyncio.sleep(SAVE_INTERVAL_S * jitter)
+            await loop.run_in_executor(None, self.write, self.collect(gateway_server))
 
-    def snapshot(self, door: FrontDoor) -> Snapshot:
+    def collect(self, gateway_server: FrontDoor) -> Snapshot:
+        """A snapshot of what a gateway knows now."""
         return Snapshot(
-            name=self.config.name,
-            settings=settings_of(self.config),
-            at_ms=self.unix_ms(),
-            mark=self.mark,
-            memory=collect(door.gateway),
-            known=door.known_list(),
+            gateway_name=self.config.name,
+            settings_digest=settings_digest(self.config.settings),
+            written_at_ms=self.unix_ms(),
+            incarnation=self.incarnation,
+            policy=collect(gateway_server.gateway),
+            endpoint_list=gateway_server.known_list(),
         )
 
     def write(self, snapshot: Snapshot) -> None:
-        """Put it in the old one's place, whole or not at all. A failure is told once, until it works."""
+        """Put it in the old one's place, complete or not at all. A failure is logged once, until it works."""
         try:
-            with self.writing, self.fresh.open("wb") as file:
-                file.write(pack(snapshot))
+            with self.write_lock, self.new_snapshot_path.open("wb") as file:
+                file.write(encode_snapshot(snapshot))
                 file.flush()
                 os.fsync(file.fileno())
-                self.fresh.replace(self.path)
+                self.new_snapshot_path.replace(self.snapshot_path)
         except OSError as error:
-            if not self.failing:
+            if not self.is_failing:
                 log.warning("no snapshot can be written: %s", error.strerror)
-            self.failing = True
+            self.is_failing = True
             return
-        if self.failing:
+        if self.is_failing:
             log.info("snapshots can be written again")
-        self.failing = False
+        self.is_failing = False
+
+    # --- at the end ---
 
-    def end(self, door: FrontDoor | None) -> None:
-        """A planned end: the last state is kept, and the start was none that crashed."""
-        if door is not None:
-            self.write(self.snapshot(door))
-        self.starts = self.starts[:-1]
-        self.write_starts()
+    def finish(self, gateway_server: FrontDoor | None) -> None:
+        """A planned end: the last state, if any, is written, and the start was none that crashed."""
+        if gateway_server is not None:
+            self.write(self.collect(gateway_server))
+        self.start_history.remove_last()
 
     def close(self) -> None:
+        """Unlock the folder."""
         os.close(self.lock)
+
+
+def check_snapshot(snapshot: Snapshot, config: Config, now_ms: int) -> None:
+    """A RejectedSnapshotError where not even the endpoint list of a snapshot may be used."""
+    if snapshot.gateway_name != config.name:
+        raise RejectedSnapshotError(f"expected one of {config.name}, found one of {snapshot.gateway_name}")
+    digest = settings_digest(config.settings)
+    if snapshot.settings_digest != digest:
+        raise RejectedSnapshotError(
+            f"of other settings: expected digest {digest}, found {snapshot.settings_digest}"
+        )
+    age_s = (now_ms - snapshot.written_at_ms) / 1000
+    if age_s < -CLOCK_TOLERANCE_S:
+        raise RejectedSnapshotError(f"written {-age_s:.1f} s in the future")
+    if age_s > MAX_LIST_AGE_S:
+        raise RejectedSnapshotError(f"written {age_s:.0f} s ago, expected {MAX_LIST_AGE_S:.0f} at most")
+
+
+def _lock(folder: Path) -> int:
+    """Make a folder and lock it for this process; the descriptor that holds the lock."""
+    try:
+        folder.mkdir(parents=True, exist_ok=True)
+        lock = os.open(folder / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    except OSError as error:
+        raise ConfigError(f"the folder {folder} cannot be used: {error.strerror}") from error
+    try:
+        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError as error:
+        os.close(lock)
+        if isinstance(error, BlockingIOError):
+            raise ConfigError(f"another gateway has the folder {folder}") from error
+        raise ConfigError(f"the folder {folder} cannot be used: {error.strerror}") from error
+    return lock
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from thistletrail.gateway.snapshot_store import MOST_AGE_S, SAVE_JITTER, SAVE_S
+from thistletrail.gateway.snapshot_store import MAX_AGE_S, SAVE_INTERVAL_S, SAVE_JITTER
 from thistletrail.policy.actions import (
     Action,
     AddToCounter,
@@ -143,11 +143,11 @@
             return
         at, memory = self.stored
         age = self.day.clock.now - at
-        if age <= MOST_AGE_S * S:
+        if age <= MAX_AGE_S * S:
             self.handle(SnapshotFound(memory, age))
 
     def store_later(self) -> None:
-        wait = SAVE_S * self.day.streams["stored"].between(1 - SAVE_JITTER, 1 + SAVE_JITTER)
+        wait = SAVE_INTERVAL_S * self.day.streams["stored"].between(1 - SAVE_JITTER, 1 + SAVE_JITTER)
         self.day.clock.after(round(wait * S), self.store, self.life)
 
     def store(self, life: int) -> None:
