--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -23,21 +23,21 @@
 OPEN = Path("/proc/self/fd")
 
 
-def figures(door: FrontDoor) -> dict[str, object]:
-    word, _, rest = door.cost_line().partition(" ")
-    assert word == "costs" and "\n" not in rest
+def figures(gateway_server: FrontDoor) -> dict[str, object]:
+    first_word, _, rest = gateway_server.cost_line().partition(" ")
+    assert first_word == "costs" and "\n" not in rest
     return json.loads(rest)
 
 
 def test_counts_agree_with_a_count_from_outside(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backends, "REST_US", 0)
 
-    async def job() -> None:
+    async def scenario() -> None:
         def answer(words: list[bytes]) -> bytes | None:
             return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(words[2], value(b"ok"))
 
         backend = Backend(answer)
-        async with front_door(backend) as (door, address):
+        async with front_door(backend) as (gateway_server, address):
             client = await Client.open(address)
             for number in range(20):
                 assert await client.ask(query(f"a{number}")) == b"ok"
@@ -48,7 +48,7 @@
             leaving.send(query("z1"))
             await backend.received(1, b"z1")
             leaving.writer.close()
-            while not (found := figures(door))["gone"]:
+            while not (found := figures(gateway_server))["gone"]:
                 await asyncio.sleep(0.001)
             assert (found["requests"], found["served"], found["refused"], found["failed"]) == (22, 20, 1, 0)
             assert found["accepted"] == 2 and found["pings"] == 1 and found["wrong_commands"] == 1
@@ -59,42 +59,44 @@
             assert found["bytes"] == {"requests": 0, "clients": 0}
             assert "stages_s" not in found
 
-    run(job())
+    run(scenario())
 
 
 def test_handshakes_that_fail_are_counted() -> None:
-    async def job() -> None:
-        async with front_door(addresses=[refusing_address()]) as (door, address):
+    async def scenario() -> None:
+        async with front_door(addresses=[refusing_address()]) as (gateway_server, address):
             client = await Client.open(address)
             assert str(await client.ask(query("a1"))).startswith("-")
-            found = figures(door)
+            found = figures(gateway_server)
             assert found["handshakes"] == found["handshakes_failed"] == found["attempts"] > 0
             assert found["refused"] + found["failed"] == 1
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.skipif(not OPEN.is_dir(), reason="this system tells nobody of a process's descriptors")
 def test_descriptors_agree_with_the_process_s_own_table() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            before = figures(door)["descriptors"]
+        async with front_door(backend) as (gateway_server, address):
+            before = figures(gateway_server)["descriptors"]
             clients = [await Client.open(address) for _ in range(30)]
             for number, client in enumerate(clients):
                 assert await client.ask(query(f"a{number}")) == b"ok"
-            after, listed = figures(door)["descriptors"], len(os.listdir(OPEN)) - 1
+            after, listed = figures(gateway_server)["descriptors"], len(os.listdir(OPEN)) - 1
             assert after["all"] == listed
             assert after["clients"] - before["clients"] == len(clients)
             assert after["backends"] - before["backends"] == backend.opened
-            # The other ends of all these are this process's too, and have no owner in the front door.
+            # The other ends of all these are this process's too, and have no owner in the gateway.
             assert after["process"] - before["process"] == len(clients) + backend.opened
             assert after["listener"] == after["discovery"] == 1
 
-    run(job())
+    run(scenario())
 
 
-def test_what_the_system_does_not_tell_is_left_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_figures_that_the_system_does_not_provide_are_left_out(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(costs, "DESCRIPTORS", tmp_path / "none")
     monkeypatch.setattr(costs, "STATUS", tmp_path / "none")
     found = costs.report(CostCounters(), {}, {"clients": 3})
@@ -133,23 +135,23 @@
     assert stages.report() == {}
 
 
-def test_stages_of_a_front_door_add_up_to_its_time() -> None:
-    async def job() -> None:
-        async with front_door(Backend(), time_stages=True) as (door, address):
+def test_stages_of_a_gateway_add_up_to_its_time() -> None:
+    async def scenario() -> None:
+        async with front_door(Backend(), time_stages=True) as (gateway_server, address):
             client = await Client.open(address)
             for number in range(50):
                 assert await client.ask(query(f"a{number}")) == b"ok"
-            door.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # a stranger
-            spent = figures(door)["stages_s"]
+            gateway_server.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # a stranger
+            spent = figures(gateway_server)["stages_s"]
             assert {"actions", "backends", "clients", "decisions", "discovery", "peers", "rest"} == set(spent)
             assert all(seconds > 0 for seconds in spent.values())
-            assert figures(door)["datagrams_dropped"] == 1
+            assert figures(gateway_server)["datagrams_dropped"] == 1
 
-    run(job())
+    run(scenario())
 
 
 def test_datagrams_are_counted() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         ports = []
         for _ in range(2):
@@ -158,15 +160,17 @@
             )
             ports.append(transport.get_extra_info("sockname"))
             transport.close()
-        heard: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
+        received: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
         counted = [CostCounters(), CostCounters()]
-        ends = [PeerTransport(tuple(ports), number, heard.put_nowait, counted[number]) for number in (0, 1)]
+        ends = [
+            PeerTransport(tuple(ports), number, received.put_nowait, counted[number]) for number in (0, 1)
+        ]
         for end, port in zip(ends, ports, strict=True):
             await asyncio.sleep(0)
             await loop.create_datagram_endpoint(lambda end=end: end, local_addr=port)
         for _ in range(3):
             ends[0].send(SendPeerMessage(1, (QuotaMessage(7, 0, 0, 2),)))
-            await heard.get()
+            await received.get()
         ends[0].transport.sendto(b"nonsense", ports[1])
         while not counted[1].datagrams_dropped:
             await asyncio.sleep(0.001)
@@ -174,7 +178,7 @@
         for end in ends:
             end.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_setting_is_true_or_false(tmp_path: Path) -> None:
@@ -185,7 +189,7 @@
 
 
 def test_signal_and_drain_each_bring_one_line(tmp_path: Path) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         process, address = await start(tmp_path, Backend())
         client = await Client.open(address)
         assert await client.ask(query("a1", 1500)) == b"ok"
@@ -200,4 +204,4 @@
         assert lines[1]["processor_s"] >= lines[0]["processor_s"] > 0
         assert await process.wait() == 0
 
-    run(job())
+    run(scenario())
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -39,7 +39,7 @@
         EndpointListCodec(CONFIG),
         version,
         received.put_nowait,
-        lambda job: tasks.append(asyncio.create_task(job)),
+        lambda coroutine: tasks.append(asyncio.create_task(coroutine)),
         rng=Longest(),
     )
     found.start()
@@ -61,7 +61,7 @@
 
 
 def test_lines_in_pieces_empty_lines_and_unknown_states() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         odd = [entry("s2", AT, "RESTING"), {"instanceId": "odd"}, entry("s3", AT, "DRAINING")]
         line = catalog(5, [entry("s1", AT), *odd])
         gone = catalog(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
@@ -76,7 +76,7 @@
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.GONE
 
-    run(job())
+    run(scenario())
 
 
 def indented(listed: bytes) -> bytes:
@@ -84,7 +84,7 @@
 
 
 def test_indented_lists_are_read_as_complete_lists_and_as_changes() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         brace = entry("s2", AT) | {"zone": 'a "{" b'}  # braces in strings open nothing
         complete = indented(catalog(5, [entry("s1", AT), brace]))
         change = indented(catalog(6, [entry("s1", AT, "DRAINING")], reset=False))
@@ -95,11 +95,11 @@
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.DRAINING
 
-    run(job())
+    run(scenario())
 
 
 def test_complete_list_that_is_indented_and_has_no_line_end_is_read() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         body = indented(catalog(5, [entry("s1", AT)])).strip()
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         old, new = Watch(script(HEAD)), Watch(script(answer, stay=False))
@@ -108,13 +108,13 @@
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_complete_list_that_ends_with_its_connection_is_read(caplog: pytest.LogCaptureFixture) -> None:
     """It has neither a length nor chunks nor a last line's end."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         answer = (
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + indented(catalog(5, [entry("s1", AT)])).strip()
         )
@@ -124,7 +124,7 @@
         assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
     assert "malformed" not in caplog.text
 
 
@@ -134,7 +134,7 @@
     """What stands half on the wire must not swallow the changes behind it."""
     monkeypatch.setattr(watch_connection, "OBJECT_TIMEOUT_S", 0.1)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async def stuck(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(b'{"generation": 5,\n'))
             while True:
@@ -144,7 +144,7 @@
         watch = Watch(stuck, script(HEAD + chunk(catalog(5, []))))
         assert (await receive_updates(watch, 1))[0].event.version == 5
 
-    run(job())
+    run(scenario())
 
 
 def test_all_that_a_call_may_take_to_be_made_anew_fits_in_what_counts_as_notified() -> None:
@@ -165,7 +165,7 @@
 
 
 def test_watch_that_ends_is_reopened_after_what_was_received() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         watch = Watch(
             script(HEAD + chunk(catalog(5, [])), stay=False),
             script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
@@ -180,18 +180,18 @@
         assert afters == ["3", "5", "5", "5", "5"]
         assert time.monotonic() - started > 4 * discovery_client.MIN_BACKOFF_S  # no busy loop
 
-    run(job())
+    run(scenario())
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.2)
 
-    async def job() -> None:
+    async def scenario() -> None:
         watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
         assert (await receive_updates(watch, 1))[0].event.version == 4
         assert len(watch.targets) == 2
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
@@ -212,23 +212,23 @@
 
 
 def test_known_list_serves_while_discovery_is_silent() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
-        door = FrontDoor(replace(CONFIG, known=known, discovery=(await Watch(script()).start(),)))
+        gateway_server = FrontDoor(replace(CONFIG, known=known, discovery=(await Watch(script()).start(),)))
         received: list[Event] = []
-        door.gateway.handle = lambda now, event: received.append(event) or []
-        await door.start()
+        gateway_server.gateway.handle = lambda now, event: received.append(event) or []
+        await gateway_server.start()
         assert [event.kind for event in received if isinstance(event, EndpointUpdate)] == [
             EndpointUpdateKind.CACHED
         ]
-        assert door.discovery.version == 3 and list(door.backends.pools) == ["s1"]
-        door.close()
+        assert gateway_server.discovery.version == 3 and list(gateway_server.backends.pools) == ["s1"]
+        gateway_server.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_messages_of_peers_arrive_and_those_of_strangers_are_dropped() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         loop, received = asyncio.get_running_loop(), asyncio.Queue()
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         ports = [refusing_address(), refusing_address()]
@@ -248,11 +248,11 @@
             got += message.quota_messages
         assert got == messages and received.empty()
 
-    run(job())
+    run(scenario())
 
 
 class Moved:
-    """A front door's discovery that is moved from one address to others."""
+    """A gateway's discovery that is moved from one address to others."""
 
     def __init__(self, *addresses: tuple[str, int]) -> None:
         self.received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
@@ -262,7 +262,7 @@
             EndpointListCodec(CONFIG),
             3,
             self.received.put_nowait,
-            lambda job: self.tasks.append(asyncio.create_task(job)),
+            lambda coroutine: self.tasks.append(asyncio.create_task(coroutine)),
             rng=random.Random(1),
         )
         self.discovery.start()
@@ -279,7 +279,7 @@
 
 
 def test_new_address_takes_over_with_its_complete_list() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         late = asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
@@ -302,11 +302,11 @@
         assert moved.received.empty() and moved.discovery.version == 3
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_old_watch_goes_on_until_the_new_one_sends_its_list() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         moves, speak = asyncio.Event(), asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
@@ -331,7 +331,7 @@
         assert moved.discovery.watcher.address == last.server.sockets[0].getsockname()
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def always(*pieces: bytes) -> object:
@@ -343,7 +343,7 @@
 
 
 def test_another_address_is_watched_where_one_fails() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         ends = Watch(script(HEAD + chunk(catalog(5, [entry("s1", AT)])), stay=False))
         stays = Watch(always(catalog(6, [entry("s2", AT)], reset=False)))
         moved = Moved(refusing_address(), await ends.start(), await stays.start())
@@ -351,11 +351,11 @@
         assert stays.targets == ["/catalog/members?watch=1&after=5"]
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_changes_of_an_address_that_lags_are_passed_over() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         ends = Watch(script(HEAD + chunk(catalog(9, [entry("s1", AT)])), stay=False))
         lags = Watch(
             always(
@@ -367,7 +367,7 @@
         assert await versions(moved, 2) == [9, 10]
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_an_older_list_is_taken_only_when_it_is_all_there_is(
@@ -376,7 +376,7 @@
     monkeypatch.setattr(discovery_client, "STALE_LIST_GRACE_S", 0.4)
     monkeypatch.setattr(discovery_client, "MAX_BACKOFF_S", 0.1)
 
-    async def job() -> None:
+    async def scenario() -> None:
         ends = Watch(
             script(HEAD + chunk(catalog(9, [entry("s1", AT)])), stay=False), script(HEAD, stay=False)
         )
@@ -387,13 +387,13 @@
         assert time.monotonic() - began >= 0.4 and len(older.targets) > 1
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
     assert "the watch sent an older endpoint list: version 4 is older than 9" in caplog.text
     assert "there is only an older list: version 4 after 9" in caplog.text
 
 
 def test_a_list_of_another_history_replaces_all_and_a_single_address_is_always_believed() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         only = Watch(
             script(HEAD + chunk(catalog(9, [entry("s1", AT)])), stay=False),
             always(catalog(4, [entry("s2", AT)])),
@@ -404,7 +404,7 @@
         assert moved.discovery.version == 4
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_the_age_of_the_list_is_known_and_logged(
@@ -413,7 +413,7 @@
     monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(watch_connection, "FIRST_BYTE_TIMEOUT_S", 0.3)
 
-    async def job() -> None:
+    async def scenario() -> None:
         moved = Moved(await Watch(script(), always(catalog(5, [])), script()).start())
         assert moved.discovery.age_s() < 0
         assert await versions(moved, 1) == [5]
@@ -422,7 +422,7 @@
             await asyncio.sleep(0.02)
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
     assert "the watch on discovery is silent; the list is the one known at the start" in caplog.text
     assert "the watch on discovery is silent; the list is 0.3 s old" in caplog.text
 
@@ -444,17 +444,17 @@
     for name in ("SILENT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "OBJECT_TIMEOUT_S"):
         monkeypatch.setattr(watch_connection, name, 0.3)
 
-    async def job() -> None:
+    async def scenario() -> None:
         good = Watch(always(catalog(5, [entry("s1", AT)])))
         moved = Moved(await Watch(script(*pieces)).start(), await good.start())
         assert await versions(moved, 1) == [5]
         moved.discovery.watcher.close()
 
-    run(job())
+    run(scenario())
 
 
 def test_waits_between_attempts_have_full_jitter_and_a_bound() -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         waits = []
 
         class Noted(random.Random):
@@ -467,7 +467,7 @@
             EndpointListCodec(CONFIG),
             0,
             lambda update: None,
-            lambda job: asyncio.create_task(job),
+            lambda coroutine: asyncio.create_task(coroutine),
             rng=Noted(),
         )
         found.start()
@@ -478,4 +478,4 @@
         highs = [high for _, high in waits]
         assert highs[:4] == [0.2, 0.4, 0.8, 1.6] and max(highs) == discovery_client.MAX_BACKOFF_S
 
-    run(job())
+    run(scenario())
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("line", [b"{not json\n", b'{"generation":43,"inst\n', b'{"a": tru\n'])
-def test_a_first_line_that_is_cut_off_or_malformed_is_told_at_once(line: bytes) -> None:
+def test_a_first_line_that_is_cut_off_or_malformed_is_rejected_at_once(line: bytes) -> None:
     with pytest.raises(MalformedJsonError):
         JsonObjectReader(1 << 20).feed(line)
 
--- a/tests/test_rig_recovery.py
+++ b/tests/test_rig_recovery.py
@@ -3,6 +3,7 @@
 import asyncio
 import sys
 import zlib
+from dataclasses import replace
 from pathlib import Path
 
 import msgspec
@@ -12,9 +13,11 @@
 from thistletrail.benchmarks.process import ROOT, Tree, free_port, front_door, start_door
 from thistletrail.benchmarks.standins import HOST
 from thistletrail.fault_injection.checks import Seen, check
+from thistletrail.fault_injection.fleet import STALE_MS, aged
 from thistletrail.fault_injection.plan import Fault, Plan, load
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.fault_injection.world import Load, World
+from thistletrail.gateway.snapshot_file import decode_snapshot
 from thistletrail.simulation.clock import Clock
 
 HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
@@ -53,6 +56,15 @@
     }
 
 
+def test_a_snapshot_that_is_made_stale_differs_in_its_time_alone() -> None:
+    data = (ROOT / "tests" / "data" / "a1df16a" / "gateway" / "state" / "door").read_bytes()
+    fresh = decode_snapshot(data)
+    assert fresh.policy.customers and fresh.policy.ejected_servers
+    assert decode_snapshot(aged(data, STALE_MS)) == replace(
+        fresh, written_at_ms=fresh.written_at_ms - STALE_MS
+    )
+
+
 def test_bad_state_is_one_warning_and_a_door_that_crashes_waits() -> None:
     seen = played("state")
     assert said(seen, 0).count("is rejected: damaged: expected") == 1
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -192,13 +192,13 @@
 
 
 def test_a_gateway_restores_what_its_predecessor_stored(tmp_path: Path) -> None:
-    async def act() -> None:
-        async with front_door(Backend()) as (door, address):
+    async def scenario() -> None:
+        async with front_door(Backend()) as (gateway_server, address):
             first = store_in(tmp_path)
             client = await Client.open(address)
             for number in range(5):
                 await client.ask(query(f"r{number}"))
-            first.write(first.collect(door))
+            first.write(first.collect(gateway_server))
             first.close()
             second = store_in(tmp_path)
             assert second.found.endpoint_list["generation"] == 7
@@ -208,8 +208,8 @@
             await asyncio.sleep(0)
             successor.run_batch()
             assert list(successor.gateway.servers) == ["s0"]
-            assert successor.gateway.servers["s0"].entry == door.gateway.servers["s0"].entry
-            assert successor.gateway.customers.keys() == door.gateway.customers.keys()
+            assert successor.gateway.servers["s0"].entry == gateway_server.gateway.servers["s0"].entry
+            assert successor.gateway.customers.keys() == gateway_server.gateway.customers.keys()
             assert successor.gateway.starts.restarted
             successor.close()
             second.close()
@@ -217,25 +217,25 @@
     async def never(writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
-    run(act())
+    run(scenario())
 
 
 def test_an_old_snapshot_is_good_for_its_list_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    async def act() -> None:
-        async with front_door(Backend()) as (door, _):
+    async def scenario() -> None:
+        async with front_door(Backend()) as (gateway_server, _):
             first = store_in(tmp_path)
-            first.write(first.collect(door))
+            first.write(first.collect(gateway_server))
             first.close()
             offset = round(snapshot_store.MAX_AGE_S * 1000) + 1000
             second = store_in(tmp_path, clock_offset_ms=offset)
-            second.restore(door)
-            assert second.found is not None and not door.inbox
+            second.restore(gateway_server)
+            assert second.found is not None and not gateway_server.inbox
             second.close()
             third = store_in(tmp_path, clock_offset_ms=3_600_000)  # a clock that is an hour off
             assert third.found is None
             third.close()
 
-    run(act())
+    run(scenario())
     assert "is too old for all but its list" in caplog.text and "written 3600 s ago" in caplog.text
 
 
@@ -328,8 +328,8 @@
 
 
 def test_without_a_folder_nothing_is_loaded_for_it() -> None:
-    words = (
+    script = (
         "import thistletrail.gateway.__main__, sys\n"
         "assert not {'msgspec', 'thistletrail.gateway.snapshot_store'} & set(sys.modules)"
     )
-    subprocess.run([sys.executable, "-c", words], check=True)
+    subprocess.run([sys.executable, "-c", script], check=True)
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -29,7 +29,7 @@
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
-from thistletrail.gateway.budget_lease_client import FURTHER
+from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
 from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
 from thistletrail.leasing.book import begin
 from thistletrail.leasing.config import read as read_config
@@ -280,7 +280,7 @@
                                 if rate and burst >= 1 and (kind == "ceiling" or self.plan.quotas)
                             ),
                             *(
-                                {"name": FURTHER, "rate": rate, "burst": int(burst)}
+                                {"name": RETRY_BUDGET_NAME, "rate": rate, "burst": int(burst)}
                                 for rate, burst in [self.plan.further or (0, 0)]
                                 if rate
                             ),
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -18,7 +18,7 @@
 
 from thistletrail.fault_injection.relay import THERE, Relay, Side
 from thistletrail.fault_injection.world import World
-from thistletrail.gateway.budget_lease_client import FURTHER
+from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
 from thistletrail.leasing.messages import Answer, Ask
 from thistletrail.leasing.state import MARGIN_SHARE, Terms, parted
 from thistletrail.simulation.clock import Clock, S
@@ -156,7 +156,7 @@
         found |= {f"quota/{plan.name}": (figures.rate, figures.burst)} if seen.plan.quotas else {}
         found |= {f"ceiling/{plan.name}": figures.ceiling} if figures.ceiling[0] else {}
     if seen.plan.further:
-        found[FURTHER] = seen.plan.further
+        found[RETRY_BUDGET_NAME] = seen.plan.further
     return {name: parted(Terms(round(rate * 1000), int(burst))) for name, (rate, burst, *_) in found.items()}
 
 
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -100,10 +100,12 @@
         working = loop.create_task(door.takeover.run())
     await door.start()
     if config.budget_leases:
-        from thistletrail.gateway.budget_lease_client import Allowances  # no steward, no packages for it
+        from thistletrail.gateway.budget_lease_client import (
+            BudgetLeaseClient,  # its packages are only loaded here
+        )
 
-        allowances = Allowances(door, config)
-        renewing = loop.create_task(allowances.run())
+        budget_leases = BudgetLeaseClient(door, config)
+        renewing = loop.create_task(budget_leases.run())
     saving = loop.create_task(store.run(door)) if store else None
     # What lives as long as the process need not be looked through by every collection.
     gc.collect()
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -1,7 +1,8 @@
-"""The front door's side of the steward: asks for parts of budgets, and hands what is granted to the module.
+"""The gateway's client of the lease service for budgets: requests shares, and gives the policy what is
+granted.
 
-Off unless the configuration names a steward. No request waits for it: asks are batched for all budgets, at
-a third of the lease with jitter, and what comes back is an event like any other.
+Off unless the configuration has `budget_leases`. No request of a client waits for it: renewals are batched
+for all budgets, at a third of the lease with jitter, and what comes back is an event like any other.
 """
 
 from __future__ import annotations
@@ -23,92 +24,118 @@
 if TYPE_CHECKING:
     from thistletrail.gateway.server import FrontDoor
 
-MOST_WANTED = 2000  # budgets in one ask: as many as a steward takes
-LOOK_S = 0.05  # between looks for customers that have come
-FURTHER = "further-attempts"  # the budget of all front doors' together
-THOUSANDTHS = 1000  # in which a steward counts units a second
+MAX_BUDGETS = 2000  # in one renewal: as many as the lease service accepts
+POLL_INTERVAL_S = 0.05  # between looks for new customers and requests that wait for units
+RETRY_BUDGET_NAME = "further-attempts"  # the budget of all gateways' retries, at the lease service
+THOUSANDTHS = 1000  # of a unit a second, in which the lease service counts demand of a rate
+MICROSECONDS_PER_MILLISECOND = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
-class Allowances:
-    """One start's parts of customers' ceilings, quotas and openings, and of the fleet's further attempts."""
+class BudgetLeaseClient:
+    """One incarnation's shares of customers' ceilings, quotas and requests in flight, and of the retry
+    budget."""
 
-    def __init__(self, door: FrontDoor, config: Config) -> None:
-        self.door, self.plans = door, {number: name for name, number in config.plan_numbers.items()}
-        chance = random.Random(config.settings.seed)
-        # Stores and floors are the module's, by a customer's set; the holder's own are of no use here.
+    def __init__(self, gateway_server: FrontDoor, config: Config) -> None:
+        """`config` has `budget_leases`."""
+        self.gateway_server = gateway_server
+        self.plan_names = {number: name for name, number in config.plan_numbers.items()}
+        lease_settings = config.budget_leases
+        rng = random.Random(config.settings.seed)
+        # Buckets and floors are the policy's, by a customer's set; the holder's own are of no use here.
         self.holder = Holder(
-            config.settings.gateway_index, chance.getrandbits(63), config.settings.gateway_count
+            config.settings.gateway_index, rng.getrandbits(63), config.settings.gateway_count
         )
-        self.keys: dict[str, BudgetKey | None] = {}  # of budgets that are asked for
-        self.taken: dict[str, int] = {}  # by budget: the fence of the grant that was handed on last
-        self.needs = 0  # units that were waited for at the last ask
-        self.patience_s = self.asked_at = 0.0  # for how long after an ask none is made for units alone
-        self.most_s = config.budget_leases.lease_ms * RENEW_SHARE / 1000
-        steward = config.budget_leases
+        self.keys: dict[str, BudgetKey | None] = {}  # by name: the budgets that are requested
+        self.posted_fences: dict[str, int] = {}  # by name: the fence of the grant that was posted last
+        self.needed_units = 0  # that requests waited for at the last renewal
+        self.requested_at_s = 0.0  # when the last renewal was made, on the loop's clock
+        # For how long after a renewal none is hurried for units alone, and the longest that this may grow to.
+        self.backoff_s = 0.0
+        self.max_backoff_s = lease_settings.lease_ms * RENEW_SHARE / MILLISECONDS_PER_SECOND
         self.renewer = Renewer(
             self.holder,
-            steward.addresses,
-            steward.secret,
-            steward.lease_ms,
-            chance,
-            self.prepare,
-            self.renewed,
+            lease_settings.addresses,
+            lease_settings.secret,
+            lease_settings.lease_ms,
+            rng,
+            self._update_demand,
+            self._on_renewed,
         )
 
     async def run(self) -> None:
-        """Renew, and sooner where a customer comes that nothing is held for, or requests wait for units.
-        Where an ask for units brings none, the next one waits for twice as long, a renewal at most."""
-        loop = asyncio.get_running_loop()
-        renewing = loop.create_task(self.renewer.run())
+        """Renew until it is cancelled, and sooner than due where a customer comes of which nothing is
+        leased, or requests wait for units. Where a renewal for units brings none, the next one waits for
+        twice as long, a usual renewal at most."""
+        renewing = asyncio.get_running_loop().create_task(self.renewer.run())
         try:
             while True:
-                await asyncio.sleep(LOOK_S)
-                wants = wanted(self.door.gateway, now_us())
-                waited = loop.time() >= self.asked_at + self.patience_s
-                if any(
-                    self.name(want.key) not in self.keys or (waited and want.needed > 0) for want in wants
-                ):
+                await asyncio.sleep(POLL_INTERVAL_S)
+                if self._is_hurried():
                     self.renewer.hurry()
         finally:
             renewing.cancel()
 
-    def name(self, key: BudgetKey | None) -> str:
-        """A budget as the steward knows it."""
+    def _is_hurried(self) -> bool:
+        """Whether the next renewal is needed before it is due."""
+        may_hurry_for_units = asyncio.get_running_loop().time() >= self.requested_at_s + self.backoff_s
+        for demand in wanted(self.gateway_server.gateway, now_us()):
+            if self._name(demand.key) not in self.keys:
+                return True
+            if may_hurry_for_units and demand.needed > 0:
+                return True
+        return False
+
+    def _name(self, key: BudgetKey | None) -> str:
+        """A budget's name at the lease service; None is the retry budget."""
         if key is None:
-            return FURTHER
-        kind, customer, plan, first, size = key
-        return f"{kind}/{self.plans[plan]}/{first}.{size}/{customer:08x}"
+            return RETRY_BUDGET_NAME
+        plan_name = self.plan_names[key.plan_index]
+        return f"{key.kind}/{plan_name}/{key.set_first}.{key.set_size}/{key.customer:08x}"
 
-    def terms(self, key: BudgetKey | None) -> Terms:
+    def _terms(self, key: BudgetKey | None) -> Terms:
+        """The rate and burst of a budget, of all gateways together."""
+        settings = self.gateway_server.settings
         if key is None:
-            settings = self.door.settings
             return Terms.of(settings.retry_rate, settings.retry_burst)
-        return Terms.of(*whole_of(key[0], self.door.settings.plans[key[2]]))
+        rate, burst = whole_of(key.kind, settings.plans[key.plan_index])
+        return Terms.of(rate, burst)
 
-    def prepare(self) -> None:
-        """Tell the holder of all budgets that a part is needed of; others are let go of by it."""
-        now, self.needs, self.asked_at = now_ms(), 0, asyncio.get_running_loop().time()
-        for want in wanted(self.door.gateway, now_us())[:MOST_WANTED]:
-            name = self.name(want.key)
-            self.keys[name] = want.key
-            need, terms = math.ceil(want.needed), self.terms(want.key)
-            self.needs += need
-            demand = round(want.demand * (THOUSANDTHS if terms.burst else 1))
-            self.holder.use(name, terms, demand, now, need, want.in_use)
-            self.holder.parts[name].back = want.returned
-        for name in [name for name in self.keys if name not in self.holder.parts]:
-            del self.keys[name]
-            self.taken.pop(name, None)
+    def _update_demand(self) -> None:
+        """Give the holder all budgets of which a share is needed; it lets go of others by itself."""
+        self.requested_at_s = asyncio.get_running_loop().time()
+        self.needed_units = 0
+        now = now_ms()
+        for demand in wanted(self.gateway_server.gateway, now_us())[:MAX_BUDGETS]:
+            name = self._name(demand.key)
+            self.keys[name] = demand.key
+            terms = self._terms(demand.key)
+            needed_units = math.ceil(demand.needed)
+            self.needed_units += needed_units
+            rate_or_count = round(demand.demand * (THOUSANDTHS if terms.burst else 1))
+            self.holder.use(name, terms, rate_or_count, now, needed_units, demand.in_use)
+            self.holder.parts[name].back = demand.returned
+        for name in list(self.keys):
+            if name not in self.holder.parts:
+                del self.keys[name]
+                self.posted_fences.pop(name, None)
 
-    def renewed(self) -> None:
-        """Hand on what is new."""
-        now, here = now_ms(), now_us()
-        came = any(
-            part.came and part.fence != self.taken.get(name) for name, part in self.holder.parts.items()
-        )
-        self.patience_s = min(2 * self.patience_s + LOOK_S, self.most_s) if self.needs and not came else 0.0
-        for name, part in self.holder.parts.items():
-            if part.fence and part.fence != self.taken.get(name):
-                self.taken[name] = part.fence
-                until_us, share = here + (part.until_ms - now) * 1000, part.part / part.terms.whole
-                self.door.post(BudgetGranted(self.keys[name], share, part.came, until_us))
+    def _on_renewed(self) -> None:
+        """Post the grants that are new."""
+        now = now_ms()
+        posted_at_us = now_us()
+        new_grants = {
+            name: grant
+            for name, grant in self.holder.parts.items()
+            if grant.fence and grant.fence != self.posted_fences.get(name)
+        }
+        has_new_units = any(grant.came for grant in new_grants.values())
+        if self.needed_units and not has_new_units:
+            self.backoff_s = min(2 * self.backoff_s + POLL_INTERVAL_S, self.max_backoff_s)
+        else:
+            self.backoff_s = 0.0
+        for name, grant in new_grants.items():
+            self.posted_fences[name] = grant.fence
+            until_us = posted_at_us + (grant.until_ms - now) * MICROSECONDS_PER_MILLISECOND
+            share = grant.part / grant.terms.whole
+            self.gateway_server.post(BudgetGranted(self.keys[name], share, grant.came, until_us))
--- a/thistletrail/gateway/start_history.py
+++ b/thistletrail/gateway/start_history.py
@@ -12,7 +12,7 @@
 import msgspec
 
 CRASH_SPAN_S = 10.0  # starts within it count together
-USUAL_STARTS = 1  # of these: one before is a restart, more are a crash that repeats
+TOLERATED_STARTS = 1  # of these: one before is a restart, more are a crash that repeats
 FIRST_BACKOFF_S = 1.0  # doubles with each further start
 MAX_BACKOFF_S = 8.0
 CLOCK_TOLERANCE_S = 2.0  # by which a time may be in the future: clocks of one machine step by less
@@ -53,7 +53,7 @@
     earliest_s = now_s - CRASH_SPAN_S
     latest_s = now_s + CLOCK_TOLERANCE_S
     recent = sum(earliest_s <= start_s <= latest_s for start_s in start_times_s)
-    excess = recent - USUAL_STARTS
+    excess = recent - TOLERATED_STARTS
     if excess <= 0:
         return 0.0
     return min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (excess - 1))
