--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -16,7 +16,7 @@
 from thistletrail.benchmarks.__main__ import main
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, Process, Tree, free_port, front_door
+from thistletrail.benchmarks.process import ROOT, Process, Tree, free_port, front_door, prepare
 from thistletrail.benchmarks.standins import HOST
 
 HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
@@ -41,6 +41,18 @@
     return errors
 
 
+@pytest.mark.parametrize("folder", ["molereach", "thistletrail/gateway"])
+def test_a_tree_from_before_the_lease_keys_is_known_as_such(tmp_path: Path, folder: str) -> None:
+    gateway = tmp_path / folder
+    gateway.mkdir(parents=True)
+    (gateway / "config.py").write_text("def read_addresses(): ...\n")
+    (tmp_path / "deploy").mkdir()
+    (tmp_path / "deploy" / "balancer.toml").write_text('build = "true"\nrun = "true"\n')
+    assert not prepare(tmp_path).has_lease_keys
+    (gateway / "legacy_settings.py").touch()
+    assert prepare(tmp_path).has_lease_keys
+
+
 @pytest.mark.parametrize(
     ("args", "says"),
     [
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -29,9 +29,6 @@
     host: str
     port: int
 
-    def __str__(self) -> str:
-        return f"{self.host}:{self.port}"
-
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
--- a/thistletrail/gateway/endpoint_list.py
+++ b/thistletrail/gateway/endpoint_list.py
@@ -47,7 +47,7 @@
         self, value: Mapping[str, Any], kind: EndpointUpdateKind | None = None
     ) -> EndpointListUpdate:
         """A list or changes to it, of the given kind or of the one that it says. Malformed entries are logged
-        and left out; a DiscoveryProtocolError where the whole is malformed."""
+        and left out; a DiscoveryProtocolError where it is malformed itself."""
         try:
             if kind is None:
                 kind = EndpointUpdateKind.FULL if value.get("reset") else EndpointUpdateKind.CHANGES
--- a/thistletrail/gateway/watch_connection.py
+++ b/thistletrail/gateway/watch_connection.py
@@ -1,7 +1,7 @@
 """One HTTP request to discovery, from its first byte to the end of its connection.
 
 A watch is an answer that does not end: a JSON object for each update, and empty lines in between. A request
-for the whole endpoint list is answered in the same form, with an end.
+for the complete endpoint list is answered in the same form, with an end.
 """
 
 import asyncio
@@ -100,7 +100,7 @@
             for data in self.reader.feed(event.data):
                 self.on_object(data)
         if isinstance(event, h11.EndOfMessage):
-            for data in self.reader.finish():  # a whole list may come without a line end
+            for data in self.reader.finish():  # a complete list may come without a line end
                 self.on_object(data)
         if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
             self.close()
