--- a/thistletrail/gateway/errors.py
+++ b/thistletrail/gateway/errors.py
@@ -1,12 +1,12 @@
-"""The errors of a gateway, below one base class; the text of each is one plain line."""
+"""Errors of the gateway, by what a caller can do about them."""
 
 
 class GatewayError(Exception):
-    """Base of all errors that the gateway itself raises."""
+    """Base class of the errors that the gateway itself raises."""
 
 
 class ConfigError(GatewayError):
-    """The environment, the configuration file or a folder that it names cannot be used."""
+    """The environment or the configuration is not usable; the text is one plain line."""
 
 
 class RejectedSnapshotError(GatewayError):
