--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -23,8 +23,11 @@
     "docs/glossary.md": "maps withdrawn names to those of today",
     "journal/": "records of earlier runs stay as they were written",
     "tests/data/": "files as an earlier revision stored them",
+    "tests/test_bench.py": "finds the packages of older revisions",
+    "tests/test_legacy_settings.py": "reads a former key of the configuration",
     "tests/test_stored_data.py": "restores from files of an earlier revision",
     "tests/test_withdrawn_names.py": "lists the names",
+    "thistletrail/gateway/legacy_settings.py": "reads the former keys of the configuration",
     "thistletrail/benchmarks/process.py": "finds the packages of older revisions",
     "thistletrail/simulation/experiment.py": "finds the packages of older revisions",
 }
