--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Real sockets on loopback for the front door's tests: clients, backends and discovery, by script."""
+"""Real sockets on loopback for the gateway's tests: clients, backends and discovery, by script."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 import uvloop
 
 from thistletrail.gateway.config import Address, Config
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
 HOST = "127.0.0.1"
@@ -214,10 +214,10 @@
 
 
 @contextlib.asynccontextmanager
-async def front_door(
+async def running_gateway(
     *backends: Backend, addresses: Iterable[Address] = (), **changes: object
-) -> AsyncIterator[tuple[FrontDoor, Address]]:
-    """A front door that serves, before the given backends, and its address."""
+) -> AsyncIterator[tuple[GatewayServer, Address]]:
+    """A gateway that serves, before the given backends, and its address."""
     everyone = [*addresses, *[await backend.start() for backend in backends]]
     listed = catalog(7, [entry(f"s{number}", address) for number, address in enumerate(everyone)])
 
@@ -225,12 +225,12 @@
         writer.write(HEAD + chunk(listed))
         await asyncio.Event().wait()
 
-    door = FrontDoor(replace(CONFIG, discovery=(await Watch(script).start(),), **changes))
-    await door.start()
+    gateway = GatewayServer(replace(CONFIG, discovery=(await Watch(script).start(),), **changes))
+    await gateway.start()
     try:
-        yield door, door.address
+        yield gateway, gateway.address
     finally:
-        door.close()
+        gateway.close()
 
 
 def refusing_address() -> Address:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -13,10 +13,10 @@
 import uvloop
 
 from tests.helpers import MS, PLAN, SETTINGS, S, World, servers
-from tests.sockets import PATIENT, PATIENT_MS, Backend, Client, front_door, query, run, value
+from tests.sockets import PATIENT, PATIENT_MS, Backend, Client, query, run, running_gateway, value
 from thistletrail.gateway import backends
 from thistletrail.gateway.backends import Attempt
-from thistletrail.gateway.server import Exchange
+from thistletrail.gateway.exchange import Exchange
 from thistletrail.policy.actions import SetTimer
 from thistletrail.policy.base import Job
 from thistletrail.policy.events import Event, TimerFired
@@ -52,7 +52,7 @@
     count = 200
 
     async def job() -> None:
-        async with front_door(Backend(), sockets=512, settings=PATIENT) as (_, address):
+        async with running_gateway(Backend(), sockets=512, settings=PATIENT) as (_, address):
             for number in range(20):  # what the first requests bring into being is nobody's
                 await (await Client.open(address)).ask(query(f"w{number}", wait_ms=PATIENT_MS))
             found = kept("thistletrail/gateway/clients.py")
@@ -111,7 +111,7 @@
             return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(words[2][:1], value(b"ok"))
 
         backend = Backend(answer)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             assert await client.ask(query("a0")) == b"ok"
             before = asyncio.all_tasks()
@@ -123,7 +123,7 @@
             leaving.send(query("z1"))
             await backend.received(1, b"z1")
             leaving.writer.close()
-            while door.open or door.ended or door.gateway.jobs:
+            while gateway.exchanges.unanswered or gateway.exchanges.answered_in_flight or gateway.policy.jobs:
                 await asyncio.sleep(0.001)
             ours = {
                 task
@@ -145,15 +145,15 @@
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             clients = [await Client.open(address) for _ in range(at_once)]
             for turn in range(rounds):
                 for number, client in enumerate(clients):
                     client.send(query(f"a{turn}x{number}"))
                 assert [await client.answer() for client in clients] == [b"ok"] * at_once
-            assert door.costs.requests == at_once * rounds
-            assert door.costs.handshakes == backend.opened <= at_once
-            assert door.backends.count() <= at_once and door.clients.sockets == at_once
+            assert gateway.costs.requests == at_once * rounds
+            assert gateway.costs.handshakes == backend.opened <= at_once
+            assert gateway.backends.count() <= at_once and gateway.clients.sockets == at_once
 
     run(job())
 
@@ -172,15 +172,19 @@
     """An idle one waits for the end of its period; each request sets a nearer one, which takes its place."""
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, _):
+        async with running_gateway(Backend()) as (gateway, _):
             for _ in range(10):
-                door.set_timer(SetTimer(900 * MS, 0))
-                door.set_timer(SetTimer(500 * MS, 0))
-            pending = [found for found in living(uvloop.loop.TimerHandle) if "FrontDoor.ring" in repr(found)]
-            assert len(pending) == 1 and list(door.timers) == [0]
+                gateway.driver.set_timer(SetTimer(900 * MS, 0))
+                gateway.driver.set_timer(SetTimer(500 * MS, 0))
+            pending = [
+                found
+                for found in living(uvloop.loop.TimerHandle)
+                if "PolicyDriver.fire_when_due" in repr(found)
+            ]
+            assert len(pending) == 1 and list(gateway.driver.timers) == [0]
             rung: list[Event] = []
-            door.post = rung.append
-            door.set_timer(SetTimer(0, 0))
-            assert rung == [TimerFired(0)] and not door.timers
+            gateway.driver.post = rung.append
+            gateway.driver.set_timer(SetTimer(0, 0))
+            assert rung == [TimerFired(0)] and not gateway.driver.timers
 
     run(job())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,10 +16,10 @@
     PATIENT_MS,
     Backend,
     Client,
-    front_door,
     query,
     resp,
     run,
+    running_gateway,
     value,
 )
 from thistletrail.gateway import clients
@@ -33,7 +33,7 @@
 def test_answers_come_in_the_order_of_the_commands() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"a1" else value(words[2]))
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             client.send(query("a1") + resp("PING") + query("a2") + resp("WHAT"))
             await backend.received(2)
@@ -67,7 +67,7 @@
 def test_malformed_resp_is_an_error_and_a_close(data: bytes) -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert str(await client.ask(data)).startswith("-ERR Protocol error")
             assert await client.ended()
@@ -124,7 +124,7 @@
 def test_wrong_command_is_an_error_and_the_connection_lives(words: tuple[str, ...]) -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert str(await client.ask(resp(*words))).startswith("-ERR ")
             assert await client.ask(resp("PING")) == b"PONG"
@@ -140,8 +140,8 @@
     async def job() -> None:
         held = asyncio.Event()
         backend = Backend(lambda words: None if held.is_set() else value(b"ok"))
-        async with front_door(backend) as (door, address):
-            door.clients.most = 3
+        async with running_gateway(backend) as (gateway, address):
+            gateway.clients.most = 3
             first, second = await Client.open(address), await Client.open(address)
             assert await first.ask(query("a")) == b"ok"
             assert await second.ask(query("b")) == b"ok"
@@ -155,7 +155,7 @@
             early = await Client.open(address)  # the others have not been idle for long enough
             assert await early.answer() == "-ERR max number of clients reached"
             assert await early.ended()
-            for connection in door.clients.leaving[clients.State.IDLE]:
+            for connection in gateway.clients.leaving[clients.State.IDLE]:
                 connection.since_us -= clients.LEAST_IDLE_US
             fourth = await Client.open(address)
             assert await fourth.ask(resp("PING")) == b"PONG"
@@ -163,7 +163,7 @@
             held.set()
             for number, client in enumerate((second, third, fourth)):
                 client.send(query(f"a{number}"))
-            while len(door.open) < 3:
+            while len(gateway.exchanges.unanswered) < 3:
                 await asyncio.sleep(0)
             late = await Client.open(address)  # nobody is idle
             assert await late.answer() == "-ERR max number of clients reached"
@@ -176,16 +176,16 @@
     """Also an accepted socket counts until it is closed; a server of the loop's accepts all that wait."""
 
     async def job() -> None:
-        async with front_door() as (door, address):
-            door.clients.most, most = 20, 0
-            attach = door.clients.attach
+        async with running_gateway() as (gateway, address):
+            gateway.clients.most, most = 20, 0
+            attach = gateway.clients.attach
 
             def counted(accepted: socket.socket) -> object:
                 nonlocal most
-                most = max(most, door.clients.sockets)
+                most = max(most, gateway.clients.sockets)
                 return attach(accepted)
 
-            door.clients.attach = counted
+            gateway.clients.attach = counted
             with contextlib.ExitStack() as stack:
                 for _ in range(300):
                     burst = stack.enter_context(socket.socket())
@@ -232,7 +232,7 @@
     hurry(monkeypatch, name)
 
     async def job() -> None:
-        async with front_door() as (_, address):
+        async with running_gateway() as (_, address):
             client = await Client.open(address)
             client.send(data)
             for _ in range(answers):
@@ -259,7 +259,7 @@
 
     async def job() -> None:
         body = b"x" * 65536
-        async with front_door(Backend(lambda words: value(body))) as (door, address):
+        async with running_gateway(Backend(lambda words: value(body))) as (gateway, address):
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 deaf.connect(address)
@@ -268,9 +268,9 @@
                 with contextlib.suppress(OSError):
                     for number in range(200):
                         await loop.sock_sendall(deaf, query(f"a{number}"))
-                while not door.clients.connections:
+                while not gateway.clients.connections:
                     await asyncio.sleep(0)
-                assert await door.clients.left(20)
+                assert await gateway.clients.left(20)
 
     run(job())
 
@@ -281,15 +281,15 @@
     hurry(monkeypatch, "LINGER_US")
 
     async def job() -> None:
-        async with front_door() as (door, address):
+        async with running_gateway() as (gateway, address):
             client = await Client.open(address)
             client.send(b"*1\r\n$60000000\r\n" + b"x" * (4 << 20))
             assert await client.answer() == "-ERR Protocol error: too long"
-            (connection,) = door.clients.connections
+            (connection,) = gateway.clients.connections
             read = len(connection.reader.buffer)
             assert await client.ended()
             assert read <= clients.READ_BYTES  # nothing was taken in behind the head
-            assert await door.clients.left(20)
+            assert await gateway.clients.left(20)
 
     run(job())
 
@@ -298,16 +298,16 @@
     monkeypatch.setattr(clients, "SWEEP_S", 0.01)
 
     async def job() -> None:
-        async with front_door() as (door, address):
-            door.clients.most_bytes = 100_000
+        async with running_gateway() as (gateway, address):
+            gateway.clients.most_bytes = 100_000
             small = await Client.open(address)
             assert await small.ask(resp("PING")) == b"PONG"
             large = [await Client.open(address) for _ in range(2)]
             for client in large:
                 client.send(b"*1\r\n$60000\r\n" + b"x" * 59_000)
-            while len(door.clients.connections) == 3:
+            while len(gateway.clients.connections) == 3:
                 await asyncio.sleep(0)
-            assert len(door.clients.connections) == 2
+            assert len(gateway.clients.connections) == 2
             assert await small.ask(resp("PING")) == b"PONG"
 
     run(job())
@@ -316,17 +316,19 @@
 def test_open_requests_are_bounded_by_the_memory() -> None:
     async def job() -> None:
         backends = [Backend(lambda words: None) for _ in range(64 // OUT_PER_SERVER + 1)]
-        async with front_door(*backends, memory_mb=1, settings=PATIENT) as (door, address):
+        async with running_gateway(*backends, memory_mb=1, settings=PATIENT) as (gateway, address):
             for number in range(4):
                 client = await Client.open(address)
                 client.send(b"".join(query(f"a{number}x{other}", wait_ms=PATIENT_MS) for other in range(16)))
             last = await Client.open(address)
-            while len(door.open) < 30:
+            while len(gateway.exchanges.unanswered) < 30:
                 await asyncio.sleep(0)
             full = "-ERR too many requests are open"
-            while (answer := await last.ask(query(f"b{len(door.open)}", wait_ms=10))) != full:
+            while (
+                answer := await last.ask(query(f"b{len(gateway.exchanges.unanswered)}", wait_ms=10))
+            ) != full:
                 assert answer in ("-BUSY 750", "-ERR failed")  # its time was over when it was read, or later
-            assert door.held_bytes < (1 << 20) // 8 + 5000
+            assert gateway.exchanges.buffered_bytes < (1 << 20) // 8 + 5000
 
     run(job())
 
@@ -337,11 +339,11 @@
 
         def answer(words: list[bytes]) -> bytes:
             nonlocal most
-            most = max(most, len(door.open))
+            most = max(most, len(gateway.exchanges.unanswered))
             return value(words[2])
 
         backends = [Backend(answer) for _ in range(clients.MOST_PIPELINED // OUT_PER_SERVER + 1)]
-        async with front_door(*backends, settings=PATIENT) as (door, address):
+        async with running_gateway(*backends, settings=PATIENT) as (gateway, address):
             client = await Client.open(address)
             names = [f"a{number}" for number in range(300)]
             asked = b"".join(query(name, wait_ms=PATIENT_MS) for name in names)
@@ -355,7 +357,7 @@
 
 def test_wrong_commands_in_a_row_end_the_connection() -> None:
     async def job() -> None:
-        async with front_door() as (_, address):
+        async with running_gateway() as (_, address):
             client = await Client.open(address)
             client.send(resp("WHAT") * 1000)
             for _ in range(clients.MOST_ERRORS):
@@ -369,7 +371,7 @@
 def test_fault_on_a_connection_answers_what_it_owes(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
@@ -377,12 +379,12 @@
             def broken(words: list[bytes], reply: object) -> None:
                 raise RuntimeError("a fault of ours")
 
-            door.clients.take = broken
+            gateway.clients.take = broken
             client.send(query("a2"))
             answers = [await client.answer() for _ in range(3)]
             assert answers == ["-ERR failed", "-ERR failed", "-ERR internal error"]
             assert await client.ended()
-            assert not door.open
+            assert not gateway.exchanges.unanswered
 
     run(job())
     assert "a fault of ours" in caplog.text
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -8,22 +8,22 @@
 
 import pytest
 
-from tests.sockets import Backend, Client, front_door, query, refusing_address, run, value
+from tests.sockets import Backend, Client, query, refusing_address, run, running_gateway, value
 from tests.test_program import config, start, write
 from thistletrail.gateway import backends
 from thistletrail.gateway import cost_counters as costs
 from thistletrail.gateway.config import ConfigError, load
 from thistletrail.gateway.cost_counters import REST, Costs, Stages
 from thistletrail.gateway.peer_transport import Peers
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
 
 OPEN = Path("/proc/self/fd")
 
 
-def figures(door: FrontDoor) -> dict[str, object]:
-    word, _, rest = door.cost_line().partition(" ")
+def figures(gateway: GatewayServer) -> dict[str, object]:
+    word, _, rest = gateway.cost_line().partition(" ")
     assert word == "costs" and "\n" not in rest
     return json.loads(rest)
 
@@ -36,7 +36,7 @@
             return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(words[2], value(b"ok"))
 
         backend = Backend(answer)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             for number in range(20):
                 assert await client.ask(query(f"a{number}")) == b"ok"
@@ -47,7 +47,7 @@
             leaving.send(query("z1"))
             await backend.received(1, b"z1")
             leaving.writer.close()
-            while not (found := figures(door))["gone"]:
+            while not (found := figures(gateway))["gone"]:
                 await asyncio.sleep(0.001)
             assert (found["requests"], found["served"], found["refused"], found["failed"]) == (22, 20, 1, 0)
             assert found["accepted"] == 2 and found["pings"] == 1 and found["wrong_commands"] == 1
@@ -63,10 +63,10 @@
 
 def test_handshakes_that_fail_are_counted() -> None:
     async def job() -> None:
-        async with front_door(addresses=[refusing_address()]) as (door, address):
+        async with running_gateway(addresses=[refusing_address()]) as (gateway, address):
             client = await Client.open(address)
             assert str(await client.ask(query("a1"))).startswith("-")
-            found = figures(door)
+            found = figures(gateway)
             assert found["handshakes"] == found["handshakes_failed"] == found["attempts"] > 0
             assert found["refused"] + found["failed"] == 1
 
@@ -77,16 +77,16 @@
 def test_descriptors_agree_with_the_process_s_own_table() -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            before = figures(door)["descriptors"]
+        async with running_gateway(backend) as (gateway, address):
+            before = figures(gateway)["descriptors"]
             clients = [await Client.open(address) for _ in range(30)]
             for number, client in enumerate(clients):
                 assert await client.ask(query(f"a{number}")) == b"ok"
-            after, listed = figures(door)["descriptors"], len(os.listdir(OPEN)) - 1
+            after, listed = figures(gateway)["descriptors"], len(os.listdir(OPEN)) - 1
             assert after["all"] == listed
             assert after["clients"] - before["clients"] == len(clients)
             assert after["backends"] - before["backends"] == backend.opened
-            # The other ends of all these are this process's too, and have no owner in the front door.
+            # The other ends of all these are this process's too, and have no owner in the gateway.
             assert after["process"] - before["process"] == len(clients) + backend.opened
             assert after["listener"] == after["discovery"] == 1
 
@@ -134,15 +134,15 @@
 
 def test_stages_of_a_front_door_add_up_to_its_time() -> None:
     async def job() -> None:
-        async with front_door(Backend(), time_stages=True) as (door, address):
+        async with running_gateway(Backend(), time_stages=True) as (gateway, address):
             client = await Client.open(address)
             for number in range(50):
                 assert await client.ask(query(f"a{number}")) == b"ok"
-            door.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # a stranger
-            spent = figures(door)["stages_s"]
+            gateway.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # a stranger
+            spent = figures(gateway)["stages_s"]
             assert {"actions", "backends", "clients", "decisions", "discovery", "peers", "rest"} == set(spent)
             assert all(seconds > 0 for seconds in spent.values())
-            assert figures(door)["datagrams_dropped"] == 1
+            assert figures(gateway)["datagrams_dropped"] == 1
 
     run(job())
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,25 +19,24 @@
     catalog,
     chunk,
     entry,
-    front_door,
     query,
     resp,
     run,
+    running_gateway,
     submit,
     value,
 )
-from thistletrail.gateway import backends, clients
-from thistletrail.gateway import server as frontdoor
+from thistletrail.gateway import backends, clients, graceful_shutdown
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.clients import State
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.events import AttemptEnded
 
 
 @contextlib.contextmanager
 def raw_client(address: Address) -> Iterator[socket.socket]:
-    """A client whose calls do not let the front door's loop run."""
+    """A client whose calls do not let the gateway's loop run."""
     with socket.create_connection(address) as client:
         client.settimeout(10)
         yield client
@@ -51,21 +50,21 @@
     return bytes(found)
 
 
-def connection_of(door: FrontDoor, client: socket.socket) -> clients.ClientConnection:
+def connection_of(gateway: GatewayServer, client: socket.socket) -> clients.ClientConnection:
     (found,) = [
         one
-        for one in door.clients.connections
+        for one in gateway.clients.connections
         if one.transport.get_extra_info("peername") == client.getsockname()
     ]
     return found
 
 
-async def fill(door: FrontDoor, client: socket.socket, backend: Backend) -> None:
+async def fill(gateway: GatewayServer, client: socket.socket, backend: Backend) -> None:
     """Have as many commands of a client open as may be, so that nothing more is read from it."""
     for number in range(clients.MOST_PIPELINED + 4):
         client.sendall(submit(f"a{number}", wait_ms=PATIENT_MS))
     await backend.received(5)
-    while len(door.open) < clients.MOST_PIPELINED:
+    while len(gateway.exchanges.unanswered) < clients.MOST_PIPELINED:
         await asyncio.sleep(0.001)
 
 
@@ -73,17 +72,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The answer before it may not have reached the client yet, and a reset would take that back."""
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             with raw_client(address) as client:
                 client.sendall(query("first"))
                 await backend.received(1)
-                while not door.costs.served:
+                while not gateway.costs.served:
                     await asyncio.sleep(0.001)
-                unread, connection = clients.has_unread, connection_of(door, client)
+                unread, connection = clients.has_unread, connection_of(gateway, client)
 
                 def crossing(transport: asyncio.Transport) -> bool:
                     found = unread(transport)
@@ -92,7 +91,7 @@
                     return found
 
                 monkeypatch.setattr(clients, "has_unread", crossing)
-                draining = asyncio.create_task(door.drain())
+                draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
             assert [words[2] for words in backend.commands] == [b"first"]
@@ -104,17 +103,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A connection that was closed just before the drain looks whether all is over is not reset."""
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
-    monkeypatch.setattr(frontdoor, "LAST_WRITES_S", 0.02)
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.02)
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
+        async with running_gateway(Backend()) as (gateway, address):
             with raw_client(address) as client:
                 client.sendall(query("a1"))
-                while not door.costs.served:
+                while not gateway.costs.served:
                     await asyncio.sleep(0.001)
-                connection = connection_of(door, client)
-                await door.drain()
+                connection = connection_of(gateway, client)
+                await gateway.drain()
                 assert connection.state is State.CLOSING
                 assert now_us() - connection.since_us >= clients.LINGER_US
 
@@ -126,27 +125,27 @@
     is_new: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its first part is read: whoever closes now has half consumed it."""
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
-    monkeypatch.setattr(frontdoor, "LAST_WRITES_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.05)
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
+        async with running_gateway(Backend()) as (gateway, address):
             slow = await Client.open(address)
             if not is_new:
                 assert await slow.ask(resp("PING")) == b"PONG"
             slow.send(query("a1")[:40])
-            while not any(one.reader.buffer for one in door.clients.connections):
+            while not any(one.reader.buffer for one in gateway.clients.connections):
                 await asyncio.sleep(0.001)
             looked = asyncio.Event()
-            left = door.clients.left
+            left = gateway.clients.left
 
             async def twice(within_s: float) -> bool:
                 result = await left(within_s)
                 looked.set()
                 return result
 
-            monkeypatch.setattr(door.clients, "left", twice)
-            draining = asyncio.create_task(door.drain())
+            monkeypatch.setattr(gateway.clients, "left", twice)
+            draining = asyncio.create_task(gateway.drain())
             await looked.wait()
             looked.clear()
             await looked.wait()
@@ -161,15 +160,15 @@
 def test_connection_that_waits_to_be_accepted_at_the_end_of_a_drain_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
-    monkeypatch.setattr(frontdoor, "LAST_WRITES_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.05)
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            door.loop.remove_reader(door.clients.listener)  # as after a failure to accept
+        async with running_gateway(Backend()) as (gateway, address):
+            gateway.loop.remove_reader(gateway.clients.listener)  # as after a failure to accept
             with raw_client(address) as client:
                 client.sendall(query("a1"))
-                draining = asyncio.create_task(door.drain())
+                draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
 
@@ -184,21 +183,21 @@
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend, settings=PATIENT) as (door, address):
+        async with running_gateway(backend, settings=PATIENT) as (gateway, address):
             with raw_client(address) as client:
-                await fill(door, client, backend)
+                await fill(gateway, client, backend)
                 client.shutdown(socket.SHUT_RDWR)
             out = list(zip(backend.commands, backend.writers, strict=True))
             for words, writer in out:
                 if words[2] != b"a0":  # whose answer is the first: none is written, which would tell the loop
                     writer.write(value(b"ok"))
-            while len(door.gateway.jobs) > 1:
+            while len(gateway.policy.jobs) > 1:
                 await asyncio.sleep(0.001)
             assert len(backend.commands) == len(out)
             for writer in backend.writers:
                 writer.write(value(b"ok"))
-            view = door.gateway
-            while door.ended or view.jobs or view.held:
+            view = gateway.policy
+            while gateway.exchanges.answered_in_flight or view.jobs or view.held:
                 await asyncio.sleep(0.001)
             assert view.out == 0
 
@@ -210,12 +209,12 @@
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend, settings=PATIENT) as (door, address):
+        async with running_gateway(backend, settings=PATIENT) as (gateway, address):
             with raw_client(address) as client:
-                await fill(door, client, backend)
-            while door.open or door.clients.sockets or door.gateway.jobs:
+                await fill(gateway, client, backend)
+            while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.jobs:
                 await asyncio.sleep(0.001)
-            assert door.costs.gone == clients.MOST_PIPELINED
+            assert gateway.costs.gone == clients.MOST_PIPELINED
 
     run(job())
 
@@ -234,19 +233,22 @@
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend, settings=replace(PATIENT, may_cancel=False)) as (door, address):
+        async with running_gateway(backend, settings=replace(PATIENT, may_cancel=False)) as (
+            gateway,
+            address,
+        ):
             client = await Client.open(address)
             client.send(submit("a1", wait_ms=PATIENT_MS))
-            while not door.costs.handshakes:
+            while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
-            while door.open:
+            while gateway.exchanges.unanswered:
                 await asyncio.sleep(0.001)
             left.set()
             other = await Client.open(address)
             assert await other.ask(submit("b1", wait_ms=PATIENT_MS)) == b"ok"
             assert [words[2] for words in backend.commands] == [b"b1"]
-            while door.ended or door.gateway.jobs:
+            while gateway.exchanges.answered_in_flight or gateway.policy.jobs:
                 await asyncio.sleep(0.001)
 
     run(job())
@@ -258,21 +260,21 @@
 
     async def job() -> None:
         fleet = [Backend(lambda words: b"") for _ in range(2)]
-        async with front_door(*fleet, settings=PATIENT) as (door, address):
-            post = door.post
+        async with running_gateway(*fleet, settings=PATIENT) as (gateway, address):
+            post = gateway.driver.post
 
             def crossing(event: object) -> None:
                 post(event)
-                if isinstance(event, AttemptEnded) and event.id in door.open:
-                    door.client_gone(door.open[event.id].reply)
+                if isinstance(event, AttemptEnded) and event.id in gateway.exchanges.unanswered:
+                    gateway.exchanges.on_client_disconnected(gateway.exchanges.unanswered[event.id].reply)
 
-            door.post = crossing
+            gateway.driver.post = crossing
             client = await Client.open(address)
             client.send(query("a1", wait_ms=PATIENT_MS))
-            view = door.gateway
-            while not door.costs.gone or door.inbox:
+            view = gateway.policy
+            while not gateway.costs.gone or gateway.driver.pending_events:
                 await asyncio.sleep(0.001)
-            while door.ended or view.jobs:
+            while gateway.exchanges.answered_in_flight or view.jobs:
                 await asyncio.sleep(0.001)
             assert view.out == 0 and not any(server.out for server in view.servers.values())
             assert all(customer.out == 0 for customer in view.customers.values())
@@ -295,10 +297,10 @@
 
     async def job() -> None:
         fleet = [Backend(lambda words: b"-ERR failed\r\n") for _ in range(2)]
-        async with front_door(*fleet, settings=settings) as (door, address):
+        async with running_gateway(*fleet, settings=settings) as (gateway, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1", "book", wait_ms=PATIENT_MS)) == "-ERR failed"
-            assert door.costs.attempts == 2 and sum(len(one.commands) for one in fleet) == 1
+            assert gateway.costs.attempts == 2 and sum(len(one.commands) for one in fleet) == 1
 
     run(job())
 
@@ -307,17 +309,17 @@
     """A client that rested for longest has just sent a request, which nobody has read."""
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
+        async with running_gateway(Backend()) as (gateway, address):
             with raw_client(address) as asks, raw_client(address) as rests:
                 for number, client in enumerate((asks, rests)):
                     client.sendall(query(f"a{number}"))
-                    while door.costs.served <= number:
+                    while gateway.costs.served <= number:
                         await asyncio.sleep(0.001)
                     assert client.recv(100) == b"$2\r\nok\r\n"
-                for connection in door.clients.connections:
+                for connection in gateway.clients.connections:
                     connection.since_us -= 2 * clients.LEAST_IDLE_US
                 asks.sendall(query("a2"))
-                assert door.clients.make_room()
+                assert gateway.clients.make_room()
                 assert await received(rests) == b""
                 assert await asyncio.to_thread(asks.recv, 100) == b"$2\r\nok\r\n"
 
@@ -326,12 +328,12 @@
 
 def test_word_to_one_that_is_turned_away_is_not_taken_back_by_a_reset() -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            door.clients.most = 0
+        async with running_gateway(Backend()) as (gateway, address):
+            gateway.clients.most = 0
             with raw_client(address) as client:
                 client.sendall(query("a1"))  # is there before anybody accepts
                 assert await received(client) == clients.CROWDED
-            assert door.costs.turned_away == 1
+            assert gateway.costs.turned_away == 1
 
     run(job())
 
@@ -339,13 +341,13 @@
 def test_small_writes_are_held_back_nowhere() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
-            (pool,) = door.backends.pools.values()
-            ours = [one.transport for one in (*pool.connections, *door.clients.connections)]
-            ours.append(door.discovery.source.connection.transport)
+            (pool,) = gateway.backends.pools.values()
+            ours = [one.transport for one in (*pool.connections, *gateway.clients.connections)]
+            ours.append(gateway.discovery.source.connection.transport)
             for transport in ours:
                 wire = transport.get_extra_info("socket")
                 assert wire.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
@@ -367,17 +369,17 @@
 
         watch = Watch(silent)
         config = replace(CONFIG, settings=PATIENT, sockets=48, discovery=(await watch.start(),))
-        door = FrontDoor(config)
-        await door.start()
-        idle = [await Client.open(door.address) for _ in range(3 * door.clients.most)]
-        asks = await Client.open(door.address)
+        gateway = GatewayServer(config)
+        await gateway.start()
+        idle = [await Client.open(gateway.address) for _ in range(3 * gateway.clients.most)]
+        asks = await Client.open(gateway.address)
         asks.send(query("a1", wait_ms=PATIENT_MS))
-        while "a1" not in door.open:
+        while "a1" not in gateway.exchanges.unanswered:
             await asyncio.sleep(0.001)
-        assert door.clients.sockets <= door.clients.most
+        assert gateway.clients.sockets <= gateway.clients.most
         back.set()
         assert await asks.answer() == b"ok"
-        assert len(watch.targets) == 1 and len(idle) > door.clients.most
-        door.close()
+        assert len(watch.targets) == 1 and len(idle) > gateway.clients.most
+        gateway.close()
 
     run(job())
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -10,9 +10,8 @@
 import pytest
 
 from tests.helpers import MS, SETTINGS, S, World, of, servers
-from tests.sockets import HOST, Backend, Client, front_door, query, run, submit, value
-from thistletrail.gateway import backends
-from thistletrail.gateway import server as frontdoor
+from tests.sockets import HOST, Backend, Client, query, run, running_gateway, submit, value
+from thistletrail.gateway import backends, graceful_shutdown
 from thistletrail.gateway.backends import Attempt, Backends, now_us
 from thistletrail.gateway.deadline import ANSWER_MARGIN_US
 from thistletrail.policy.actions import FailRequest, RejectRequest, StartAttempt
@@ -61,7 +60,7 @@
 
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1", wait_ms=3000)) == b"ok"
             assert 0 < backend.told[0] <= 3000 - MARGIN_MS - 195  # a timer may be a little early
@@ -104,7 +103,7 @@
 
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             await (await Client.open(address)).ask(query("a0"))
             with socket.create_connection(address) as client:
                 await asyncio.sleep(0.05)  # it is taken in
@@ -121,7 +120,7 @@
 def test_command_that_lay_for_longer_than_it_had_is_answered_at_once() -> None:
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert await client.ask(query("a0")) == b"ok"
             client.send(query("a1", wait_ms=60))
@@ -146,7 +145,7 @@
 
         told: dict[bytes, int] = {}
         fleet = [Backend(answer) for _ in range(8)]
-        async with front_door(*fleet) as (door, address):
+        async with running_gateway(*fleet) as (gateway, address):
             client = await Client.open(address)
             client.send(b"".join(submit(f"a{number}", wait_ms=4000) for number in range(50)))
             await first.wait()
@@ -160,7 +159,7 @@
             assert [await client.answer() for _ in range(50)] == [b"a%d" % number for number in range(50)]
             assert all(told[b"a%d" % number] <= 4000 - MARGIN_MS for number in range(16))
             assert all(told[b"a%d" % number] <= 4000 - MARGIN_MS - 290 for number in range(16, 50))
-            assert door.costs.behind >= 15
+            assert gateway.costs.behind >= 15
 
     run(job())
 
@@ -170,7 +169,7 @@
 
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             client.send(b"".join(query(f"a{number}") for number in range(20)))
             for _ in range(20):
@@ -183,20 +182,20 @@
 
 
 def test_drain_leaves_each_request_the_lesser_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
-    monkeypatch.setattr(frontdoor, "DRAIN_EXTRA_US", -5_300_000)  # of 6 s, so that 0.7 s are left
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "DRAIN_EXTRA_US", -5_300_000)  # of 6 s, so that 0.7 s are left
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             short, long = await Client.open(address), await Client.open(address)
             long.send(submit("a1", wait_ms=6000))
             short.send(submit("a2", wait_ms=500))
             await backend.received(2)
             began = time.monotonic()
-            draining = asyncio.create_task(door.drain())
+            draining = asyncio.create_task(gateway.drain())
             assert str(await short.answer()) == "-ERR failed"
-            assert list(door.open) == ["a1"]
+            assert list(gateway.exchanges.unanswered) == ["a1"]
             new = await Client.open(address)
             new.send(query("a3", wait_ms=6000))
             assert str(await long.answer()) == "-ERR failed"  # it may have run
@@ -226,10 +225,10 @@
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1", wait_ms=325)) == "-ERR failed"
-            found = json.loads(door.cost_line().partition(" ")[2])
+            found = json.loads(gateway.cost_line().partition(" ")[2])
             assert found["late"] == {"waiting": 1} and 0 < found["late_s"]["waiting"] <= 0.3
 
     run(job())
@@ -240,7 +239,7 @@
 def test_step_of_the_wall_clock_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             for number, step in enumerate((-(10**9), 10**9)):
                 monkeypatch.setattr(time, "time", lambda step=step: 1e9 + step)
@@ -254,13 +253,13 @@
 def test_client_that_leaves_during_the_handshake_has_nothing_sent_on(slow_handshakes: None) -> None:
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(submit("a1"))
-            while not door.costs.handshakes:
+            while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
-            while not door.costs.gone or door.ended or door.gateway.jobs:
+            while not gateway.costs.gone or gateway.exchanges.answered_in_flight or gateway.policy.jobs:
                 await asyncio.sleep(0.001)
             other = await Client.open(address)  # by then the first connection has come up
             assert await other.ask(submit("b1")) == b"ok"
@@ -272,17 +271,17 @@
 def test_drain_begun_during_a_handshake_still_answers(
     slow_handshakes: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
-    monkeypatch.setattr(frontdoor, "DRAIN_EXTRA_US", -4_000_000)  # of 6 s, so that 2 s are left
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "DRAIN_EXTRA_US", -4_000_000)  # of 6 s, so that 2 s are left
 
     async def job() -> None:
         backend = Recorder()
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(submit("a1", wait_ms=6000))
-            while not door.costs.handshakes:
+            while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
-            draining = asyncio.create_task(door.drain())
+            draining = asyncio.create_task(gateway.drain())
             assert await client.answer() == b"ok"
             assert backend.told[0] <= 2000 - 150  # the handshake had begun some time before the drain
             assert await client.ended()
@@ -294,7 +293,7 @@
 def test_value_that_begins_in_time_and_ends_late_has_failed() -> None:
     async def job() -> None:
         backend = Backend(lambda words: value(b"x" * 100)[:50])
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             client.send(submit("a1", wait_ms=400))
             assert await client.answer() == "-ERR failed"
@@ -354,17 +353,17 @@
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(*[backend], sockets=256) as (door, address):
+        async with running_gateway(*[backend], sockets=256) as (gateway, address):
             clients = [await Client.open(address) for _ in range(2)]
             clients[0].send(submit("a0", wait_ms=700))
             clients[1].send(submit("a1", wait_ms=6000))
             await backend.received(2)
             time.sleep(1.0)
             assert await clients[0].answer() == "-ERR failed"
-            assert list(door.open) == ["a1"]
+            assert list(gateway.exchanges.unanswered) == ["a1"]
             backend.writers[[words[2] for words in backend.commands].index(b"a1")].write(value(b"late"))
             assert await clients[1].answer() == b"late"
-            assert door.costs.requests == door.costs.served + door.costs.failed == 2
+            assert gateway.costs.requests == gateway.costs.served + gateway.costs.failed == 2
 
     run(job())
     assert "left without an answer" not in caplog.text
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from thistletrail.gateway import discovery_client as discovery
 from thistletrail.gateway.discovery_client import Catalog, Discovery, News
 from thistletrail.gateway.peer_transport import Peers
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.codec import pack_message
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, QuotaMessage, ServerState
@@ -206,15 +206,15 @@
 def test_known_list_serves_while_discovery_is_silent() -> None:
     async def job() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
-        door = FrontDoor(replace(CONFIG, known=known, discovery=(await Watch(script()).start(),)))
+        gateway = GatewayServer(replace(CONFIG, known=known, discovery=(await Watch(script()).start(),)))
         heard: list[Event] = []
-        door.gateway.handle = lambda now, event: heard.append(event) or []
-        await door.start()
+        gateway.policy.handle = lambda now, event: heard.append(event) or []
+        await gateway.start()
         assert [event.kind for event in heard if isinstance(event, EndpointUpdate)] == [
             EndpointUpdateKind.CACHED
         ]
-        assert door.discovery.version == 3 and list(door.backends.pools) == ["s1"]
-        door.close()
+        assert gateway.discovery.version == 3 and list(gateway.backends.pools) == ["s1"]
+        gateway.close()
 
     run(job())
 
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -13,12 +13,12 @@
 import pytest
 
 from tests.helpers import SETTINGS, S, World, of
-from tests.sockets import CONFIG, HOST, Backend, Client, Watch, front_door, query, run
+from tests.sockets import CONFIG, HOST, Backend, Client, Watch, query, run, running_gateway
 from tests.test_program import config as values_of
 from tests.test_program import write as write_config
 from thistletrail.gateway import snapshot_store as keep
 from thistletrail.gateway.config import ConfigError
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.gateway.snapshot_store import (
     Keep,
     RejectedError,
@@ -188,24 +188,24 @@
 
 def test_a_door_takes_up_what_its_predecessor_kept(tmp_path: Path) -> None:
     async def act() -> None:
-        async with front_door(Backend()) as (door, address):
+        async with running_gateway(Backend()) as (gateway, address):
             first = keeper(tmp_path)
             client = await Client.open(address)
             for number in range(5):
                 await client.ask(query(f"r{number}"))
-            first.write(first.snapshot(door))
+            first.write(first.snapshot(gateway))
             first.close()
             second = keeper(tmp_path)
             assert second.found.known["generation"] == 7
             config = second.with_known(replace(CONFIG, discovery=(await Watch(never).start(),)))
-            successor = FrontDoor(config)
+            successor = GatewayServer(config)
             second.recall(successor)
             await asyncio.sleep(0)
-            successor.run_batch()
-            assert list(successor.gateway.servers) == ["s0"]
-            assert successor.gateway.servers["s0"].entry == door.gateway.servers["s0"].entry
-            assert successor.gateway.customers.keys() == door.gateway.customers.keys()
-            assert successor.gateway.starts.restarted
+            successor.driver.run_batch()
+            assert list(successor.policy.servers) == ["s0"]
+            assert successor.policy.servers["s0"].entry == gateway.policy.servers["s0"].entry
+            assert successor.policy.customers.keys() == gateway.policy.customers.keys()
+            assert successor.policy.starts.restarted
             successor.close()
             second.close()
 
@@ -217,14 +217,14 @@
 
 def test_an_old_snapshot_is_good_for_its_list_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def act() -> None:
-        async with front_door(Backend()) as (door, _):
+        async with running_gateway(Backend()) as (gateway, _):
             first = keeper(tmp_path)
-            first.write(first.snapshot(door))
+            first.write(first.snapshot(gateway))
             first.close()
             offset = round(keep.MOST_AGE_S * 1000) + 1000
             second = keeper(tmp_path, clock_offset_ms=offset)
-            second.recall(door)
-            assert second.found is not None and not door.inbox
+            second.recall(gateway)
+            assert second.found is not None and not gateway.driver.pending_events
             second.close()
             third = keeper(tmp_path, clock_offset_ms=3_600_000)  # a clock that is an hour off
             assert third.found is None
--- a/tests/test_roster_end_to_end.py
+++ b/tests/test_roster_end_to_end.py
@@ -11,7 +11,7 @@
 
 from tests.sockets import CONFIG, HOST, Backend, Client, query, run
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.events import ServerState
 from thistletrail.registry.follow import Follower
 from thistletrail.registry.registration import Registration
@@ -56,10 +56,10 @@
             await registration.close()
 
 
-async def door_at(discovery: Address) -> FrontDoor:
-    door = FrontDoor(replace(CONFIG, discovery=(discovery,)))
-    await door.start()
-    return door
+async def gateway_at(discovery: Address) -> GatewayServer:
+    gateway = GatewayServer(replace(CONFIG, discovery=(discovery,)))
+    await gateway.start()
+    return gateway
 
 
 async def ask(client: Client, count: int, prefix: str) -> None:
@@ -68,11 +68,11 @@
         assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
-async def known(door: FrontDoor, *names: str, state: ServerState = ServerState.UP) -> None:
+async def known(gateway: GatewayServer, *names: str, state: ServerState = ServerState.UP) -> None:
     """Wait until the door knows just these in that state."""
 
     def found() -> set[str]:
-        return {name for name, server in door.gateway.servers.items() if server.entry.state is state}
+        return {name for name, server in gateway.policy.servers.items() if server.entry.state is state}
 
     while found() != set(names):
         await asyncio.sleep(0.01)
@@ -83,18 +83,18 @@
         lists = Lists()
         address = await lists.start(Service(tmp_path))
         async with registered(address, "s-1", "s-2"):
-            door = await door_at(address)
-            await known(door, "s-1", "s-2")
-            client = await Client.open(door.address)
+            gateway = await gateway_at(address)
+            await known(gateway, "s-1", "s-2")
+            client = await Client.open(gateway.address)
             await ask(client, 5, "before")
             await lists.stop()
             await ask(client, 20, "away")
             await lists.start(Service(tmp_path))
             await ask(client, 5, "back")
             async with registered(address, "s-3"):
-                await known(door, "s-1", "s-2", "s-3")
+                await known(gateway, "s-1", "s-2", "s-3")
                 await ask(client, 5, "more")
-            door.close()
+            gateway.close()
         await lists.stop()
 
     run(act())
@@ -105,18 +105,18 @@
         lists = Lists()
         address = await lists.start(Service(tmp_path))
         async with registered(address, "s-1", "s-2") as servers:
-            door = await door_at(address)
-            await known(door, "s-1", "s-2")
-            client = await Client.open(door.address)
+            gateway = await gateway_at(address)
+            await known(gateway, "s-1", "s-2")
+            client = await Client.open(gateway.address)
             await servers["s-1"][1].drain()
-            await known(door, "s-1", state=ServerState.DRAINING)
+            await known(gateway, "s-1", state=ServerState.DRAINING)
             before = len(servers["s-1"][0].commands)
             await ask(client, 20, "drained")
             assert len(servers["s-1"][0].commands) == before
             await servers["s-1"][1].leave()
-            await known(door, "s-2")
+            await known(gateway, "s-2")
             await ask(client, 5, "left")
-            door.close()
+            gateway.close()
         await lists.stop()
 
     run(act())
@@ -130,17 +130,17 @@
             servers["s-1"][1].lease_s = 0.3  # renews soon, and so finds out soon
             await servers["s-1"][1].stop()
             servers["s-1"][1].renewing = asyncio.create_task(servers["s-1"][1].renew())
-            door = await door_at(address)
-            await known(door, "s-1")
-            client = await Client.open(door.address)
+            gateway = await gateway_at(address)
+            await known(gateway, "s-1")
+            client = await Client.open(gateway.address)
             await lists.stop()
             fresh = Service(tmp_path / "b")
             await lists.start(fresh)
             while not fresh.store.instances:
                 await asyncio.sleep(0.01)
-            await known(door, "s-1")
+            await known(gateway, "s-1")
             await ask(client, 5, "again")
-            door.close()
+            gateway.close()
         await lists.stop()
 
     run(act())
@@ -155,15 +155,15 @@
             second = await copies.start(follower)
             while not follower.copy.instances:
                 await asyncio.sleep(0.01)
-            door = await door_at(second)
-            await known(door, "s-1")
-            client = await Client.open(door.address)
+            gateway = await gateway_at(second)
+            await known(gateway, "s-1")
+            client = await Client.open(gateway.address)
             await ask(client, 5, "follower")
-            door.reconfigure(replace(door.config, discovery=(first,)))  # as SIGHUP does
+            gateway.reconfigure(replace(gateway.config, discovery=(first,)))  # as SIGHUP does
             await copies.stop()
             await servers["s-1"][1].drain()
-            await known(door, "s-1", state=ServerState.DRAINING)
-            door.close()
+            await known(gateway, "s-1", state=ServerState.DRAINING)
+            gateway.close()
         await lists.stop()
 
     run(act())
--- a/tests/test_frontdoor.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The front door over loopback sockets: a request from client to backend and back."""
+"""The gateway over loopback sockets: a request from client to backend and back."""
 
 import asyncio
 import logging
@@ -14,16 +14,16 @@
     SETTINGS,
     Backend,
     Client,
-    front_door,
     query,
     refusing_address,
     resp,
     run,
+    running_gateway,
     submit,
     value,
 )
-from thistletrail.gateway import server as frontdoor
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway import graceful_shutdown
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.actions import Action, SetTimer, StartAttempt
 from thistletrail.policy.events import (
     AttemptEnded,
@@ -39,7 +39,7 @@
     async def job() -> None:
         body = bytes(range(256)) * 256  # 64 KiB, with line ends and nulls in it
         backend = Backend(lambda words: value(body))
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1", body=body)) == body
             assert backend.commands[0][4] == body
@@ -50,7 +50,7 @@
 def test_only_the_time_is_rewritten() -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             fields = "c=settle,r=1,kd=7,d=3000,t=team,k=5c0f,new=1,units=2,spread=2,first=1"
             assert await client.ask(resp("SVC.SUBMIT", CUSTOMER, "a1", fields, "B")) == b"ok"
@@ -66,7 +66,7 @@
 def test_backends_refusal_never_passes_through() -> None:
     async def job() -> None:
         backend = Backend(lambda words: b"-BUSY 123456\r\n")
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1")) == "-BUSY 750"
             assert len(backend.commands) == SETTINGS.max_attempts  # it is known that none of them ran
@@ -81,7 +81,7 @@
 def test_unsafe_request_that_may_have_run_is_sent_once(answer: bytes) -> None:
     async def job() -> None:
         backend = Backend(lambda words: answer)
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1")) == "-ERR failed"
             assert len(backend.commands) == 1
@@ -93,7 +93,10 @@
     async def job() -> None:
         backend = Backend()
         dead = [refusing_address() for _ in range(6)]
-        async with front_door(backend, addresses=dead, settings=replace(SETTINGS, max_attempts=9)) as (_, at):
+        async with running_gateway(backend, addresses=dead, settings=replace(SETTINGS, max_attempts=9)) as (
+            _,
+            at,
+        ):
             client = await Client.open(at)
             assert await client.ask(submit("a1")) == b"ok"
 
@@ -103,7 +106,7 @@
 def test_answer_comes_before_the_clients_time_and_only_once() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             started = time.monotonic()
             client.send(submit("a1", wait_ms=300))
@@ -111,7 +114,11 @@
             assert time.monotonic() - started < 0.3
             await backend.left.wait()  # the attempt was given up by closing its connection
             assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
-            assert not door.open and not door.ended and door.held_bytes == 0
+            assert (
+                not gateway.exchanges.unanswered
+                and not gateway.exchanges.answered_in_flight
+                and gateway.exchanges.buffered_bytes == 0
+            )
 
     run(job())
 
@@ -119,13 +126,13 @@
 def test_client_that_leaves_ends_its_attempt() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
             client.writer.close()
             await backend.left.wait()
-            assert not door.open and not door.gateway.jobs
+            assert not gateway.exchanges.unanswered and not gateway.policy.jobs
 
     run(job())
 
@@ -133,7 +140,7 @@
 def test_same_id_twice_is_an_error_and_the_first_goes_on() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (_, address):
+        async with running_gateway(backend) as (_, address):
             client, other = await Client.open(address), await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
@@ -146,15 +153,15 @@
 
 def test_exception_of_the_module_fails_its_request_only(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            handle = door.gateway.handle
+        async with running_gateway(Backend()) as (gateway, address):
+            handle = gateway.policy.handle
 
             def broken(now: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestArrived) and event.id == "bad":
                     raise RuntimeError("a fault of the module")
                 return handle(now, event)
 
-            door.gateway.handle = broken
+            gateway.policy.handle = broken
             client = await Client.open(address)
             assert await client.ask(query("bad")) == "-ERR failed"
             assert await client.ask(query("good")) == b"ok"
@@ -166,8 +173,8 @@
 
 def test_request_that_the_module_forgets_fails_in_time(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            door.gateway.handle = lambda now, event: []
+        async with running_gateway(Backend()) as (gateway, address):
+            gateway.policy.handle = lambda now, event: []
             client = await Client.open(address)
             assert await client.ask(query("a1", wait_ms=200)) == "-ERR failed"
 
@@ -178,12 +185,12 @@
 def test_attempt_for_a_request_that_is_over_is_moot() -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             assert await client.ask(query("a1")) == b"ok"
             seen: list[Event] = []
-            door.gateway.handle = lambda now, event: seen.append(event) or []
-            door.send(StartAttempt("a1", "s0"))
+            gateway.policy.handle = lambda now, event: seen.append(event) or []
+            gateway.exchanges.start_attempt(StartAttempt("a1", "s0"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [
@@ -198,7 +205,7 @@
     """uvloop rounds to milliseconds; an early tick is passed over by the module, which then sets no other."""
 
     async def job() -> None:
-        door = FrontDoor(CONFIG)
+        gateway = GatewayServer(CONFIG)
         rung: dict[int, int] = {}
         done = asyncio.Event()
 
@@ -212,14 +219,14 @@
             return []
 
         moments: list[int] = []
-        door.gateway.handle = handle
+        gateway.policy.handle = handle
         due = {}
         for token in range(40):
             delay = 5_000 + 37 * token
             due[token] = time.monotonic_ns() // 1000 + delay
-            door.set_timer(SetTimer(delay, token))
+            gateway.driver.set_timer(SetTimer(delay, token))
         for number in range(5):
-            door.post(ClientDisconnected(str(number)))
+            gateway.driver.post(ClientDisconnected(str(number)))
         await done.wait()
         assert all(rung[token] >= due[token] for token in due)
         assert len(moments) == 5 and len(set(moments)) == 1
@@ -230,12 +237,12 @@
 def test_drain_serves_what_still_comes_and_answers_all() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             idle, busy = await Client.open(address), await Client.open(address)
             assert await idle.ask(resp("PING")) == b"PONG"
             busy.send(query("slow"))
             await backend.came.wait()
-            draining = asyncio.create_task(door.drain())
+            draining = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0)
             late = await Client.open(address)
             assert await late.ask(query("new")) == b"ok"
@@ -251,17 +258,17 @@
 
 
 def test_drain_waits_for_a_request_that_comes_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontdoor, "SETTLE_S", 0.0)
-    monkeypatch.setattr(frontdoor, "LAST_WRITES_S", 0.1)
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.1)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with running_gateway(backend) as (gateway, address):
             busy = await Client.open(address)
             busy.send(submit("a1"))
             await backend.came.wait()
-            draining = asyncio.create_task(door.drain())
-            while not door.clients.draining:
+            draining = asyncio.create_task(gateway.drain())
+            while not gateway.clients.draining:
                 await asyncio.sleep(0)
             client = await Client.open(address)
             backend.came.clear()
@@ -280,8 +287,8 @@
 
 def test_action_that_cannot_be_carried_out_fails_its_request_only(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            handle = door.gateway.handle
+        async with running_gateway(Backend()) as (gateway, address):
+            handle = gateway.policy.handle
 
             def odd(now: int, event: Event) -> list[Action]:
                 actions = handle(now, event)
@@ -289,7 +296,7 @@
                     return [StartAttempt("bad", "s0", timeout_us="soon"), *actions]
                 return actions
 
-            door.gateway.handle = odd
+            gateway.policy.handle = odd
             client = await Client.open(address)
             assert await client.ask(query("bad")) == "-ERR failed"
             assert await client.ask(query("good")) == b"ok"
@@ -306,7 +313,7 @@
         good, odd = value(b"ok"), b"*9\r\n"
         answers = [good, good, b"-BUSY\r\n", b"-ERR failed\r\n", b"", odd, good * 2, None]
         fleet = [Backend(lambda words: chance.choice(answers)) for _ in range(3)]
-        async with front_door(*fleet, addresses=[refusing_address()]) as (door, address):
+        async with running_gateway(*fleet, addresses=[refusing_address()]) as (gateway, address):
             clients = [await Client.open(address) for _ in range(20)]
             for number in range(200):
                 ask = query if number % 3 else submit
@@ -316,16 +323,16 @@
             for client in clients[5:]:
                 for _ in range(10):
                     assert await client.answer() is not None
-            view = door.gateway
-            while door.open or door.ended or view.jobs:
+            view = gateway.policy
+            while gateway.exchanges.unanswered or gateway.exchanges.answered_in_flight or view.jobs:
                 await asyncio.sleep(0.01)
             assert view.out == 0 and not any(server.out for server in view.servers.values())
-            assert not view.held and not view.waits and door.held_bytes == 0
+            assert not view.held and not view.waits and gateway.exchanges.buffered_bytes == 0
             assert all(customer.out == 0 for customer in view.customers.values())
-            pools = door.backends.pools.values()
-            while door.backends.count() > sum(len(pool.idle) for pool in pools):
+            pools = gateway.backends.pools.values()
+            while gateway.backends.count() > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
             assert not any(pool.connecting or pool.waiting for pool in pools)
-            assert door.clients.sockets == len(door.clients.connections) == 15
+            assert gateway.clients.sockets == len(gateway.clients.connections) == 15
 
     run(job())
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -80,7 +80,7 @@
         assert await first == "failed"
 
     found = fleet(tmp_path, act)
-    assert found.ran["k"] == found.ran["k"][:1] and found.said(0, "no longer this door's")
+    assert found.ran["k"] == found.ran["k"][:1] and found.said(0, "no longer this gateway's")
     assert {zone for _, zone in found.came["k"]} == set(found.ran["k"])
     assert 0 not in [door for door, _ in found.came["k"][1:]]
 
@@ -133,7 +133,7 @@
         assert await found.ask(0, found.submit("keyed", "k", "a1", BODY), LONG_S) == "served"
         found.steward.kill()
         await found.steward.process.wait()
-        await until(lambda: all(found.said(door, "no word of the steward") for door in range(4)))
+        await until(lambda: all(found.said(door, "no answer from the lease service") for door in range(4)))
         assert await found.ask(1, found.submit("keyed", "j", "a2", BODY), LONG_S) == "served"
         known = [found.said(door) for door in range(4)]
         await found.start_steward()
@@ -182,7 +182,7 @@
         assert await found.doors[0].process.wait() == 0
 
     found = fleet(tmp_path, act)
-    assert len(found.ran["k"]) == 1 and found.said(0, "left 1")
+    assert len(found.ran["k"]) == 1 and found.said(0, "released 1")
 
 
 def test_a_full_disk_of_the_stewards_means_work_without_and_no_wait(tmp_path: Path) -> None:
@@ -191,7 +191,7 @@
         _, most = resource.prlimit(process, resource.RLIMIT_FSIZE)
         resource.prlimit(process, resource.RLIMIT_FSIZE, (0, most))
         assert await found.ask(0, found.submit("keyed", "k", "a1", BODY), LONG_S) == "served"
-        assert found.said(0, "work cannot be kept")
+        assert found.said(0, "the lease service does not record work")
         resource.prlimit(process, resource.RLIMIT_FSIZE, (most, most))
         assert await found.ask(0, found.submit("keyed", "j", "a2", BODY), LONG_S) == "served"
         assert await found.ask(1, found.submit("keyed", "j", "a3", BODY), LONG_S) == "served"
@@ -224,4 +224,4 @@
 def test_doors_are_killed_paused_and_drained_and_keep_the_rules(played: Seen) -> None:
     assert check(played) == []
     said = [record["text"] for record in played.by["door"]]
-    assert any(text.startswith("work in hand: ") and "begun 0" not in text for text in said)
+    assert any(text.startswith("work leases: ") and "begun 0" not in text for text in said)
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -43,6 +43,7 @@
 PATIENCE_S = 6.0  # of a client that comes again: past the lease, and as long as an answer is kept
 WAIT_S = 0.05  # between its tries
 LOOK_S = 0.02  # between looks at a log
+RECORDED_TEXT = "work is recorded by the lease service"  # logged when a gateway has its first answer from it
 DYING_S = 2.0  # for the point to be reached: else it is not
 WINDOW_MS = 8000
 LEASE_MS = 1000
@@ -317,7 +318,7 @@
                 raise BenchError(f"door {number} has ended: {process.last_line()}")
             await asyncio.sleep(LOOK_S)
 
-    def said(self, number: int, text: str = "work in hand is kept") -> int:
+    def said(self, number: int, text: str = RECORDED_TEXT) -> int:
         """How often a door's log says so: that it has been heard of by the steward, unless another text is
         asked for."""
         log = self.folder / f"door-{number}" / "log"
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -1,4 +1,11 @@
-"""Start of a front door, its signals and its exit code."""
+"""The gateway's entry point: its start, its signals, its log and its exit code.
+
+`python -m thistletrail.gateway` reads the file that PROXY_CONFIG names and serves until SIGTERM or SIGINT,
+then drains. SIGHUP reloads the configuration, SIGUSR1 logs what requests have cost. The exit code is 0 after
+a drain, 1 where an address or a file cannot be had, and 2 for a configuration that is not usable.
+"""
+
+from __future__ import annotations
 
 import asyncio
 import contextlib
@@ -8,22 +15,31 @@
 import signal
 import sys
 import threading
+from typing import TYPE_CHECKING
 
 import uvloop
 
-from thistletrail.gateway.config import Config, ConfigError, load, reload
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.config import Config, load, reload
+from thistletrail.gateway.errors import ConfigError
+from thistletrail.gateway.server import GatewayServer
+
+if TYPE_CHECKING:
+    from thistletrail.gateway.snapshot_store import Keep
+    from thistletrail.gateway.takeover import TakeoverCoordinator
 
 log = logging.getLogger("thistletrail.gateway")
 
+EXIT_CANNOT_START = 1
+EXIT_BAD_CONFIG = 2
 LINES_AT_ONCE = 10  # from one place in the code
 LINES_SPAN_S = 10.0
 
 
 class RateLimit(logging.Filter):
-    """Bounds the lines from each place in the code: what peers can cause must not flood the log.
+    """Bounds the log lines from each place in the code: what peers can cause must not flood the log.
 
-    The first line that is let through again says how many were left out.
+    At most `LINES_AT_ONCE` lines pass in `LINES_SPAN_S` seconds. The first line that passes again says how
+    many were left out.
     """
 
     def __init__(self) -> None:
@@ -31,117 +47,179 @@
         self.places: dict[tuple[str, int], tuple[float, int]] = {}  # start of the span and lines in it
 
     def filter(self, record: logging.LogRecord) -> bool:
-        place = record.pathname, record.lineno
+        """Whether a line passes."""
+        place = (record.pathname, record.lineno)
         start, count = self.places.get(place, (record.created, 0))
         if record.created - start >= LINES_SPAN_S:
             if count > LINES_AT_ONCE:
                 record.msg = f"{record.msg} ({count - LINES_AT_ONCE} like it were left out)"
-            start, count = record.created, 0
-        self.places[place] = start, count + 1
+            start = record.created
+            count = 0
+        self.places[place] = (start, count + 1)
         return count < LINES_AT_ONCE
 
 
-def take_over(door: FrontDoor) -> None:
+# --- signals ---
+
+
+def reload_config(server: GatewayServer) -> None:
     """Read the configuration again; one that is not usable changes nothing."""
     try:
         config = reload(os.environ)
     except ConfigError as error:
         log.error("the configuration stays as it was: %s", error)
         return
-    door.reconfigure(config)
+    server.reconfigure(config)
 
 
-def tell_costs(door: FrontDoor) -> None:
-    log.info("%s", door.cost_line())
+def log_costs(server: GatewayServer) -> None:
+    """Log what the requests so far have cost."""
+    log.info("%s", server.cost_line())
 
 
-def note(number: int) -> threading.Event:
-    """Have a signal noted until the loop handles it: the event is set where it has come."""
-    came = threading.Event()
-    signal.signal(number, lambda *_: came.set())
-    return came
+def remember_signal(number: int) -> threading.Event:
+    """Remember a signal until the loop handles it: the event is set where it has come."""
+    received = threading.Event()
+    signal.signal(number, lambda *_: received.set())
+    return received
 
 
-async def serve(config: Config, reload_asked: threading.Event) -> None:
-    """Serve until SIGTERM or SIGINT, then drain; on SIGHUP take over the configuration.
-
-    `reload_asked` is set where SIGHUP came while the configuration was read, or after: what was read may be
-    the one before.
-    """
+def stop_on_signals(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
+    """An event that SIGTERM and SIGINT set."""
     stopped = asyncio.Event()
-    loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
-    keep = None
-    if config.state_dir:
-        from thistletrail.gateway.snapshot_store import Keep  # what is kept nowhere needs not be loaded
-
-        keep = Keep(config)
-        if wait := keep.wait_s():
-            log.warning("%s has started again and again: it waits for %.1f s", config.name, wait)
-            with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stopped.wait(), wait)
-                keep.end(None)
-                log.info("%s ends", config.name)
-                return
-        config = keep.with_known(config)
-    door = FrontDoor(config)
-    loop.add_signal_handler(signal.SIGHUP, take_over, door)
-    loop.add_signal_handler(signal.SIGUSR1, tell_costs, door)
-    if reload_asked.is_set():
-        take_over(door)
-    if keep:
-        keep.recall(door)
-    if config.takeover:
-        from thistletrail.gateway.takeover import Takeover
-
-        door.takeover = Takeover(door, config)
-        working = loop.create_task(door.takeover.run())
-    await door.start()
-    if config.steward:
-        from thistletrail.gateway.budget_lease_client import Allowances  # no steward, no packages for it
-
-        allowances = Allowances(door, config)
-        renewing = loop.create_task(allowances.run())
-    keeping = loop.create_task(keep.run(door)) if keep else None
+    return stopped
+
+
+# --- optional parts: their modules are loaded only where they are on, and take no memory elsewhere ---
+
+
+def open_store(config: Config) -> Keep | None:
+    """The folder of snapshots; None where the configuration names none."""
+    if not config.state_dir:
+        return None
+    from thistletrail.gateway.snapshot_store import Keep
+
+    return Keep(config)
+
+
+def enable_takeover(server: GatewayServer, config: Config) -> TakeoverCoordinator | None:
+    """Record requests at the lease service; None where the configuration names no classes for it."""
+    if not config.takeover:
+        return None
+    from thistletrail.gateway.takeover import TakeoverCoordinator
+
+    takeover = TakeoverCoordinator(
+        config, server.exchanges, server.driver, server.backends, server.parser, server.policy
+    )
+    server.enable_takeover(takeover)
+    return takeover
+
+
+def start_budget_leases(server: GatewayServer, config: Config) -> asyncio.Task[None] | None:
+    """Renew leased budgets; None where the configuration names no lease service for them."""
+    if not config.steward:
+        return None
+    from thistletrail.gateway.budget_lease_client import Allowances
+
+    return asyncio.get_running_loop().create_task(Allowances(server, config).run())
+
+
+# --- one life ---
+
+
+async def wait_after_crashes(config: Config, store: Keep, stopped: asyncio.Event) -> bool:
+    """Wait before taking load where earlier starts crashed; whether to stop instead, as a signal came."""
+    wait_s = store.wait_s()
+    if not wait_s:
+        return False
+    log.warning("%s has started again and again: it waits for %.1f s", config.name, wait_s)
+    with contextlib.suppress(TimeoutError):
+        await asyncio.wait_for(stopped.wait(), wait_s)
+        store.end(None)
+        log.info("%s ends", config.name)
+        return True
+    return False
+
+
+async def serve(config: Config, reload_requested: threading.Event) -> None:
+    """Serve until SIGTERM or SIGINT, then drain; on SIGHUP reload the configuration.
+
+    `reload_requested` is set where SIGHUP came while the configuration was read, or after: what was read may
+    be the one before.
+    """
+    loop = asyncio.get_running_loop()
+    stopped = stop_on_signals(loop)
+    store = open_store(config)
+    if store:
+        if await wait_after_crashes(config, store, stopped):
+            return
+        config = store.with_known(config)
+    server = GatewayServer(config)
+    loop.add_signal_handler(signal.SIGHUP, reload_config, server)
+    loop.add_signal_handler(signal.SIGUSR1, log_costs, server)
+    if reload_requested.is_set():
+        reload_config(server)
+    if store:
+        store.recall(server)
+    await run_until_stopped(server, config, store, stopped)
+
+
+async def run_until_stopped(
+    server: GatewayServer, config: Config, store: Keep | None, stopped: asyncio.Event
+) -> None:
+    """Start the gateway and its background tasks, and drain it once `stopped` is set."""
+    loop = asyncio.get_running_loop()
+    takeover = enable_takeover(server, config)
+    takeover_task = loop.create_task(takeover.run()) if takeover else None
+    await server.start()
+    budget_task = start_budget_leases(server, config)
+    snapshot_task = loop.create_task(store.run(server)) if store else None
     # What lives as long as the process need not be looked through by every collection.
     gc.collect()
     gc.freeze()
     log.info("%s serves at %s:%d", config.name, *config.listen)
     await stopped.wait()
     log.info("%s drains", config.name)
-    await door.drain()
-    if config.steward:
-        renewing.cancel()
-    if config.takeover:
-        await door.takeover.close()
-        working.cancel()
-    if keep:
-        keeping.cancel()
-        keep.end(door)
-    tell_costs(door)
+    await server.drain()
+    if budget_task:
+        budget_task.cancel()
+    if takeover:
+        await takeover.close()
+        takeover_task.cancel()
+    if store:
+        snapshot_task.cancel()
+        store.end(server)
+    log_costs(server)
     log.info("%s ends", config.name)
 
 
-def main() -> int:
-    # Whoever reloads or asks too early is not to kill us, and a reload is not to be missed.
-    signal.signal(signal.SIGUSR1, signal.SIG_IGN)
-    reload_asked = note(signal.SIGHUP)
+def configure_logging() -> None:
+    """Log to standard error, each place in the code within its rate."""
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
     for handler in logging.getLogger().handlers:
         handler.addFilter(RateLimit())
+
+
+def main() -> int:
+    """Run a gateway; its exit code."""
+    # A signal before the loop handles it must not kill the process, and a reload must not be missed.
+    signal.signal(signal.SIGUSR1, signal.SIG_IGN)
+    reload_requested = remember_signal(signal.SIGHUP)
+    configure_logging()
     try:
         config = load(os.environ)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, reload_asked))
+            runner.run(serve(config, reload_requested))
     except ConfigError as error:
         print(f"gateway: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIG
     except OSError as error:
         print(f"gateway: cannot start: {error}", file=sys.stderr)
-        return 1
+        return EXIT_CANNOT_START
     return 0
 
 
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -21,7 +21,7 @@
 from thistletrail.policy.leased_budgets import wanted, whole_of
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.server import FrontDoor
+    from thistletrail.gateway.server import GatewayServer
 
 MOST_WANTED = 2000  # budgets in one ask: as many as a steward takes
 LOOK_S = 0.05  # between looks for customers that have come
@@ -32,7 +32,7 @@
 class Allowances:
     """One start's parts of customers' ceilings, quotas and openings, and of the fleet's further attempts."""
 
-    def __init__(self, door: FrontDoor, config: Config) -> None:
+    def __init__(self, door: GatewayServer, config: Config) -> None:
         self.door, self.plans = door, {number: name for name, number in config.plan_numbers.items()}
         chance = random.Random(config.settings.seed)
         # Stores and floors are the module's, by a customer's set; the holder's own are of no use here.
@@ -63,7 +63,7 @@
         try:
             while True:
                 await asyncio.sleep(LOOK_S)
-                wants = wanted(self.door.gateway, now_us())
+                wants = wanted(self.door.policy, now_us())
                 waited = loop.time() >= self.asked_at + self.patience_s
                 if any(
                     self.name(want.key) not in self.keys or (waited and want.needed > 0) for want in wants
@@ -88,7 +88,7 @@
     def prepare(self) -> None:
         """Tell the holder of all budgets that a part is needed of; others are let go of by it."""
         now, self.needs, self.asked_at = now_ms(), 0, asyncio.get_running_loop().time()
-        for want in wanted(self.door.gateway, now_us())[:MOST_WANTED]:
+        for want in wanted(self.door.policy, now_us())[:MOST_WANTED]:
             name = self.name(want.key)
             self.keys[name] = want.key
             need, terms = math.ceil(want.needed), self.terms(want.key)
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from thistletrail.gateway.errors import ConfigError
 from thistletrail.policy.codec import Pairs, read_settings
 from thistletrail.policy.settings import Settings
 
@@ -13,10 +14,6 @@
 MOST_TEXT = 200  # characters of an error: a value of the file may be in it
 
 
-class ConfigError(Exception):
-    """The environment or the configuration is not usable; the text is one plain line."""
-
-
 @dataclass(frozen=True, slots=True)
 class Steward:
     """The steward of the fleet's budgets: where it is, one address of several at a time, and the secret."""
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -31,7 +31,7 @@
 from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.server import FrontDoor
+    from thistletrail.gateway.server import GatewayServer
 
 log = logging.getLogger(__name__)
 
@@ -149,7 +149,7 @@
         """The configuration with the list of the snapshot, where it knows none itself."""
         return replace(config, known=self.found.known) if self.found and not config.known else config
 
-    def recall(self, door: FrontDoor) -> None:
+    def recall(self, door: GatewayServer) -> None:
         """Hand the module what the snapshot tells, where that is young enough."""
         if self.found is None:
             return
@@ -180,20 +180,20 @@
 
     # --- while it serves ---
 
-    async def run(self, door: FrontDoor) -> None:
+    async def run(self, door: GatewayServer) -> None:
         """Keep a snapshot every now and then, until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SAVE_S * self.random.uniform(1 - SAVE_JITTER, 1 + SAVE_JITTER))
             await loop.run_in_executor(None, self.write, self.snapshot(door))
 
-    def snapshot(self, door: FrontDoor) -> Snapshot:
+    def snapshot(self, door: GatewayServer) -> Snapshot:
         return Snapshot(
             name=self.config.name,
             settings=settings_of(self.config),
             at_ms=self.unix_ms(),
             mark=self.mark,
-            memory=collect(door.gateway),
+            memory=collect(door.policy),
             known=door.known_list(),
         )
 
@@ -214,7 +214,7 @@
             log.info("snapshots can be written again")
         self.failing = False
 
-    def end(self, door: FrontDoor | None) -> None:
+    def end(self, door: GatewayServer | None) -> None:
         """A planned end: the last state is kept, and the start was none that crashed."""
         if door is not None:
             self.write(self.snapshot(door))
--- /dev/null
+++ b/thistletrail/gateway/takeover/messages.py
@@ -0,0 +1,96 @@
+"""What is said to the lease service about a request, and how a transferred request is read."""
+
+from __future__ import annotations
+
+import hashlib
+
+from thistletrail.gateway.backends import Attempt, now_us
+from thistletrail.gateway.clients import Command, CommandError, CommandParser, read_fields
+from thistletrail.gateway.errors import TransferredRequestError
+from thistletrail.gateway.exchange import Exchange
+from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
+from thistletrail.gateway.takeover.work_item import WorkItem
+from thistletrail.leasing.messages import Begin, Try
+from thistletrail.policy.events import Server
+from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
+
+DIGEST_BYTES = 16
+DIGEST_FIELDS = ("c", "t", "units")  # that are the same each time a client sends one request
+EFFECT_NAMES = {Effect.IDEMPOTENT: "safe", Effect.IDEMPOTENT_BY_KEY: "keyed", Effect.UNSAFE: "unsafe"}
+
+
+def new_work_item(exchange: Exchange, settings: Settings) -> WorkItem:
+    """The work item of a request. Its name is the customer and the key, or the request's id without one."""
+    arguments = exchange.command.words
+    values = read_fields(arguments[3])
+    effect = settings.classes[exchange.command.class_index].effect
+    if effect is Effect.IDEMPOTENT_BY_KEY:
+        name = f"{arguments[1].decode().lower()}/{values['k']}"
+    else:
+        name = f"#{exchange.command.id}"
+    return WorkItem(exchange, name, request_digest(arguments, values), EFFECT_NAMES[effect])
+
+
+def request_digest(arguments: list[bytes], values: dict[str, str]) -> str:
+    """A digest of what a request asks for, in hexadecimal: another one under the same key is an error."""
+    repeated = [f"{field}={values.get(field, '')}".encode() for field in DIGEST_FIELDS]
+    content = encode([arguments[0], arguments[1], *repeated, *arguments[4:]])
+    return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
+
+
+def begin_message(item: WorkItem, attempt: Attempt, place: str, settings: Settings) -> Begin:
+    """Records a request with its first attempt."""
+    command = item.exchange.command
+    rule = settings.classes[command.class_index]
+    return Begin(
+        name=item.name,
+        id=command.id,
+        digest=item.digest,
+        customer=command.words[1].decode(),
+        effect=item.effect,
+        left_ms=remaining_ms(item),
+        window_ms=rule.idempotency_window_us // 1000,
+        request=encode(command.words),
+        server=attempt.server,
+        place=place,
+    )
+
+
+def attempt_message(item: WorkItem, attempt: Attempt, place: str) -> Try:
+    """Records a further attempt under the item's fence."""
+    return Try(
+        name=item.name,
+        fence=item.fence,
+        number=item.attempt_number,
+        server=attempt.server,
+        place=place,
+        unrun=item.has_never_run,
+    )
+
+
+def remaining_ms(item: WorkItem) -> int:
+    """What is left of the request's time, in whole ms."""
+    return item.exchange.budget.remaining_us(now_us()) // 1000
+
+
+def placement(settings: Settings, class_index: int, server: Server) -> str:
+    """Where a server's repeats of a key are dropped, in the lease service's terms."""
+    scope = settings.classes[class_index].idempotency_scope
+    if scope is IdempotencyScope.ZONE:
+        return f"zone {server.zone}"
+    if scope is IdempotencyScope.CELL:
+        return f"cell {server.cell}"
+    return "all"
+
+
+def read_transferred_request(parser: CommandParser, data: bytes) -> Command:
+    """The command of a request that another gateway recorded, or a TransferredRequestError."""
+    reader = CommandReader()
+    reader.feed(data)
+    try:
+        arguments = reader.next()
+        if arguments is None:
+            raise TransferredRequestError(f"it is cut off after {len(data)} bytes")
+        return parser.parse(arguments, own=False)
+    except (CommandError, ProtocolError, KeyError, TypeError, ValueError) as error:
+        raise TransferredRequestError(str(error)) from error
--- /dev/null
+++ b/thistletrail/gateway/takeover/work_transfer.py
@@ -0,0 +1,101 @@
+"""Work of another gateway's that this one continues: read, admitted and given to the policy."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import replace
+
+from thistletrail.gateway.backends import now_us
+from thistletrail.gateway.clients import CommandParser
+from thistletrail.gateway.deadline import ANSWER_MARGIN_US, Budget
+from thistletrail.gateway.errors import TransferredRequestError
+from thistletrail.gateway.exchange import EventSink
+from thistletrail.gateway.exchanges import Exchanges
+from thistletrail.gateway.takeover.client import WorkLeaseClient
+from thistletrail.gateway.takeover.detached_reply import DetachedReply
+from thistletrail.gateway.takeover.messages import new_work_item, placement, read_transferred_request
+from thistletrail.gateway.takeover.work_item import WorkItem
+from thistletrail.gateway.takeover.work_table import ServerDirectory, WorkTable
+from thistletrail.leasing.messages import Handed
+from thistletrail.policy.actions import FailRequest
+
+log = logging.getLogger(__name__)
+
+
+class WorkTransfer:
+    """Continues work whose earlier owner has lost or released it."""
+
+    def __init__(
+        self,
+        table: WorkTable,
+        client: WorkLeaseClient,
+        exchanges: Exchanges,
+        events: EventSink,
+        parser: CommandParser,
+        directory: ServerDirectory,
+    ) -> None:
+        self.table = table
+        self.client = client
+        self.holder = client.holder
+        self.exchanges = exchanges
+        self.events = events
+        self.parser = parser
+        self.directory = directory
+
+    def accept(self, transferred: Handed) -> None:
+        """Continue the work of a gateway that is lost, under this gateway's fence."""
+        self.table.counts.transferred += 1
+        self.client.wake()  # to confirm that the work has arrived
+        has_never_run = not transferred.server
+        try:
+            command = read_transferred_request(self.parser, transferred.request)
+        except TransferredRequestError as error:
+            log.warning("a transferred request cannot be read: %s", error)
+            self.holder.leave(transferred.name, unrun=has_never_run)
+            return
+        reply = DetachedReply(f"{command.id}.{transferred.fence}")
+        # The margin that `taken` subtracts was subtracted when the client's own gateway took the request in.
+        budget = Budget.taken(transferred.left_ms * 1000 + ANSWER_MARGIN_US, 0, now_us())
+        exchange = self.exchanges.open_transferred(command, reply, budget)
+        if exchange is None:
+            self.holder.leave(transferred.name, on=True, unrun=has_never_run)
+            return
+        item = new_work_item(exchange, self.exchanges.settings)
+        item.fence = transferred.fence
+        item.may_have_run_before = not has_never_run
+        self.table.add(item)
+        self.table.by_name[item.name] = item
+        log.info("continues request %s of a lost gateway", command.id)
+        self.post_arrival(item, transferred.server, transferred.place)
+
+    def resume(self, item: WorkItem, server: str, place: str) -> None:
+        """A client's request has become ours, after another gateway had its work.
+
+        Where it may have run, `server` and `place` say where; `server` is empty otherwise.
+        """
+        self.table.stop_waiting(item)
+        item.exchange.attempt_count = 0
+        self.post_arrival(item, server, place)
+
+    def post_arrival(self, item: WorkItem, server: str, place: str) -> None:
+        """Give the request to the policy as one that another gateway admitted."""
+        exchange = item.exchange
+        request_id = item.request_id
+        bound = self.server_in(exchange.command.class_index, server, place) if server else ""
+        if server and not bound:  # no server of that place is known any more
+            self.table.release(request_id)
+            self.exchanges.fail(FailRequest(request_id))
+            return
+        arrival = exchange.command.request(remaining_us=exchange.budget.remaining_us(now_us()))
+        self.events.post(replace(arrival, id=request_id, is_taken_over=True, ran_on_server=bound))
+
+    def server_in(self, class_index: int, server: str, place: str) -> str:
+        """That server, or else another of its place; empty where the policy knows none."""
+        servers = self.directory.servers
+        if server in servers:
+            return server
+        settings = self.exchanges.settings
+        for name, known in servers.items():
+            if placement(settings, class_index, known.entry) == place:
+                return name
+        return ""
