--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -183,18 +183,23 @@
     await stopped.wait()
     log.info("%s drains", config.name)
     await server.drain()
-    if budget_task:
-        budget_task.cancel()
+    cancel(budget_task)
     if takeover:
         await takeover.close()
-        takeover_task.cancel()
+    cancel(takeover_task, snapshot_task)
     if store:
-        snapshot_task.cancel()
         store.end(server)
     log_costs(server)
     log.info("%s ends", config.name)
 
 
+def cancel(*tasks: asyncio.Task[None] | None) -> None:
+    """Cancel those of the optional parts' tasks that were started."""
+    for task in tasks:
+        if task:
+            task.cancel()
+
+
 def configure_logging() -> None:
     """Log to standard error, each place in the code within its rate."""
     logging.basicConfig(
--- a/thistletrail/gateway/exchanges.py
+++ b/thistletrail/gateway/exchanges.py
@@ -196,7 +196,7 @@
         now = now_us()
         exchange = self.unanswered.get(request_id)
         is_over = exchange is None
-        if is_over:
+        if exchange is None:
             exchange = self.answered_in_flight.get(request_id)
         else:
             self.note_attempt(exchange, attempt, result, now)
--- a/thistletrail/gateway/policy_driver.py
+++ b/thistletrail/gateway/policy_driver.py
@@ -14,7 +14,7 @@
 from thistletrail.gateway.backends import NEVER, now_us
 from thistletrail.gateway.exchange import Exchange
 from thistletrail.policy.actions import Action, SetTimer
-from thistletrail.policy.events import ClientDisconnected, Event, TimerFired
+from thistletrail.policy.events import ClientDisconnected, Event, RequestArrived, TimerFired
 
 log = logging.getLogger(__name__)
 
@@ -41,6 +41,11 @@
         """The policy has handled the request's `ClientDisconnected`."""
 
 
+def arrival_of(exchange: Exchange, now: int) -> RequestArrived:
+    """The event of a new request. Its remaining time counts from the batch's `now`, as the policy's does."""
+    return exchange.command.request(remaining_us=exchange.budget.remaining_us(now))
+
+
 class PolicyDriver:
     """One policy with its pending events, its timers and the handlers of its actions."""
 
@@ -54,7 +59,7 @@
         self.timers: dict[int, asyncio.TimerHandle] = {}  # by token: the policy has one of each at most
         self.timer_due_us = NEVER  # of the timer that was set last
         self.action_handlers: ActionHandlers = {}
-        self.requests: Requests | None = None
+        self.requests: Requests  # set by `connect`
 
     def connect(self, action_handlers: ActionHandlers, requests: Requests) -> None:
         """Say what carries out each type of action, and who owns the requests."""
@@ -70,11 +75,10 @@
     def run_batch(self) -> None:
         """Give the policy all pending events, and carry out what it decides."""
         now = now_us()
-        events = self.pending_events
+        batch = self.pending_events
         self.pending_events = []
-        for event in events:
-            if type(event) is Exchange:  # the remaining time counts from the batch's, as the policy's does
-                event = event.command.request(remaining_us=event.budget.remaining_us(now))
+        for posted in batch:
+            event = arrival_of(posted, now) if isinstance(posted, Exchange) else posted
             for action in self.decide(now, event):
                 self.carry_out(action)
             if type(event) is ClientDisconnected:
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -120,7 +120,7 @@
     def on_batch_rejected(self, begins: list[Op]) -> None:
         """The lease service took nothing of a batch in: its begins go on untracked."""
         for begin in begins:
-            self.on_begin_result(begin, Told(how="full"))
+            self.on_result(begin, Told(how="full"))
 
     def on_result(self, operation: Op, result: Told) -> None:
         """What became of one operation."""
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -25,13 +25,17 @@
 class KnownServer(Protocol):
     """A server as the policy knows it."""
 
-    entry: Server
+    @property
+    def entry(self) -> Server:
+        """What discovery says of it."""
 
 
 class ServerDirectory(Protocol):
-    """The servers that the policy knows; the mapping is another one after each endpoint update."""
+    """The policy, as the place where servers are looked up."""
 
-    servers: Mapping[str, KnownServer]
+    @property
+    def servers(self) -> Mapping[str, KnownServer]:
+        """All known servers by name; another mapping after each endpoint update."""
 
 
 class WorkTable:
