--- a/thistletrail/gateway/takeover/__init__.py
+++ b/thistletrail/gateway/takeover/__init__.py
@@ -7,6 +7,7 @@
 
 `coordinator` ties the parts together: `client` calls the lease service, `work_table` keeps the work items and
 ends them, `ownership_wait` waits for another gateway's outcome, `work_transfer` continues another's work.
+`host` says what all of them need of the gateway.
 """
 
 from thistletrail.gateway.takeover.coordinator import TakeoverCoordinator
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -11,9 +11,9 @@
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.deadline import Source
 from thistletrail.gateway.exchange import AttemptSender, EventSink, Exchange
-from thistletrail.gateway.exchanges import Exchanges
 from thistletrail.gateway.takeover.client import WorkLeaseClient
 from thistletrail.gateway.takeover.counts import TakeoverCounts
+from thistletrail.gateway.takeover.host import Requests, ServerDirectory
 from thistletrail.gateway.takeover.messages import (
     attempt_message,
     begin_message,
@@ -22,7 +22,7 @@
 )
 from thistletrail.gateway.takeover.ownership_wait import OwnershipWait
 from thistletrail.gateway.takeover.work_item import WorkItem
-from thistletrail.gateway.takeover.work_table import ServerDirectory, WorkTable
+from thistletrail.gateway.takeover.work_table import WorkTable
 from thistletrail.gateway.takeover.work_transfer import WorkTransfer
 from thistletrail.leasing.hand import Hand
 from thistletrail.leasing.messages import Begin, Done, Op, Told, Try, WorkAnswer
@@ -48,14 +48,14 @@
     def __init__(
         self,
         config: Config,
-        exchanges: Exchanges,
+        requests: Requests,
         events: EventSink,
         attempts: AttemptSender,
         parser: CommandParser,
         directory: ServerDirectory,
     ) -> None:
         self.recorded_classes = config.takeover.classes
-        self.exchanges = exchanges
+        self.requests = requests
         self.attempts = attempts
         self.directory = directory
         self.counts = TakeoverCounts()
@@ -64,9 +64,9 @@
         self.client = WorkLeaseClient(
             config.takeover.addresses, config.takeover.secret, self.holder, chance, self
         )
-        self.table = WorkTable(self.client, exchanges, events, self.counts)
+        self.table = WorkTable(self.client, requests, events, self.counts)
         self.ownership_wait = OwnershipWait(self.table, self.client, chance, RECORD_TIMEOUT_S)
-        self.transfer = WorkTransfer(self.table, self.client, exchanges, events, parser, directory)
+        self.transfer = WorkTransfer(self.table, self.client, requests, events, parser, directory)
 
     # --- life ---
 
@@ -83,7 +83,7 @@
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
             self.check_lease()
-            if self.exchanges.drain_end_us - now_us() < RELEASE_BEFORE_DRAIN_END_US:
+            if self.requests.drain_end_us - now_us() < RELEASE_BEFORE_DRAIN_END_US:
                 self.release_unfinished()
 
     def check_lease(self) -> None:
@@ -206,7 +206,7 @@
         """Record an attempt before it is sent, unless its work goes on untracked."""
         item = self.item_of(exchange, attempt)
         attempt.may_write = lambda: item.is_untracked or self.table.is_leased(item)
-        settings = self.exchanges.settings
+        settings = self.requests.settings
         server = self.directory.servers[attempt.server].entry
         place = placement(settings, exchange.command.class_index, server)
         item.pending_attempt = attempt
@@ -228,7 +228,7 @@
         """The work item of an attempt's request; a new one at its first attempt."""
         item = self.table.by_request_id.get(attempt.request_id)
         if item is None:
-            item = new_work_item(exchange, self.exchanges.settings)
+            item = new_work_item(exchange, self.requests.settings)
             self.table.add(item)
         return item
 
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -3,50 +3,32 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Mapping
-from typing import Protocol
 
 from thistletrail.gateway.clients import FAILED
 from thistletrail.gateway.exchange import EventSink
-from thistletrail.gateway.exchanges import Exchanges
 from thistletrail.gateway.takeover.client import WorkLeaseClient
 from thistletrail.gateway.takeover.counts import TakeoverCounts
+from thistletrail.gateway.takeover.host import Requests
 from thistletrail.gateway.takeover.work_item import WorkItem
 from thistletrail.leasing.messages import WORK_LEASE_MS
 from thistletrail.leasing.wire import now_ms
 from thistletrail.policy.actions import FailRequest, RejectRequest
-from thistletrail.policy.events import AttemptEnded, AttemptResult, ClientDisconnected, Server
+from thistletrail.policy.events import AttemptEnded, AttemptResult, ClientDisconnected
 
 log = logging.getLogger(__name__)
 
 RETRY_AFTER_US = WORK_LEASE_MS * 1000  # told to clients: by then the work is free, taken over or has ended
 
 
-class KnownServer(Protocol):
-    """A server as the policy knows it."""
-
-    @property
-    def entry(self) -> Server:
-        """What discovery says of it."""
-
-
-class ServerDirectory(Protocol):
-    """The policy, as the place where servers are looked up."""
-
-    @property
-    def servers(self) -> Mapping[str, KnownServer]:
-        """All known servers by name; another mapping after each endpoint update."""
-
-
 class WorkTable:
     """All work items that are not over, by the request's id and, once recorded, by the work's name."""
 
     def __init__(
-        self, client: WorkLeaseClient, exchanges: Exchanges, events: EventSink, counts: TakeoverCounts
+        self, client: WorkLeaseClient, requests: Requests, events: EventSink, counts: TakeoverCounts
     ) -> None:
         self.client = client
         self.holder = client.holder
-        self.exchanges = exchanges
+        self.requests = requests
         self.events = events
         self.counts = counts
         self.by_request_id: dict[str, WorkItem] = {}
@@ -110,9 +92,9 @@
         """Answer, and forget the item."""
         self.forget(item)
         if response is FAILED:
-            self.exchanges.fail(FailRequest(item.request_id))
+            self.requests.fail(FailRequest(item.request_id))
         else:
-            self.exchanges.serve(item.request_id, response)
+            self.requests.serve(item.request_id, response)
 
     def answer_pending_response(self, item: WorkItem) -> None:
         """Answer with the response that waited to be recorded, if the work is still ours."""
@@ -134,13 +116,13 @@
         for attempt in list(item.exchange.in_flight.values()):
             attempt.cancel()
         self.forget(item)
-        self.exchanges.give_up(item.request_id)
+        self.requests.give_up(item.request_id)
 
     def reject(self, item: WorkItem) -> None:
         """Tell the client when to come back for the outcome."""
         self.withdraw_begin(item)
         self.forget(item)
-        self.exchanges.reject(RejectRequest(item.request_id, RETRY_AFTER_US))
+        self.requests.reject(RejectRequest(item.request_id, RETRY_AFTER_US))
 
     def release(self, request_id: str, was_rejected: bool = False) -> None:
         """The policy or the client has ended a request: another gateway may continue where that is of use."""
@@ -148,7 +130,7 @@
         if item is None or item.is_over:
             return
         self.withdraw_begin(item)
-        is_draining = self.exchanges.drain_end_us <= item.exchange.budget.end_us
+        is_draining = self.requests.drain_end_us <= item.exchange.budget.end_us
         to_be_continued = was_rejected and (item.is_transferred or is_draining)
         self.counts.released += self.is_leased(item)
         self.holder.leave(item.name, on=to_be_continued, unrun=item.has_never_run)
@@ -168,5 +150,5 @@
         self.counts.released += 1
         self.client.wake()
         self.forget(item)
-        self.exchanges.reject(RejectRequest(item.request_id, RETRY_AFTER_US))
+        self.requests.reject(RejectRequest(item.request_id, RETRY_AFTER_US))
         self.events.post(ClientDisconnected(item.request_id))
--- a/thistletrail/gateway/takeover/work_transfer.py
+++ b/thistletrail/gateway/takeover/work_transfer.py
@@ -10,12 +10,12 @@
 from thistletrail.gateway.deadline import ANSWER_MARGIN_US, Budget
 from thistletrail.gateway.errors import TransferredRequestError
 from thistletrail.gateway.exchange import EventSink
-from thistletrail.gateway.exchanges import Exchanges
 from thistletrail.gateway.takeover.client import WorkLeaseClient
 from thistletrail.gateway.takeover.detached_reply import DetachedReply
+from thistletrail.gateway.takeover.host import Requests, ServerDirectory
 from thistletrail.gateway.takeover.messages import new_work_item, placement, read_transferred_request
 from thistletrail.gateway.takeover.work_item import WorkItem
-from thistletrail.gateway.takeover.work_table import ServerDirectory, WorkTable
+from thistletrail.gateway.takeover.work_table import WorkTable
 from thistletrail.leasing.messages import Handed
 from thistletrail.policy.actions import FailRequest
 
@@ -29,7 +29,7 @@
         self,
         table: WorkTable,
         client: WorkLeaseClient,
-        exchanges: Exchanges,
+        requests: Requests,
         events: EventSink,
         parser: CommandParser,
         directory: ServerDirectory,
@@ -37,7 +37,7 @@
         self.table = table
         self.client = client
         self.holder = client.holder
-        self.exchanges = exchanges
+        self.requests = requests
         self.events = events
         self.parser = parser
         self.directory = directory
@@ -56,11 +56,11 @@
         reply = DetachedReply(f"{command.id}.{transferred.fence}")
         # The margin that `taken` subtracts was subtracted when the client's own gateway took the request in.
         budget = Budget.taken(transferred.left_ms * 1000 + ANSWER_MARGIN_US, 0, now_us())
-        exchange = self.exchanges.open_transferred(command, reply, budget)
+        exchange = self.requests.open_transferred(command, reply, budget)
         if exchange is None:
             self.holder.leave(transferred.name, on=True, unrun=has_never_run)
             return
-        item = new_work_item(exchange, self.exchanges.settings)
+        item = new_work_item(exchange, self.requests.settings)
         item.fence = transferred.fence
         item.may_have_run_before = not has_never_run
         self.table.add(item)
@@ -84,7 +84,7 @@
         bound = self.server_in(exchange.command.class_index, server, place) if server else ""
         if server and not bound:  # no server of that place is known any more
             self.table.release(request_id)
-            self.exchanges.fail(FailRequest(request_id))
+            self.requests.fail(FailRequest(request_id))
             return
         arrival = exchange.command.request(remaining_us=exchange.budget.remaining_us(now_us()))
         self.events.post(replace(arrival, id=request_id, is_taken_over=True, ran_on_server=bound))
@@ -94,7 +94,7 @@
         servers = self.directory.servers
         if server in servers:
             return server
-        settings = self.exchanges.settings
+        settings = self.requests.settings
         for name, known in servers.items():
             if placement(settings, class_index, known.entry) == place:
                 return name
