--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -14,13 +14,13 @@
 import pytest
 
 from tests.helpers import SETTINGS, S, World, of
-from tests.sockets import CONFIG, HOST, Backend, Client, Watch, front_door, query, run
+from tests.sockets import CONFIG, HOST, Backend, Client, Watch, query, run, running_gateway
 from tests.test_program import config as values_of
 from tests.test_program import write as write_config
 from thistletrail.gateway import snapshot_file, snapshot_store
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.errors import ConfigError, RejectedSnapshotError
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.gateway.settings_digest import settings_digest
 from thistletrail.gateway.snapshot_file import Snapshot, decode_snapshot, encode_snapshot
 from thistletrail.gateway.snapshot_store import SnapshotStore, check_snapshot
@@ -193,7 +193,7 @@
 
 def test_a_gateway_restores_what_its_predecessor_stored(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with front_door(Backend()) as (gateway_server, address):
+        async with running_gateway(Backend()) as (gateway_server, address):
             first = store_in(tmp_path)
             client = await Client.open(address)
             for number in range(5):
@@ -203,14 +203,14 @@
             second = store_in(tmp_path)
             assert second.found.endpoint_list["generation"] == 7
             config = second.with_stored_list(replace(CONFIG, discovery=(await Watch(never).start(),)))
-            successor = FrontDoor(config)
+            successor = GatewayServer(config)
             second.restore(successor)
             await asyncio.sleep(0)
-            successor.run_batch()
-            assert list(successor.gateway.servers) == ["s0"]
-            assert successor.gateway.servers["s0"].entry == gateway_server.gateway.servers["s0"].entry
-            assert successor.gateway.customers.keys() == gateway_server.gateway.customers.keys()
-            assert successor.gateway.starts.restarted
+            successor.driver.run_batch()
+            assert list(successor.policy.servers) == ["s0"]
+            assert successor.policy.servers["s0"].entry == gateway_server.policy.servers["s0"].entry
+            assert successor.policy.customers.keys() == gateway_server.policy.customers.keys()
+            assert successor.policy.starts.restarted
             successor.close()
             second.close()
 
@@ -222,14 +222,14 @@
 
 def test_an_old_snapshot_is_good_for_its_list_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        async with front_door(Backend()) as (gateway_server, _):
+        async with running_gateway(Backend()) as (gateway_server, _):
             first = store_in(tmp_path)
             first.write(first.collect(gateway_server))
             first.close()
             offset = round(snapshot_store.MAX_AGE_S * 1000) + 1000
             second = store_in(tmp_path, clock_offset_ms=offset)
             second.restore(gateway_server)
-            assert second.found is not None and not gateway_server.inbox
+            assert second.found is not None and not gateway_server.driver.pending_events
             second.close()
             third = store_in(tmp_path, clock_offset_ms=3_600_000)  # a clock that is an hour off
             assert third.found is None
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -22,7 +22,7 @@
 from thistletrail.policy.leased_budgets import wanted, whole_of
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.server import FrontDoor
+    from thistletrail.gateway.server import GatewayServer
 
 MAX_BUDGETS = 2000  # in one renewal: as many as the lease service accepts
 POLL_INTERVAL_S = 0.05  # between looks for new customers and requests that wait for units
@@ -36,7 +36,7 @@
     """One incarnation's shares of customers' ceilings, quotas and requests in flight, and of the retry
     budget."""
 
-    def __init__(self, gateway_server: FrontDoor, config: Config) -> None:
+    def __init__(self, gateway_server: GatewayServer, config: Config) -> None:
         """`config` has `budget_leases`."""
         self.gateway_server = gateway_server
         self.plan_names = {number: name for name, number in config.plan_numbers.items()}
@@ -79,7 +79,7 @@
     def _is_hurried(self) -> bool:
         """Whether the next renewal is needed before it is due."""
         may_hurry_for_units = asyncio.get_running_loop().time() >= self.requested_at_s + self.backoff_s
-        for demand in wanted(self.gateway_server.gateway, now_us()):
+        for demand in wanted(self.gateway_server.policy, now_us()):
             if self._name(demand.key) not in self.keys:
                 return True
             if may_hurry_for_units and demand.needed > 0:
@@ -106,7 +106,7 @@
         self.requested_at_s = asyncio.get_running_loop().time()
         self.needed_units = 0
         now = now_ms()
-        for demand in wanted(self.gateway_server.gateway, now_us())[:MAX_BUDGETS]:
+        for demand in wanted(self.gateway_server.policy, now_us())[:MAX_BUDGETS]:
             name = self._name(demand.key)
             self.keys[name] = demand.key
             terms = self._terms(demand.key)
--- a/thistletrail/gateway/errors.py
+++ b/thistletrail/gateway/errors.py
@@ -24,3 +24,11 @@
 
 class MalformedJsonError(GatewayError):
     """A stream of JSON objects has bytes that can be no part of one, or an object that is too large."""
+
+
+class LeaseServiceUnavailableError(GatewayError):
+    """The lease service gave no usable answer: call another of its addresses, and repeat the operations."""
+
+
+class TransferredRequestError(GatewayError):
+    """A request that was transferred from another gateway cannot be read: release its lease."""
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -28,7 +28,7 @@
 from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.server import FrontDoor
+    from thistletrail.gateway.server import GatewayServer
 
 log = logging.getLogger(__name__)
 
@@ -86,7 +86,7 @@
             return config
         return replace(config, known=self.found.endpoint_list)
 
-    def restore(self, gateway_server: FrontDoor) -> None:
+    def restore(self, gateway_server: GatewayServer) -> None:
         """Give the policy what the snapshot says, where that is young enough."""
         if self.found is None:
             return
@@ -113,7 +113,7 @@
 
     # --- while it serves ---
 
-    async def run(self, gateway_server: FrontDoor) -> None:
+    async def run(self, gateway_server: GatewayServer) -> None:
         """Write a snapshot every now and then, until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
@@ -121,14 +121,14 @@
             await asyncio.sleep(SAVE_INTERVAL_S * jitter)
             await loop.run_in_executor(None, self.write, self.collect(gateway_server))
 
-    def collect(self, gateway_server: FrontDoor) -> Snapshot:
+    def collect(self, gateway_server: GatewayServer) -> Snapshot:
         """A snapshot of what a gateway knows now."""
         return Snapshot(
             gateway_name=self.config.name,
             settings_digest=settings_digest(self.config.settings),
             written_at_ms=self.unix_ms(),
             incarnation=self.incarnation,
-            policy=collect(gateway_server.gateway),
+            policy=collect(gateway_server.policy),
             endpoint_list=gateway_server.known_list(),
         )
 
@@ -151,7 +151,7 @@
 
     # --- at the end ---
 
-    def finish(self, gateway_server: FrontDoor | None) -> None:
+    def finish(self, gateway_server: GatewayServer | None) -> None:
         """A planned end: the last state, if any, is written, and the start was none that crashed."""
         if gateway_server is not None:
             self.write(self.collect(gateway_server))
