--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from thistletrail.leasing.tenure import latest, place
+from thistletrail.leasing.leadership import latest, place
 from thistletrail.policy import interface as i
 from thistletrail.policy.rules import Gateway
 
--- a/tests/test_steward_service.py
+++ b/tests/test_leasing_service.py
@@ -18,13 +18,13 @@
 
 from tests.helpers import copied, log_of
 from thistletrail.benchmarks.process import ROOT, Process, free_port, start_program
-from thistletrail.leasing import book as books
-from thistletrail.leasing.book import Book, begin
+from thistletrail.leasing import journal as books
+from thistletrail.leasing.budget_state import MOST_LEASE_MS, Issued, Terms, granted
 from thistletrail.leasing.client import CallError, Stream
 from thistletrail.leasing.config import Config, ConfigError, Kind, read
-from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, Begin, Leave, Want, WorkAnswer, WorkAsk
-from thistletrail.leasing.state import MOST_LEASE_MS, Issued, Terms, granted
-from thistletrail.leasing.tenure import (
+from thistletrail.leasing.framing import PATH, SIGNATURE, now_ms, sign
+from thistletrail.leasing.journal import Book, begin
+from thistletrail.leasing.leadership import (
     MOST_LOOKS,
     LockedError,
     LostError,
@@ -33,7 +33,7 @@
     claim,
     place,
 )
-from thistletrail.leasing.wire import PATH, SIGNATURE, now_ms, sign
+from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, Begin, Leave, Want, WorkAnswer, WorkAsk
 from thistletrail.simulation.ledger import Store
 from thistletrail.write_ahead_log.records import DamageError, FullError
 
@@ -224,7 +224,7 @@
 def test_a_process_that_died_before_it_had_a_lock_keeps_nobody_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("thistletrail.leasing.tenure.LOOK_S", 0.001)
+    monkeypatch.setattr("thistletrail.leasing.leadership.LOOK_S", 0.001)
     (tmp_path / "term-4").mkdir()
     tenure = claim(tmp_path)
     assert tenure.number == 5 and tenure.holds()
--- a/tests/test_steward.py
+++ b/tests/test_leasing_state.py
@@ -6,11 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistletrail.leasing.check import PLANTED, Kind, begin, broken, explore, steps, stray_all, wander
-from thistletrail.leasing.division import divide, stepped
-from thistletrail.leasing.holder import MOST_ASKS, UNUSED_MS, Holder
-from thistletrail.leasing.messages import Answer, Ask, Want
-from thistletrail.leasing.state import (
+from thistletrail.leasing.budget_holder import MOST_ASKS, UNUSED_MS, Holder
+from thistletrail.leasing.budget_state import (
     LEASE_MS,
     MOST_BUDGETS,
     MOST_HOLDERS,
@@ -21,6 +18,18 @@
     floor,
     granted,
 )
+from thistletrail.leasing.fair_division import divide, stepped
+from thistletrail.leasing.messages import Answer, Ask, Want
+from thistletrail.leasing.model_checking.budgets import (
+    PLANTED,
+    Kind,
+    begin,
+    broken,
+    explore,
+    steps,
+    stray_all,
+    wander,
+)
 
 NOW = 1_000_000
 COUNT, RATE = Terms(100), Terms(10_000, 20)
--- a/tests/test_model_leased.py
+++ b/tests/test_model_leased.py
@@ -55,7 +55,7 @@
 
 def test_a_steward_that_divides_more_than_there_is_passes_ceilings(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: the check of ceilings finds it."""
-    monkeypatch.setattr("thistletrail.leasing.state.parted", lambda terms, *_: 8 * terms.whole)
+    monkeypatch.setattr("thistletrail.leasing.budget_state.parted", lambda terms, *_: 8 * terms.whole)
     assert any("a ceiling was passed" in days.play(FLEET, seed).books.breaks for seed in range(1, 5))
 
 
--- a/tests/test_work.py
+++ b/tests/test_work_state.py
@@ -8,11 +8,13 @@
 
 from tests.helpers import SETTINGS, S, World, copied, log_of, of, servers
 from thistletrail.gateway.config import ConfigError, read_takeover
-from thistletrail.leasing import book as books
-from thistletrail.leasing import check_work, work
-from thistletrail.leasing.book import Book, begin
+from thistletrail.leasing import journal as books
+from thistletrail.leasing import work_state as work
+from thistletrail.leasing.budget_state import Issued, RefusedError
 from thistletrail.leasing.config import Config
-from thistletrail.leasing.hand import MOST_ASK_BYTES, MOST_BEGINS, WRITE_MARGIN_MS, Hand
+from thistletrail.leasing.framing import FULL, GOOD, FrameError, Frames, frame, now_ms
+from thistletrail.leasing.journal import Book, begin
+from thistletrail.leasing.leadership import claim
 from thistletrail.leasing.messages import (
     MOST_OPS,
     WORK_LEASE_MS,
@@ -26,10 +28,16 @@
     WorkAnswer,
     WorkAsk,
 )
-from thistletrail.leasing.state import Issued, RefusedError
-from thistletrail.leasing.tenure import claim
-from thistletrail.leasing.wire import FULL, GOOD, FrameError, Frames, frame, now_ms
-from thistletrail.leasing.work import MOST_DEATHS, MOST_OF_CUSTOMER, MOST_REQUEST, MOST_VALUE, Work, weight
+from thistletrail.leasing.model_checking import work as check_work
+from thistletrail.leasing.work_holder import MOST_ASK_BYTES, MOST_BEGINS, WRITE_MARGIN_MS, Hand
+from thistletrail.leasing.work_state import (
+    MOST_DEATHS,
+    MOST_OF_CUSTOMER,
+    MOST_REQUEST,
+    MOST_VALUE,
+    Work,
+    weight,
+)
 from thistletrail.policy import interface as i
 
 START = 1_000_000
--- a/thistletrail/benchmarks/holders.py
+++ b/thistletrail/benchmarks/holders.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
+from thistletrail.leasing.budget_holder import Holder
+from thistletrail.leasing.budget_state import Terms
 from thistletrail.leasing.client import Renewer
-from thistletrail.leasing.holder import Holder
-from thistletrail.leasing.state import Terms
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.framing import now_ms
 
 NEED = 10  # units of a rate that it has a use for at once, at any time
 LOOK_S = 0.01  # between looks at the stores
--- a/thistletrail/benchmarks/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -14,14 +14,14 @@
 from hdrh.histogram import HdrHistogram
 
 from thistletrail.benchmarks.work import DIGITS, MOST_US, steward
-from thistletrail.leasing.book import begin
+from thistletrail.leasing.budget_holder import Holder
+from thistletrail.leasing.budget_state import Terms
 from thistletrail.leasing.client import Line
 from thistletrail.leasing.config import read
-from thistletrail.leasing.holder import Holder
+from thistletrail.leasing.framing import now_ms, sign
+from thistletrail.leasing.journal import begin
+from thistletrail.leasing.leadership import latest, place
 from thistletrail.leasing.messages import Answer
-from thistletrail.leasing.state import Terms
-from thistletrail.leasing.tenure import latest, place
-from thistletrail.leasing.wire import now_ms, sign
 
 RATE, BURST = 15.0, 30  # of a customer's budget: the largest plan of the operators' site
 SET = 17  # doors that one customer's requests come through: the middle of the site's large fleets
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -23,10 +23,10 @@
 from thistletrail.benchmarks.process import Process, Tree, free_port, front_door, start_program
 from thistletrail.benchmarks.standins import HOST, World, text
 from thistletrail.leasing.client import Stream
-from thistletrail.leasing.hand import Hand
+from thistletrail.leasing.framing import now_ms
+from thistletrail.leasing.leadership import latest, place
 from thistletrail.leasing.messages import MOST_OPS, Begin, Done, WorkAnswer
-from thistletrail.leasing.tenure import latest, place
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.work_holder import Hand
 
 MOST_US = 10_000_000  # that a histogram holds
 DIGITS = 3
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -25,7 +25,7 @@
 from thistletrail.benchmarks.work import start_steward
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
-from thistletrail.leasing.wire import SIGNATURE, sign
+from thistletrail.leasing.framing import SIGNATURE, sign
 
 POINTS = (
     "before the intent",
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -19,8 +19,8 @@
 from thistletrail.fault_injection.relay import THERE, Relay, Side
 from thistletrail.fault_injection.world import World
 from thistletrail.gateway.allowance import FURTHER
+from thistletrail.leasing.budget_state import MARGIN_SHARE, Terms, parted
 from thistletrail.leasing.messages import Answer, Ask
-from thistletrail.leasing.state import MARGIN_SHARE, Terms, parted
 from thistletrail.simulation.clock import Clock, S
 
 if TYPE_CHECKING:
--- a/thistletrail/gateway/allowance.py
+++ b/thistletrail/gateway/allowance.py
@@ -13,10 +13,10 @@
 
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.config import Config
+from thistletrail.leasing.budget_holder import Holder
+from thistletrail.leasing.budget_state import Terms
 from thistletrail.leasing.client import RENEW_SHARE, Renewer
-from thistletrail.leasing.holder import Holder
-from thistletrail.leasing.state import Terms
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.framing import now_ms
 from thistletrail.policy import interface as i
 from thistletrail.policy.allowances import wanted, whole_of
 
--- a/thistletrail/gateway/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -25,9 +25,9 @@
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.leasing.client import CallError, Stream, TurnedAwayError
-from thistletrail.leasing.hand import Hand
+from thistletrail.leasing.framing import FrameError, now_ms
 from thistletrail.leasing.messages import WORK_LEASE_MS, Begin, Done, Handed, Op, Told, Try, WorkAnswer
-from thistletrail.leasing.wire import FrameError, now_ms
+from thistletrail.leasing.work_holder import Hand
 from thistletrail.policy import interface as i
 
 if TYPE_CHECKING:
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -16,13 +16,13 @@
 import click
 from aiohttp import web
 
-from thistletrail.leasing import check_work
-from thistletrail.leasing.book import Book, begin
-from thistletrail.leasing.check import PLANTED, Kind, Outcome, explore, stray_all
 from thistletrail.leasing.config import ConfigError, read
-from thistletrail.leasing.server import Service
-from thistletrail.leasing.tenure import LockedError, claim, keep, office
-from thistletrail.leasing.wire import LEAST_SECRET, SIGNATURE, sign
+from thistletrail.leasing.framing import LEAST_SECRET, SIGNATURE, sign
+from thistletrail.leasing.http_service import Service
+from thistletrail.leasing.journal import Book, begin
+from thistletrail.leasing.leadership import LockedError, claim, keep, office
+from thistletrail.leasing.model_checking import work as check_work
+from thistletrail.leasing.model_checking.budgets import PLANTED, Kind, Outcome, explore, stray_all
 from thistletrail.write_ahead_log.records import DamageError
 
 SHUTDOWN_S = 2.0
--- a/thistletrail/leasing/holder.py
+++ b/thistletrail/leasing/budget_holder.py
@@ -9,8 +9,8 @@
 
 from dataclasses import dataclass
 
+from thistletrail.leasing.budget_state import MARGIN_SHARE, Terms, floor
 from thistletrail.leasing.messages import Answer, Ask, Want
-from thistletrail.leasing.state import MARGIN_SHARE, Terms, floor
 
 UNUSED_MS = 10_000  # without demand, after which a budget is not asked for any more
 MOST_ASKS = 8  # that may be unanswered: an older one's answer is of no use any more
--- a/thistletrail/leasing/state.py
+++ b/thistletrail/leasing/budget_state.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from thistletrail.leasing.division import divide, stepped
+from thistletrail.leasing.fair_division import divide, stepped
 from thistletrail.leasing.messages import Answer, Ask, Grant, Want, holder_of
 
 LEASE_MS = 3000
@@ -24,7 +24,7 @@
 MOST_WANTS = 2000  # of one ask
 MOST_DEMAND = 1 << 40  # what a door says it needs is bounded, and so is what a lie is worth
 # Of a granted rate, in hundredths: held by nobody, its units go to who needs some at the moment. Parts by
-# demand alone leave each holder with too few units for what comes by chance (docs/steward.md has the plays).
+# demand alone leave each holder with too few units for what comes by chance (docs/leasing.md has the plays).
 POOL_PERCENT = 70
 FLOOR_SHARE = 10  # a tenth of each whole is kept aside for doors that cannot reach the steward
 
--- a/thistletrail/leasing/client.py
+++ b/thistletrail/leasing/client.py
@@ -15,9 +15,9 @@
 import h11
 import msgspec
 
-from thistletrail.leasing.holder import Holder
+from thistletrail.leasing.budget_holder import Holder
+from thistletrail.leasing.framing import FULL, GOOD, PATH, SIGNATURE, WORK_PATH, Frames, frame, now_ms, sign
 from thistletrail.leasing.messages import Answer
-from thistletrail.leasing.wire import FULL, GOOD, PATH, SIGNATURE, WORK_PATH, Frames, frame, now_ms, sign
 
 log = logging.getLogger(__name__)
 
--- a/thistletrail/leasing/config.py
+++ b/thistletrail/leasing/config.py
@@ -29,8 +29,8 @@
 
 import msgspec
 
+from thistletrail.leasing.budget_state import LEASE_MS, LEAST_LEASE_MS, MOST_LEASE_MS, Terms
 from thistletrail.leasing.messages import WORK_LEASE_MS
-from thistletrail.leasing.state import LEASE_MS, LEAST_LEASE_MS, MOST_LEASE_MS, Terms
 
 MOST_NAME = 120  # characters of a budget's name
 
--- a/thistletrail/leasing/server.py
+++ b/thistletrail/leasing/http_service.py
@@ -14,12 +14,9 @@
 import msgspec
 from aiohttp import web
 
-from thistletrail.leasing.book import Book
+from thistletrail.leasing.budget_state import Issued, RefusedError, State
 from thistletrail.leasing.config import Config
-from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, WorkAnswer, WorkAsk, holder_of
-from thistletrail.leasing.state import Issued, RefusedError, State
-from thistletrail.leasing.tenure import LostError
-from thistletrail.leasing.wire import (
+from thistletrail.leasing.framing import (
     FULL,
     PATH,
     REFUSED,
@@ -31,7 +28,10 @@
     now_ms,
     sign,
 )
-from thistletrail.leasing.work import Record, Work
+from thistletrail.leasing.journal import Book
+from thistletrail.leasing.leadership import LostError
+from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, WorkAnswer, WorkAsk, holder_of
+from thistletrail.leasing.work_state import Record, Work
 from thistletrail.write_ahead_log.records import FullError
 
 log = logging.getLogger(__name__)
--- a/thistletrail/leasing/book.py
+++ b/thistletrail/leasing/journal.py
@@ -1,6 +1,6 @@
 """What makes grants outlive the steward's process: each is in a synced log before it is told to anybody.
 
-One process at a time has the folder, for a term (leasing/tenure.py); it reads what the one before it has
+One process at a time has the folder, for a term (leasing/leadership.py); it reads what the one before it has
 kept, and goes on. Grants of the same boot have their exact ends, as all processes share its clock; those of
 another boot may be believed in for the longest lease from now. Where nothing is left, a history of its own
 begins, and grants nothing until the longest lease that may be set has run out.
@@ -15,11 +15,11 @@
 
 import msgspec
 
+from thistletrail.leasing.budget_state import MOST_LEASE_MS, Issued, State
 from thistletrail.leasing.config import Config
-from thistletrail.leasing.state import MOST_LEASE_MS, Issued, State
-from thistletrail.leasing.tenure import LockedError, LostError, Tenure, claim
-from thistletrail.leasing.wire import now_ms
-from thistletrail.leasing.work import Record, Work
+from thistletrail.leasing.framing import now_ms
+from thistletrail.leasing.leadership import LockedError, LostError, Tenure, claim
+from thistletrail.leasing.work_state import Record, Work
 from thistletrail.write_ahead_log.records import DamageError, Records, read_log, read_whole, write_whole
 
 log = logging.getLogger(__name__)
--- a/thistletrail/leasing/check.py
+++ b/thistletrail/leasing/model_checking/budgets.py
@@ -4,7 +4,7 @@
 A step is one event: time goes on by a second or by a lease, a holder asks, a message arrives, a holder spends
 what it has, a door starts anew (the process before it may still be there, paused), the steward is killed and
 comes back with its log, it is lost with its log and another begins, or it stands still in the middle of an
-ask while another takes over with its log (leasing/tenure.py), and then goes on.
+ask while another takes over with its log (leasing/leadership.py), and then goes on.
 
 What must hold in every state: the parts that all holders may use add up to no more than the whole; what is
 open under leases that last is no more; and units spent, held and pooled are no more than came in.
@@ -20,9 +20,9 @@
 
 import msgspec
 
-from thistletrail.leasing.holder import Holder, Part
+from thistletrail.leasing.budget_holder import Holder, Part
+from thistletrail.leasing.budget_state import Budget, Holding, State, Terms, floor, granted, parted
 from thistletrail.leasing.messages import Answer, Ask, Grant, Want
-from thistletrail.leasing.state import Budget, Holding, State, Terms, floor, granted, parted
 
 SECOND_MS, LEASE_MS = 1000, 4000
 COUNT, RATE = Terms(whole=10), Terms(whole=10_000, burst=20)  # what may be open; units a second, by thousands
--- a/thistletrail/leasing/check_work.py
+++ b/thistletrail/leasing/model_checking/work.py
@@ -16,10 +16,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
-from thistletrail.leasing.check import Outcome, search, stray
-from thistletrail.leasing.hand import Hand
 from thistletrail.leasing.messages import Begin, Done, Told, Try, WorkAnswer, WorkAsk
-from thistletrail.leasing.work import Intent, Work
+from thistletrail.leasing.model_checking.budgets import Outcome, search, stray
+from thistletrail.leasing.work_holder import Hand
+from thistletrail.leasing.work_state import Intent, Work
 
 LEASE_MS, SECOND_MS = 1000, 400
 LEFT_MS, WINDOW_MS = 6000, 20_000
--- a/thistletrail/leasing/hand.py
+++ b/thistletrail/leasing/work_holder.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
+from thistletrail.leasing.budget_state import MARGIN_SHARE
 from thistletrail.leasing.messages import MOST_OPS, Begin, Done, Handed, Leave, Op, Told, WorkAnswer, WorkAsk
-from thistletrail.leasing.state import MARGIN_SHARE
 
 # Between the look at the clock and the last byte's way into the kernel: a turn of the loop on a busy machine.
 WRITE_MARGIN_MS = 50
--- a/thistletrail/leasing/work.py
+++ b/thistletrail/leasing/work_state.py
@@ -15,6 +15,7 @@
 import msgspec
 import xxhash
 
+from thistletrail.leasing.budget_state import RefusedError
 from thistletrail.leasing.messages import (
     MOST_OPS,
     WORK_LEASE_MS,
@@ -29,7 +30,6 @@
     WorkAsk,
     holder_of,
 )
-from thistletrail.leasing.state import RefusedError
 
 MOST_INTENTS = 20_000  # over the fleet: 100 for each of 200 doors, whose own bound on open requests is higher
 MOST_BYTES = 64 << 20  # of requests and kept values: a third of the memory of a door's machine
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -1,6 +1,6 @@
 """Ceilings divided by a steward's leases, in the model: the steward's own state machine and holders.
 
-Of docs/steward.md it has: parts, leases, the pool, units by need, renewals with jitter and sooner for a need,
+Of docs/leasing.md it has: parts, leases, the pool, units by need, renewals with jitter and sooner for a need,
 doors that die with what they hold. Not in it: the steward's own failures, clocks that drift, and what an ask
 costs but for the time that it takes.
 """
@@ -10,9 +10,9 @@
 import math
 from typing import TYPE_CHECKING
 
-from thistletrail.leasing.holder import Holder
+from thistletrail.leasing.budget_holder import Holder
+from thistletrail.leasing.budget_state import LEASE_MS, State, Terms
 from thistletrail.leasing.messages import Answer, Ask
-from thistletrail.leasing.state import LEASE_MS, State, Terms
 from thistletrail.policy import interface as i
 from thistletrail.simulation.clock import MS
 
