--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from thistletrail.leasing.leadership import latest, place
+from thistletrail.leasing.leadership import latest_term, term_folder
 from thistletrail.policy import interface as i
 from thistletrail.policy.rules import Gateway
 
@@ -129,7 +129,7 @@
 
 def log_of(folder: Path) -> Path:
     """The log of a steward's present term."""
-    return place(folder, latest(folder)) / "log"
+    return term_folder(folder, latest_term(folder)) / "log"
 
 
 def copied(folder: Path, to: Path, data: bytes) -> Path:
--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -18,30 +18,46 @@
 
 from tests.helpers import copied, log_of
 from thistletrail.benchmarks.process import ROOT, Process, free_port, start_program
-from thistletrail.leasing import journal as books
-from thistletrail.leasing.budget_state import MOST_LEASE_MS, Issued, Terms, granted
-from thistletrail.leasing.client import CallError, Stream
-from thistletrail.leasing.config import Config, ConfigError, Kind, read
-from thistletrail.leasing.framing import PATH, SIGNATURE, now_ms, sign
-from thistletrail.leasing.journal import Book, begin
-from thistletrail.leasing.leadership import (
-    MOST_LOOKS,
-    LockedError,
-    LostError,
-    Tenure,
-    Watch,
-    claim,
-    place,
+from thistletrail.leasing import journal as journal_module
+from thistletrail.leasing.budget_state import (
+    MAX_LEASE_MS,
+    BudgetLimits,
+    HolderGrant,
+    IssuedGrant,
+    leasable_total,
+)
+from thistletrail.leasing.client import WorkStream
+from thistletrail.leasing.config import BudgetPattern, Config, read_config
+from thistletrail.leasing.errors import (
+    ConfigError,
+    FolderLockedError,
+    LeadershipLostError,
+    ServiceUnavailableError,
+)
+from thistletrail.leasing.framing import RENEW_PATH, SIGNATURE_HEADER, now_ms, sign
+from thistletrail.leasing.journal import Journal, begin_history
+from thistletrail.leasing.leadership import MAX_MISSED_LOOKS, LeaderWatch, Term, begin_term, term_folder
+from thistletrail.leasing.messages import (
+    MAX_OPERATIONS,
+    BeginWork,
+    BudgetRequest,
+    ReleaseWork,
+    RenewRequest,
+    RenewResponse,
+    WorkEffect,
+    WorkRequest,
+    WorkResponse,
 )
-from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, Begin, Leave, Want, WorkAnswer, WorkAsk
 from thistletrail.simulation.ledger import Store
 from thistletrail.write_ahead_log.records import DamageError, FullError
 
 SECRET = "not for anybody else"
 CONFIG = Config(
-    doors=16, lease_ms=1500, budgets=(Kind(name="rate/*", rate=200.0, burst=40), Kind(name="open", open=64))
+    gateways=16,
+    lease_ms=1500,
+    budgets=(BudgetPattern(name="rate/*", rate=200.0, burst=40), BudgetPattern(name="open", open=64)),
 )
-TERMS = {"rate/a": Terms(200_000, 40), "open": Terms(64)}
+LIMITS = {"rate/a": BudgetLimits(200_000, 40), "open": BudgetLimits(64)}
 
 
 # --- configuration ---
@@ -65,13 +81,13 @@
     path = tmp_path / "c.toml"
     path.write_text(text)
     with pytest.raises(ConfigError) as caught:
-        read(path)
+        read_config(path)
     assert said in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_budgets_are_known_by_the_form_of_their_names() -> None:
-    assert CONFIG.terms_of("rate/a") == TERMS["rate/a"] and CONFIG.terms_of("open") == TERMS["open"]
-    assert CONFIG.terms_of("other") is None and CONFIG.terms_of("rate/" + "x" * 200) is None
+    assert CONFIG.limits_of("rate/a") == LIMITS["rate/a"] and CONFIG.limits_of("open") == LIMITS["open"]
+    assert CONFIG.limits_of("other") is None and CONFIG.limits_of("rate/" + "x" * 200) is None
 
 
 # --- the log ---
@@ -81,25 +97,30 @@
 def still(monkeypatch: pytest.MonkeyPatch) -> int:
     """A clock that stands still, so that no lease is over however slow the machine is."""
     now = now_ms()
-    monkeypatch.setattr(books, "now_ms", lambda: now)
+    monkeypatch.setattr(journal_module, "now_ms", lambda: now)
     return now
 
 
 def grown(folder: Path, now: int, count: int = 6) -> list[int]:
     """A folder with some acknowledged grants; the log's size after each."""
-    begin(folder, CONFIG)
-    book = Book(claim(folder))
-    state, _ = book.open(CONFIG)
-    state.set_terms("open", TERMS["open"], now)
+    begin_history(folder, CONFIG)
+    journal = Journal(begin_term(folder))
+    state = journal.open(CONFIG).budgets
+    state.set_limits("open", LIMITS["open"], now)
     sizes = []
     for serial in range(count):
-        ask = Ask(door=serial % 3, mark=1, serial=serial, wants=(Want(budget="open", demand=9),))
-        answer = state.ask(ask, now)
+        request = RenewRequest(
+            gateway=serial % 3,
+            incarnation=1,
+            serial=serial,
+            budgets=(BudgetRequest(budget="open", demand=9),),
+        )
+        answer = state.renew(request, now)
         holder = f"{serial % 3}/1"
-        book.append([("open", holder, state.budgets["open"].holdings[holder].issued[-1])])
+        journal.append([HolderGrant("open", holder, state.budgets["open"].holdings[holder].issued[-1])])
         assert answer.grants
-        sizes.append(book.records.size)
-    book.close()
+        sizes.append(journal.records.size)
+    journal.close()
     return sizes
 
 
@@ -110,17 +131,22 @@
     sizes = grown(tmp_path / "whole", still)
     whole = log_of(tmp_path / "whole").read_bytes()
     for cut in range(sizes[2], len(whole) + 1):
-        book = Book(claim(copied(tmp_path / "whole", tmp_path / f"{cut}", whole[:cut])))
-        state, _ = book.open(CONFIG)
+        journal = Journal(begin_term(copied(tmp_path / "whole", tmp_path / f"{cut}", whole[:cut])))
+        state = journal.open(CONFIG).budgets
         known = sum(size <= cut for size in sizes)
-        assert len(list(state.issued())) == known
-        highest = max(one.fence for _, _, one in state.issued())
-        answer = state.ask(Ask(door=9, mark=1, serial=0, wants=(Want(budget="open", demand=64),)), still)
+        assert len(list(state.issued_grants())) == known
+        highest = max(held.grant.fence for held in state.issued_grants())
+        answer = state.renew(
+            RenewRequest(
+                gateway=9, incarnation=1, serial=0, budgets=(BudgetRequest(budget="open", demand=64),)
+            ),
+            still,
+        )
         assert answer.grants[0].fence > highest
-        assert answer.grants[0].part <= granted(64) - sum(
-            holding.bound for name, holding in state.budgets["open"].holdings.items() if name != "9/1"
+        assert answer.grants[0].share <= leasable_total(64) - sum(
+            holding.reserved for name, holding in state.budgets["open"].holdings.items() if name != "9/1"
         )
-        book.close()
+        journal.close()
 
 
 def test_damage_is_one_line_and_a_lost_folder_waits_for_the_longest_lease(tmp_path: Path, still: int) -> None:
@@ -129,46 +155,46 @@
     damaged = bytearray(data)
     damaged[sizes[1] + 20] ^= 1
     with pytest.raises(DamageError, match="is damaged at byte") as caught:
-        Book(claim(copied(tmp_path / "whole", tmp_path / "damaged", damaged))).open(CONFIG)
+        Journal(begin_term(copied(tmp_path / "whole", tmp_path / "damaged", damaged))).open(CONFIG)
     assert "\n" not in str(caught.value)
-    fresh = Book(claim(tmp_path / "other"))
-    assert fresh.open(CONFIG)[0].quiet_until_ms == still + MOST_LEASE_MS
+    fresh = Journal(begin_term(tmp_path / "other"))
+    assert fresh.open(CONFIG).budgets.quiet_until_ms == still + MAX_LEASE_MS
     third = copied(tmp_path / "whole", tmp_path / "third", data[: sizes[0]])
     log_of(third).with_name("snapshot").unlink()
     with pytest.raises(DamageError, match="is missing, but there is a log"):
-        Book(claim(third)).open(CONFIG)
+        Journal(begin_term(third)).open(CONFIG)
 
 
 def test_what_was_granted_before_a_restart_of_the_machine_has_the_longest_lease(
     tmp_path: Path, still: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     grown(tmp_path, still)
-    monkeypatch.setattr(books, "boot", lambda: "another")
-    book = Book(claim(tmp_path))
-    state, _ = book.open(CONFIG)
-    ends = {one.until_ms for _, _, one in state.issued()}
-    assert ends == {still + MOST_LEASE_MS} and state.quiet_until_ms == still + MOST_LEASE_MS
-    book.close()
+    monkeypatch.setattr(journal_module, "boot_id", lambda: "another")
+    journal = Journal(begin_term(tmp_path))
+    state = journal.open(CONFIG).budgets
+    ends = {held.grant.until_ms for held in state.issued_grants()}
+    assert ends == {still + MAX_LEASE_MS} and state.quiet_until_ms == still + MAX_LEASE_MS
+    journal.close()
 
 
-def held_by(book: Book) -> list[tuple[str, str, Issued]]:
-    return sorted(book.open(CONFIG)[0].issued(), key=lambda one: one[2].fence)
+def held_by(journal: Journal) -> list[HolderGrant]:
+    return sorted(journal.open(CONFIG).budgets.issued_grants(), key=lambda held: held.grant.fence)
 
 
 def test_a_snapshot_takes_the_logs_place_and_one_process_has_a_folder(tmp_path: Path, still: int) -> None:
     grown(tmp_path, still)
-    book = Book(claim(tmp_path))
-    before = held_by(book)
+    journal = Journal(begin_term(tmp_path))
+    before = held_by(journal)
     assert len(before) == 6 and log_of(tmp_path).stat().st_size == 0
-    with pytest.raises(LockedError, match="another steward"):
-        claim(tmp_path)
-    book.close()
-    again = Book(claim(tmp_path))
+    with pytest.raises(FolderLockedError, match="another lease service"):
+        begin_term(tmp_path)
+    journal.close()
+    again = Journal(begin_term(tmp_path))
     assert held_by(again) == before
     again.close()
-    with pytest.raises(LockedError, match="there is a history"):
-        begin(tmp_path, CONFIG)
-    after = Book(claim(tmp_path))  # which has begun a term, and told nobody anything
+    with pytest.raises(FolderLockedError, match="there is a history"):
+        begin_history(tmp_path, CONFIG)
+    after = Journal(begin_term(tmp_path))  # which has begun a term, and told nobody anything
     assert held_by(after) == before
     after.close()
 
@@ -177,10 +203,10 @@
     grown(tmp_path / "now", still)
     (tmp_path / "then").mkdir()
     for name in ("log", "snapshot", "lock"):
-        (place(tmp_path / "now", 2) / name).rename(tmp_path / "then" / name)
-    book = Book(claim(tmp_path / "then"))
-    assert len(held_by(book)) == 6 and [path.name for path in (tmp_path / "then").iterdir()] == ["term-1"]
-    book.close()
+        (term_folder(tmp_path / "now", 2) / name).rename(tmp_path / "then" / name)
+    journal = Journal(begin_term(tmp_path / "then"))
+    assert len(held_by(journal)) == 6 and [path.name for path in (tmp_path / "then").iterdir()] == ["term-1"]
+    journal.close()
 
 
 # --- terms of office ---
@@ -190,23 +216,23 @@
     tmp_path: Path, still: int
 ) -> None:
     grown(tmp_path, still)
-    old = Book(claim(tmp_path))
+    old = Journal(begin_term(tmp_path))
     before = held_by(old)
-    told = ("open", "7/1", Issued(10**18, 3, still + 1500))
+    told = HolderGrant("open", "7/1", IssuedGrant(10**18, 3, still + 1500))
     old.append([told])
-    late = Tenure(tmp_path, old.tenure.number)  # as a standby that has seen no sign of life
-    with pytest.raises(LostError, match="taken over"):
-        old.append([("open", "8/1", Issued(10**18 + 1, 3, still + 1500))])
-    assert not old.tenure.holds() and late.holds()
-    new = Book(late)
+    late = Term(tmp_path, old.term.number)  # as a standby that has seen no sign of life
+    with pytest.raises(LeadershipLostError, match="taken over"):
+        old.append([HolderGrant("open", "8/1", IssuedGrant(10**18 + 1, 3, still + 1500))])
+    assert not old.term.is_current() and late.is_current()
+    new = Journal(late)
     known = held_by(new)
     # What was kept and never told may be there too.
-    assert [one for one in known if one[1] != "8/1"] == [*before, told]
-    with pytest.raises(LockedError):
-        Tenure(tmp_path, old.tenure.number)  # for one process alone
+    assert [one for one in known if one.holder != "8/1"] == [*before, told]
+    with pytest.raises(FolderLockedError):
+        Term(tmp_path, old.term.number)  # for one process alone
     old.close()
     new.close()
-    last = Book(claim(tmp_path))
+    last = Journal(begin_term(tmp_path))
     assert held_by(last) == known
     last.close()
 
@@ -214,71 +240,71 @@
 def test_a_term_whose_process_died_before_it_told_anything_is_passed_over(tmp_path: Path, still: int) -> None:
     grown(tmp_path, still)
     for _ in range(3):
-        tenure = claim(tmp_path)
-        tenure.end()
-    book = Book(claim(tmp_path))
-    assert len(held_by(book)) == 6 and [path.name for path in tmp_path.iterdir()] == ["term-6"]
-    book.close()
+        term = begin_term(tmp_path)
+        term.close()
+    journal = Journal(begin_term(tmp_path))
+    assert len(held_by(journal)) == 6 and [path.name for path in tmp_path.iterdir()] == ["term-6"]
+    journal.close()
 
 
 def test_a_process_that_died_before_it_had_a_lock_keeps_nobody_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("thistletrail.leasing.leadership.LOOK_S", 0.001)
+    monkeypatch.setattr("thistletrail.leasing.leadership.POLL_S", 0.001)
     (tmp_path / "term-4").mkdir()
-    tenure = claim(tmp_path)
-    assert tenure.number == 5 and tenure.holds()
-    tenure.end()
+    term = begin_term(tmp_path)
+    assert term.number == 5 and term.is_current()
+    term.close()
 
 
 def test_a_program_from_before_there_were_terms_is_not_passed_over(tmp_path: Path) -> None:
     """It gives no signs of life, and would go on beside its successor."""
     lock = os.open(tmp_path / "lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(lock, fcntl.LOCK_EX)
-    watch = Watch(tmp_path)
-    assert [watch.over() for _ in range(2 * MOST_LOOKS)] == [None] * 2 * MOST_LOOKS
-    with pytest.raises(LockedError):
-        claim(tmp_path)
+    watch = LeaderWatch(tmp_path)
+    assert [watch.ended_term() for _ in range(2 * MAX_MISSED_LOOKS)] == [None] * 2 * MAX_MISSED_LOOKS
+    with pytest.raises(FolderLockedError):
+        begin_term(tmp_path)
     os.close(lock)
-    assert watch.over() == 0
+    assert watch.ended_term() == 0
 
 
 def test_a_folder_that_was_lost_and_made_again_is_not_the_same_term(tmp_path: Path, still: int) -> None:
-    begin(tmp_path / "data", CONFIG)
-    old = Book(claim(tmp_path / "data"))
+    begin_history(tmp_path / "data", CONFIG)
+    old = Journal(begin_term(tmp_path / "data"))
     old.open(CONFIG)
     shutil.rmtree(tmp_path / "data")
-    assert not old.tenure.holds()
-    new = claim(tmp_path / "data")
-    again = Tenure(tmp_path / "data", new.number)
-    assert again.number == old.tenure.number and again.holds()
-    with pytest.raises(LostError):
+    assert not old.term.is_current()
+    new = begin_term(tmp_path / "data")
+    again = Term(tmp_path / "data", new.number)
+    assert again.number == old.term.number and again.is_current()
+    with pytest.raises(LeadershipLostError):
         old.append([])
     for one in (old, new, again):
-        (one.close if isinstance(one, Book) else one.end)()
+        one.close()
 
 
 def test_a_standby_goes_by_signs_of_life_and_not_by_its_own_time(tmp_path: Path) -> None:
-    tenure = claim(tmp_path)
-    watch = Watch(tmp_path)
-    for number in range(3 * MOST_LOOKS):
-        os.utime(tenure.place, ns=(number, number))
-        assert watch.over() is None
-    tenure.beat()
-    assert tenure.place.stat().st_mtime_ns > 3 * MOST_LOOKS and watch.over() is None
-    looks = [watch.over() for _ in range(MOST_LOOKS)]
-    assert looks == [None] * (MOST_LOOKS - 1) + [1]  # none was seen in so many looks
-    tenure.end()
-    assert Watch(tmp_path).over() == 1  # its process has ended
+    term = begin_term(tmp_path)
+    watch = LeaderWatch(tmp_path)
+    for number in range(3 * MAX_MISSED_LOOKS):
+        os.utime(term.path, ns=(number, number))
+        assert watch.ended_term() is None
+    term.heartbeat()
+    assert term.path.stat().st_mtime_ns > 3 * MAX_MISSED_LOOKS and watch.ended_term() is None
+    looks = [watch.ended_term() for _ in range(MAX_MISSED_LOOKS)]
+    assert looks == [None] * (MAX_MISSED_LOOKS - 1) + [1]  # none was seen in so many looks
+    term.close()
+    assert LeaderWatch(tmp_path).ended_term() == 1  # its process has ended
 
 
 def test_a_full_disk_leaves_the_log_as_it_was(
     tmp_path: Path, still: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     grown(tmp_path, still)
-    book = Book(claim(tmp_path))
-    state, _ = book.open(CONFIG)
-    book.append(list(state.issued())[:1])
+    journal = Journal(begin_term(tmp_path))
+    state = journal.open(CONFIG).budgets
+    journal.append(list(state.issued_grants())[:1])
     size = log_of(tmp_path).stat().st_size
 
     def full(file: int) -> None:
@@ -286,10 +312,10 @@
 
     monkeypatch.setattr(os, "fsync", full)
     with pytest.raises(FullError, match="No space left"):
-        book.append(list(state.issued())[:1])
+        journal.append(list(state.issued_grants())[:1])
     monkeypatch.undo()
     assert size > 0 and log_of(tmp_path).stat().st_size == size
-    book.close()
+    journal.close()
 
 
 # --- the wire, and several processes ---
@@ -361,7 +387,7 @@
             "addresses": self.addresses,
             "secret": SECRET,
             "lease_ms": CONFIG.lease_ms,
-            "budgets": {name: [terms.whole, terms.burst] for name, terms in TERMS.items()},
+            "budgets": {name: [limits.total, limits.burst] for name, limits in LIMITS.items()},
             "demands": {"rate/a": demand * 1000, "open": demand},
             "history": str(self.folder / f"holder-{self.starts}.jsonl"),
         }
@@ -411,7 +437,7 @@
         "[[budgets]]\nname = 'open'\nopen = 64\n"
     )
     (folder / "secret").write_text(SECRET)
-    begin(folder / "data", CONFIG)
+    begin_history(folder / "data", CONFIG)
     try:
         await found.steward(0)
         found.standby(1)
@@ -448,8 +474,8 @@
 def overdrawn(records: list[dict], budget: str) -> float:
     """By how much all that was spent ever went beyond one store of the whole."""
     spent = [record["at"] for record in records if record["kind"] == "spent" and record["budget"] == budget]
-    terms, worst = TERMS[budget], 0.0
-    store = Store(terms.whole / 1000, terms.burst, spent[0] * 1000 if spent else 0)
+    limits, worst = LIMITS[budget], 0.0
+    store = Store(limits.total / 1000, limits.burst, spent[0] * 1000 if spent else 0)
     for at in spent:
         worst = min(worst, store.force(1.0, at * 1000))
     return -worst
@@ -457,8 +483,8 @@
 
 def kept_within(found: Fleet) -> None:
     records = found.records()
-    assert most_held(records, "open") <= granted(64)
-    assert most_held(records, "rate/a") <= granted(200_000)
+    assert most_held(records, "open") <= leasable_total(64)
+    assert most_held(records, "rate/a") <= leasable_total(200_000)
     assert overdrawn(records, "rate/a") <= 1.0  # times are noted in whole milliseconds
     fences = [record["fence"] for record in records if record["kind"] == "held"]
     assert len(set(fences)) == len(fences)
@@ -526,14 +552,14 @@
         await found.until(lambda: found.held("open") >= 50)
         (found.folder / "data").rename(found.folder / "gone")
         lost = now_ms()
-        await found.until(lambda: found.granted_after(lost + MOST_LEASE_MS))
+        await found.until(lambda: found.granted_after(lost + MAX_LEASE_MS))
         # What was asked for since then: a lease ends 2% early.
         later = [
             record["at"]
             for record in found.records()
             if record["kind"] == "held" and record["until"] - CONFIG.lease_ms * 49 // 50 > lost
         ]
-        assert min(later) >= lost + MOST_LEASE_MS
+        assert min(later) >= lost + MAX_LEASE_MS
 
     run(act, tmp_path, 4)
 
@@ -574,23 +600,31 @@
     async def act(found: Fleet) -> None:
         host, port = found.addresses[0]
         url = f"http://{host}:{port}"
-        ask = msgspec.msgpack.encode(Ask(door=0, mark=1, serial=1, wants=(Want(budget="open", demand=5),)))
+        ask = msgspec.msgpack.encode(
+            RenewRequest(
+                gateway=0, incarnation=1, serial=1, budgets=(BudgetRequest(budget="open", demand=5),)
+            )
+        )
         async with ClientSession() as session:
-            for headers in ({}, {SIGNATURE: "0"}, {SIGNATURE: sign(b"x" * 16, ask)}):
-                async with session.post(url + PATH, data=ask, headers=headers) as answer:
+            for headers in ({}, {SIGNATURE_HEADER: "0"}, {SIGNATURE_HEADER: sign(b"x" * 16, ask)}):
+                async with session.post(url + RENEW_PATH, data=ask, headers=headers) as answer:
                     assert answer.status == 403 and b"secret" in await answer.read()
             async with session.get(f"{url}/status") as answer:
                 assert answer.status == 403
             secret = SECRET.encode()
-            async with session.post(url + PATH, data=ask, headers={SIGNATURE: sign(secret, ask)}) as answer:
+            async with session.post(
+                url + RENEW_PATH, data=ask, headers={SIGNATURE_HEADER: sign(secret, ask)}
+            ) as answer:
                 said = await answer.read()
-                assert answer.status == 200 and answer.headers[SIGNATURE] == sign(secret, said)
-                assert msgspec.msgpack.decode(said, type=Answer).grants[0].part > 0
+                assert answer.status == 200 and answer.headers[SIGNATURE_HEADER] == sign(secret, said)
+                assert msgspec.msgpack.decode(said, type=RenewResponse).grants[0].share > 0
             for body, status in ((b"nonsense", 400), (b"\x00" * (1 << 20), 413)):
-                signed = {SIGNATURE: sign(secret, body)}
-                async with session.post(url + PATH, data=body, headers=signed) as answer:
+                signed = {SIGNATURE_HEADER: sign(secret, body)}
+                async with session.post(url + RENEW_PATH, data=body, headers=signed) as answer:
                     assert answer.status == status
-            async with session.get(f"{url}/status", headers={SIGNATURE: sign(secret, b"/status")}) as answer:
+            async with session.get(
+                f"{url}/status", headers={SIGNATURE_HEADER: sign(secret, b"/status")}
+            ) as answer:
                 assert (await answer.json())["budgets"]["open"]["whole"] == 64
 
     run(act, tmp_path, 0)
@@ -599,25 +633,25 @@
 def test_a_call_on_work_is_for_who_has_the_secret_and_nonsense_is_one_sentence(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         address, secret = found.addresses[0], SECRET.encode()
-        stranger = Stream(address, b"x" * 16)
-        with pytest.raises(CallError, match="403"):
-            await stranger.call(WorkAsk(door=0, mark=1, serial=1))
+        stranger = WorkStream(address, b"x" * 16)
+        with pytest.raises(ServiceUnavailableError, match="403"):
+            await stranger.call(WorkRequest(gateway=0, incarnation=1, serial=1))
         stranger.close()
-        stream = Stream(address, secret)
-        with pytest.raises(CallError, match="no ask"):
+        stream = WorkStream(address, secret)
+        with pytest.raises(ServiceUnavailableError, match="not a work request"):
             await stream.call({"door": "none"})
-        with pytest.raises(CallError, match="numbered"):
-            await stream.call(WorkAsk(door=-1, mark=1, serial=1))
-        many = tuple(Leave(name="n", fence=1) for _ in range(MOST_OPS + 1))
-        with pytest.raises(CallError, match=f"{MOST_OPS} ops at most"):
-            await stream.call(WorkAsk(door=0, mark=1, serial=1, ops=many))
+        with pytest.raises(ServiceUnavailableError, match="numbered"):
+            await stream.call(WorkRequest(gateway=-1, incarnation=1, serial=1))
+        many = tuple(ReleaseWork(name="n", fence=1) for _ in range(MAX_OPERATIONS + 1))
+        with pytest.raises(ServiceUnavailableError, match=f"{MAX_OPERATIONS} ops at most"):
+            await stream.call(WorkRequest(gateway=0, incarnation=1, serial=1, operations=many))
         # All on one connection, which goes on.
-        begin_ = Begin(
+        begin_ = BeginWork(
             name="n",
-            id="i",
+            request_id="i",
             digest="d",
             customer="c",
-            effect="keyed",
+            effect=WorkEffect.KEYED,
             left_ms=60_000,
             window_ms=60_000,
             request=b"r",
@@ -625,9 +659,10 @@
             place="p",
         )
         answer = msgspec.msgpack.decode(
-            await stream.call(WorkAsk(door=0, mark=1, serial=2, ops=(begin_,))), type=WorkAnswer
+            await stream.call(WorkRequest(gateway=0, incarnation=1, serial=2, operations=(begin_,))),
+            type=WorkResponse,
         )
-        assert [one.how for one in answer.told] == ["kept"]
+        assert [one.status for one in answer.results] == ["kept"]
         stream.close()
         # What it holds, by the command.
         (tmp_path / "s").write_text(SECRET)
@@ -681,7 +716,7 @@
             "-m",
             "thistletrail.leasing",
             "check",
-            "--doors",
+            "--gateways",
             "2",
             "--depth",
             "3",
--- a/tests/test_model_leased.py
+++ b/tests/test_model_leased.py
@@ -39,8 +39,8 @@
     for day in plays:
         assert day.books.breaks == {} and day.result()["sums"] == []
         assert day.leases.asks > 100
-        marks = {held.holder.mark for held in day.leases.held.values()}
-        assert len(marks) > 1  # some have started again
+        incarnations = {held.holder.incarnation for held in day.leases.held.values()}
+        assert len(incarnations) > 1  # some have started again
         budgets = day.leases.state.budgets
         assert budgets and {name.split("/")[2] for name in budgets} == {"2"}  # the plan that has ceilings
     # What is served by ceilings is more than the floors alone, a tenth of them, would let through.
@@ -55,7 +55,9 @@
 
 def test_a_steward_that_divides_more_than_there_is_passes_ceilings(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: the check of ceilings finds it."""
-    monkeypatch.setattr("thistletrail.leasing.budget_state.parted", lambda terms, *_: 8 * terms.whole)
+    monkeypatch.setattr(
+        "thistletrail.leasing.budget_state.divisible_total", lambda limits, *_: 8 * limits.total
+    )
     assert any("a ceiling was passed" in days.play(FLEET, seed).books.breaks for seed in range(1, 5))
 
 
--- a/thistletrail/benchmarks/holders.py
+++ b/thistletrail/benchmarks/holders.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from thistletrail.leasing.budget_holder import Holder
-from thistletrail.leasing.budget_state import Terms
-from thistletrail.leasing.client import Renewer
+from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_state import BudgetLimits
+from thistletrail.leasing.client import LeaseRenewer
 from thistletrail.leasing.framing import now_ms
 
 NEED = 10  # units of a rate that it has a use for at once, at any time
@@ -42,8 +42,8 @@
 
     def __init__(self, told: Told) -> None:
         self.told = told
-        self.terms = {name: Terms(*values) for name, values in told.budgets.items()}
-        self.holder = Holder(told.door, told.mark, told.doors)
+        self.terms = {name: BudgetLimits(*values) for name, values in told.budgets.items()}
+        self.holder = BudgetHolder(told.door, told.mark, told.doors)
         path = Path(told.history)
         self.file = path.open("ab", buffering=0)
         self.known: dict[str, int] = {}
@@ -54,17 +54,17 @@
 
     def want(self) -> None:
         for name, terms in self.terms.items():
-            self.holder.use(name, terms, self.told.demands[name], now_ms(), NEED if terms.burst else 0)
+            self.holder.set_demand(name, terms, self.told.demands[name], now_ms(), NEED if terms.burst else 0)
 
     def renewed(self) -> None:
         """Grants that were taken over, and those whose lease was renewed."""
-        for name, part in self.holder.parts.items():
-            if part.fence != self.known.get(name):
-                self.known[name] = part.fence
-                self.note("held", budget=name, part=part.part, until=part.until_ms, fence=part.fence)
+        for name, lease in self.holder.leases.items():
+            if lease.fence != self.known.get(name):
+                self.known[name] = lease.fence
+                self.note("held", budget=name, part=lease.share, until=lease.until_ms, fence=lease.fence)
 
     async def run(self) -> None:
-        renewer = Renewer(
+        renewer = LeaseRenewer(
             self.holder,
             self.told.addresses,
             self.told.secret.encode(),
--- a/thistletrail/benchmarks/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -14,14 +14,14 @@
 from hdrh.histogram import HdrHistogram
 
 from thistletrail.benchmarks.work import DIGITS, MOST_US, steward
-from thistletrail.leasing.budget_holder import Holder
-from thistletrail.leasing.budget_state import Terms
-from thistletrail.leasing.client import Line
-from thistletrail.leasing.config import read
+from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_state import BudgetLimits
+from thistletrail.leasing.client import RenewalConnection
+from thistletrail.leasing.config import read_config
 from thistletrail.leasing.framing import now_ms, sign
-from thistletrail.leasing.journal import begin
-from thistletrail.leasing.leadership import latest, place
-from thistletrail.leasing.messages import Answer
+from thistletrail.leasing.journal import begin_history
+from thistletrail.leasing.leadership import latest_term, term_folder
+from thistletrail.leasing.messages import RenewResponse
 
 RATE, BURST = 15.0, 30  # of a customer's budget: the largest plan of the operators' site
 SET = 17  # doors that one customer's requests come through: the middle of the site's large fleets
@@ -48,8 +48,15 @@
 class Asker:
     """One front door's asks, at fixed times; one that is due while another is out is left out."""
 
-    def __init__(self, number: int, budgets: list[str], line: Line, secret: bytes, seed: int) -> None:
-        self.holder, self.budgets, self.line, self.secret = Holder(number, 1, SET), budgets, line, secret
+    def __init__(
+        self, number: int, budgets: list[str], line: RenewalConnection, secret: bytes, seed: int
+    ) -> None:
+        self.holder, self.budgets, self.line, self.secret = (
+            BudgetHolder(number, 1, SET),
+            budgets,
+            line,
+            secret,
+        )
         self.chance = random.Random(f"{seed}/{number}")
         self.asks = self.late = self.granted = self.sent = self.got = 0
         self.took_us: list[int] = []
@@ -70,11 +77,11 @@
         now, began = now_ms(), time.monotonic_ns()
         for name in self.budgets:
             demand, waits = self.chance.randrange(3000), self.chance.random() < NEED_SHARE
-            self.holder.use(name, Terms.of(RATE, BURST), demand, now, int(waits))
-        body = msgspec.msgpack.encode(self.holder.ask(now))
-        _, _, found = await self.line.call(body, sign(self.secret, body))
-        answer = msgspec.msgpack.decode(found, type=Answer)
-        self.holder.answered(answer, now_ms())
+            self.holder.set_demand(name, BudgetLimits.from_rate(RATE, BURST), demand, now, int(waits))
+        body = msgspec.msgpack.encode(self.holder.next_request(now))
+        found = (await self.line.call(body, sign(self.secret, body))).body
+        answer = msgspec.msgpack.decode(found, type=RenewResponse)
+        self.holder.on_response(answer, now_ms())
         self.took_us.append((time.monotonic_ns() - began) // 1000)
         self.asks, self.granted = self.asks + 1, self.granted + len(answer.grants)
         self.sent, self.got = self.sent + len(body), self.got + len(found)
@@ -86,14 +93,14 @@
         folder = Path(name)
         text = f'doors = {holders}\n[[budgets]]\nname = "quota/*"\nrate = {RATE}\nburst = {BURST}\n'
         (folder / "begin.toml").write_text(text)
-        begin(folder / "state", read(folder / "begin.toml"))
+        begin_history(folder / "state", read_config(folder / "begin.toml"))
         async with steward(folder, seed, text) as keeper:
             secret = (folder / "secret").read_bytes()
             askers = [
                 Asker(
                     number,
                     [f"quota/{number // SET}/{customer}" for customer in range(budgets)],
-                    Line(keeper.address),
+                    RenewalConnection(keeper.address),
                     secret,
                     seed,
                 )
@@ -103,7 +110,7 @@
             await asyncio.gather(*(asker.run(rate, seconds) for asker in askers))
             used = keeper.processor_us() - used
         state = folder / "state"
-        log = (place(state, latest(state)) / "log").stat().st_size
+        log = (term_folder(state, latest_term(state)) / "log").stat().st_size
     histogram = HdrHistogram(1, MOST_US, DIGITS)
     for asker in askers:
         for took in asker.took_us:
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -22,11 +22,11 @@
 from thistletrail.benchmarks.loads import Load
 from thistletrail.benchmarks.process import Process, Tree, free_port, front_door, start_program
 from thistletrail.benchmarks.standins import HOST, World, text
-from thistletrail.leasing.client import Stream
+from thistletrail.leasing.client import WorkStream
 from thistletrail.leasing.framing import now_ms
-from thistletrail.leasing.leadership import latest, place
-from thistletrail.leasing.messages import MOST_OPS, Begin, Done, WorkAnswer
-from thistletrail.leasing.work_holder import Hand
+from thistletrail.leasing.leadership import latest_term, term_folder
+from thistletrail.leasing.messages import MAX_OPERATIONS, BeginWork, CompleteWork, WorkEffect, WorkResponse
+from thistletrail.leasing.work_holder import WorkHolder
 
 MOST_US = 10_000_000  # that a histogram holds
 DIGITS = 3
@@ -157,25 +157,25 @@
         folder = Path(name)
         async with steward(folder, seed) as keeper:
             secret = (folder / "secret").read_bytes()
-            line, hand = Stream(keeper.address, secret), Hand(0, 1)
+            line, hand = WorkStream(keeper.address, secret), WorkHolder(0, 1)
 
             async def ask() -> None:
-                answer = await line.call(hand.ask(now_ms()))
-                hand.answered(msgspec.msgpack.decode(answer, type=WorkAnswer), now_ms())
+                answer = await line.call(hand.next_request(now_ms()))
+                hand.on_response(msgspec.msgpack.decode(answer, type=WorkResponse), now_ms())
 
             await ask()
             used, began = keeper.processor_us(), time.monotonic()
-            for first in range(0, pieces, MOST_OPS):
-                last = min(pieces, first + MOST_OPS)
+            for first in range(0, pieces, MAX_OPERATIONS):
+                last = min(pieces, first + MAX_OPERATIONS)
                 names = [f"{number % 97:016x}/{number}" for number in range(first, last)]
                 for name in names:
-                    hand.add(
-                        Begin(
+                    hand.enqueue(
+                        BeginWork(
                             name=name,
-                            id=name,
+                            request_id=name,
                             digest="d",
                             customer=name[:16],
-                            effect="keyed",
+                            effect=WorkEffect.KEYED,
                             left_ms=2000,
                             window_ms=0,
                             request=BODY,
@@ -186,13 +186,13 @@
                 while hand.queue:
                     await ask()
                 for name in names:
-                    hand.add(Done(name=name, fence=hand.held.pop(name), value=VALUE))
+                    hand.enqueue(CompleteWork(name=name, fence=hand.fences.pop(name), value=VALUE))
                 while hand.queue:
                     await ask()
             took, used = time.monotonic() - began, keeper.processor_us() - used
             line.close()
             state = folder / "state"
-            log = (place(state, latest(state)) / "log").stat().st_size
+            log = (term_folder(state, latest_term(state)) / "log").stat().st_size
             return Alone(pieces, pieces * 1e6 / used, took, log / pieces)
 
 
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -25,7 +25,7 @@
 from thistletrail.benchmarks.work import start_steward
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
-from thistletrail.leasing.framing import SIGNATURE, sign
+from thistletrail.leasing.framing import SIGNATURE_HEADER, sign
 
 POINTS = (
     "before the intent",
@@ -329,7 +329,7 @@
         url = f"http://{text(self.steward.address)}/status"
         async with (
             ClientSession() as session,
-            session.get(url, headers={SIGNATURE: sign(secret, b"/status")}) as answer,
+            session.get(url, headers={SIGNATURE_HEADER: sign(secret, b"/status")}) as answer,
         ):
             return (await answer.json())["work"]
 
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -30,8 +30,8 @@
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
 from thistletrail.gateway.allowance import FURTHER
 from thistletrail.gateway.keep import HEAD, Snapshot, pack
-from thistletrail.leasing.config import read as read_config
-from thistletrail.leasing.journal import begin
+from thistletrail.leasing.config import read_config
+from thistletrail.leasing.journal import begin_history
 from thistletrail.simulation.clock import Clock
 
 GATHER_S = 30.0  # for all processes to serve: dozens start at once on few cores
@@ -288,7 +288,7 @@
                 )
             )
             secret.write_text(f"{random.Random(self.seed).getrandbits(256):064x}")
-            begin(member.state, read_config(config))
+            begin_history(member.state, read_config(config))
         words = (
             "-m",
             "thistletrail.leasing",
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -19,8 +19,8 @@
 from thistletrail.fault_injection.relay import THERE, Relay, Side
 from thistletrail.fault_injection.world import World
 from thistletrail.gateway.allowance import FURTHER
-from thistletrail.leasing.budget_state import MARGIN_SHARE, Terms, parted
-from thistletrail.leasing.messages import Answer, Ask
+from thistletrail.leasing.budget_state import MARGIN_FRACTION, BudgetLimits, divisible_total
+from thistletrail.leasing.messages import RenewRequest, RenewResponse
 from thistletrail.simulation.clock import Clock, S
 
 if TYPE_CHECKING:
@@ -71,24 +71,24 @@
         for first, body in self.bodies.setdefault(side, Bodies()).feed(data):
             try:
                 if side.out.way == THERE:
-                    ask = msgspec.msgpack.decode(body, type=Ask)
+                    ask = msgspec.msgpack.decode(body, type=RenewRequest)
                     self.note(
                         "asked",
-                        door=ask.door,
-                        mark=ask.mark,
+                        door=ask.gateway,
+                        mark=ask.incarnation,
                         serial=ask.serial,
-                        fences={want.budget: want.fence for want in ask.wants if want.fence},
+                        fences={want.budget: want.fence for want in ask.budgets if want.fence},
                     )
                 elif first.split()[1:2] == [b"200"]:
-                    told = msgspec.msgpack.decode(body, type=Answer)
+                    told = msgspec.msgpack.decode(body, type=RenewResponse)
                     self.note(
                         "granted",
-                        door=told.door,
-                        mark=told.mark,
+                        door=told.gateway,
+                        mark=told.incarnation,
                         serial=told.serial,
                         steward=self.sides[1],
                         lease_ms=told.lease_ms,
-                        parts={one.budget: [one.fence, one.part] for one in told.grants},
+                        parts={one.budget: [one.fence, one.share] for one in told.grants},
                     )
             except msgspec.MsgspecError:
                 continue  # a body of another call
@@ -119,7 +119,7 @@
         begin = asked.get((record["door"], record["mark"], record["serial"]))
         if begin is None:
             continue  # to an ask that no relay saw
-        lease_us = round(record["lease_ms"] * 1000 * (1 - MARGIN_SHARE))
+        lease_us = round(record["lease_ms"] * 1000 * (1 - MARGIN_FRACTION))
         for budget, (fence, part) in record["parts"].items():
             left = min(
                 (at for at, known in later[record["door"], record["mark"], budget] if known > fence),
@@ -157,7 +157,10 @@
         found |= {f"ceiling/{plan.name}": figures.ceiling} if figures.ceiling[0] else {}
     if seen.plan.further:
         found[FURTHER] = seen.plan.further
-    return {name: parted(Terms(round(rate * 1000), int(burst))) for name, (rate, burst, *_) in found.items()}
+    return {
+        name: divisible_total(BudgetLimits(round(rate * 1000), int(burst)))
+        for name, (rate, burst, *_) in found.items()
+    }
 
 
 def whole_of(wholes: dict[str, int], budget: str) -> int:
--- a/thistletrail/gateway/allowance.py
+++ b/thistletrail/gateway/allowance.py
@@ -13,9 +13,9 @@
 
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.config import Config
-from thistletrail.leasing.budget_holder import Holder
-from thistletrail.leasing.budget_state import Terms
-from thistletrail.leasing.client import RENEW_SHARE, Renewer
+from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_state import BudgetLimits
+from thistletrail.leasing.client import RENEW_FRACTION, LeaseRenewer
 from thistletrail.leasing.framing import now_ms
 from thistletrail.policy import interface as i
 from thistletrail.policy.allowances import wanted, whole_of
@@ -36,14 +36,14 @@
         self.door, self.plans = door, {number: name for name, number in config.plan_numbers.items()}
         chance = random.Random(config.settings.seed)
         # Stores and floors are the module's, by a customer's set; the holder's own are of no use here.
-        self.holder = Holder(config.settings.me, chance.getrandbits(63), config.settings.gateways)
+        self.holder = BudgetHolder(config.settings.me, chance.getrandbits(63), config.settings.gateways)
         self.keys: dict[str, i.Key] = {}  # of budgets that are asked for
         self.taken: dict[str, int] = {}  # by budget: the fence of the grant that was handed on last
         self.needs = 0  # units that were waited for at the last ask
         self.patience_s = self.asked_at = 0.0  # for how long after an ask none is made for units alone
-        self.most_s = config.steward.lease_ms * RENEW_SHARE / 1000
+        self.most_s = config.steward.lease_ms * RENEW_FRACTION / 1000
         steward = config.steward
-        self.renewer = Renewer(
+        self.renewer = LeaseRenewer(
             self.holder,
             steward.addresses,
             steward.secret,
@@ -75,11 +75,11 @@
         kind, customer, plan, first, size = key
         return f"{kind}/{self.plans[plan]}/{first}.{size}/{customer:08x}"
 
-    def terms(self, key: i.Key) -> Terms:
+    def terms(self, key: i.Key) -> BudgetLimits:
         if key is None:
             settings = self.door.settings
-            return Terms.of(settings.further_rate, settings.further_burst)
-        return Terms.of(*whole_of(key[0], self.door.settings.plans[key[2]]))
+            return BudgetLimits.from_rate(settings.further_rate, settings.further_burst)
+        return BudgetLimits.from_rate(*whole_of(key[0], self.door.settings.plans[key[2]]))
 
     def prepare(self) -> None:
         """Tell the holder of all budgets that a part is needed of; others are let go of by it."""
@@ -90,9 +90,11 @@
             need, terms = math.ceil(want.need), self.terms(want.key)
             self.needs += need
             demand = round(want.demand * (THOUSANDTHS if terms.burst else 1))
-            self.holder.use(name, terms, demand, now, need, want.used)
-            self.holder.parts[name].back = want.back  # the store is the module's, and so is what it gave up
-        for name in [name for name in self.keys if name not in self.holder.parts]:
+            self.holder.set_demand(name, terms, demand, now, need, want.used)
+            self.holder.leases[
+                name
+            ].returned_units = want.back  # the store is the module's, and so is what it gave up
+        for name in [name for name in self.keys if name not in self.holder.leases]:
             del self.keys[name]
             self.taken.pop(name, None)
 
@@ -100,11 +102,12 @@
         """Hand on what is new."""
         now, here = now_ms(), now_us()
         came = any(
-            part.came and part.fence != self.taken.get(name) for name, part in self.holder.parts.items()
+            lease.granted_units and lease.fence != self.taken.get(name)
+            for name, lease in self.holder.leases.items()
         )
         self.patience_s = min(2 * self.patience_s + LOOK_S, self.most_s) if self.needs and not came else 0.0
-        for name, part in self.holder.parts.items():
-            if part.fence and part.fence != self.taken.get(name):
-                self.taken[name] = part.fence
-                until_us, share = here + (part.until_ms - now) * 1000, part.part / part.terms.whole
-                self.door.post(i.Allowance(self.keys[name], share, part.came, until_us))
+        for name, lease in self.holder.leases.items():
+            if lease.fence and lease.fence != self.taken.get(name):
+                self.taken[name] = lease.fence
+                until_us, share = here + (lease.until_ms - now) * 1000, lease.share / lease.limits.total
+                self.door.post(i.Allowance(self.keys[name], share, lease.granted_units, until_us))
--- a/thistletrail/gateway/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -24,10 +24,22 @@
 from thistletrail.gateway.clients import FAILED, Command, CommandError, read_fields
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
-from thistletrail.leasing.client import CallError, Stream, TurnedAwayError
-from thistletrail.leasing.framing import FrameError, now_ms
-from thistletrail.leasing.messages import WORK_LEASE_MS, Begin, Done, Handed, Op, Told, Try, WorkAnswer
-from thistletrail.leasing.work_holder import Hand
+from thistletrail.leasing.client import WorkStream
+from thistletrail.leasing.errors import FrameError, ServiceFullError, ServiceUnavailableError
+from thistletrail.leasing.framing import now_ms
+from thistletrail.leasing.messages import (
+    WORK_LEASE_MS,
+    AttemptWork,
+    BeginWork,
+    CompleteWork,
+    OperationResult,
+    OperationStatus,
+    TransferredWork,
+    WorkEffect,
+    WorkOperation,
+    WorkResponse,
+)
+from thistletrail.leasing.work_holder import WorkHolder
 from thistletrail.policy import interface as i
 
 if TYPE_CHECKING:
@@ -48,7 +60,11 @@
 DIGEST_BYTES = 16
 SAME = ("c", "t", "units")  # fields that are the same each time that one piece of work is asked for
 LATE_S = 0.2  # before the end of a drain, when what is still out is handed over
-CLASS_EFFECTS = {i.Effect.SAFE: "safe", i.Effect.KEYED: "keyed", i.Effect.UNSAFE: "unsafe"}
+CLASS_EFFECTS = {
+    i.Effect.SAFE: WorkEffect.SAFE,
+    i.Effect.KEYED: WorkEffect.KEYED,
+    i.Effect.UNSAFE: WorkEffect.UNSAFE,
+}
 
 
 class Nobody:
@@ -77,8 +93,8 @@
     exchange: Exchange
     name: str
     digest: str
-    effect: str
-    begin: Begin | None = None
+    effect: WorkEffect
+    begin: BeginWork | None = None
     fence: int = 0
     number: int = 0  # of the last attempt told of under this fence
     ran: bool = False  # it may have run under another fence
@@ -113,11 +129,11 @@
 
     def __init__(self, door: FrontDoor, config: Config) -> None:
         self.door, self.told = door, config.takeover
-        self.hand = Hand(config.settings.me, now_ms())
+        self.hand = WorkHolder(config.settings.me, now_ms())
         self.random = random.Random(config.settings.seed)
         self.pieces: dict[str, Piece] = {}  # by the id under which the module knows the request
         self.by_name: dict[str, Piece] = {}
-        self.line: Stream | None = None
+        self.line: WorkStream | None = None
         self.at = self.waiting = 0
         self.away = True  # until a first answer
         self.wanting = asyncio.Event()
@@ -148,18 +164,18 @@
         address = self.told.addresses[self.at]
         try:
             async with asyncio.timeout(CALL_S):
-                self.line = self.line or Stream(address, self.told.secret)
-                found = await self.line.call(self.hand.ask(now_ms()))
-                answer = msgspec.msgpack.decode(found, type=WorkAnswer)
-        except TurnedAwayError as error:
+                self.line = self.line or WorkStream(address, self.told.secret)
+                found = await self.line.call(self.hand.next_request(now_ms()))
+                answer = msgspec.msgpack.decode(found, type=WorkResponse)
+        except ServiceFullError as error:
             log.warning("work cannot be kept: %s", error)
-            for op in self.hand.refused():
-                self.begun(op, Told(how="full"))
+            for op in self.hand.on_rejected():
+                self.begun(op, OperationResult(status=OperationStatus.FULL))
             return
         except (
             OSError,
             TimeoutError,
-            CallError,
+            ServiceUnavailableError,
             FrameError,
             h11.ProtocolError,
             msgspec.MsgspecError,
@@ -167,7 +183,7 @@
             if not self.away:
                 log.warning("no word of the steward at %s:%d: %s", *address, str(error) or "it is silent")
             self.away = True
-            self.hand.unanswered()
+            self.hand.requeue_unanswered()
             self.drop_line()
             self.at = (self.at + 1) % len(self.told.addresses)
             return
@@ -181,27 +197,27 @@
             self.line.close()
             self.line = None
 
-    def take(self, answer: WorkAnswer) -> None:
+    def take(self, answer: WorkResponse) -> None:
         self.check()
-        told, handed = self.hand.answered(answer, now_ms())
-        for op, one in told:
-            self.hear(op, one)
-        for one in handed:
-            self.go_on(one)
+        applied = self.hand.on_response(answer, now_ms())
+        for one in applied.operations:
+            self.hear(one.operation, one.result)
+        for item in applied.transferred:
+            self.go_on(item)
 
-    def hear(self, op: Op, told: Told) -> None:
+    def hear(self, op: WorkOperation, told: OperationResult) -> None:
         """What became of one op."""
-        if isinstance(op, Begin):
+        if isinstance(op, BeginWork):
             self.begun(op, told)
             return
         piece = self.by_name.get(op.name)
         if piece is None or piece.fence != op.fence:
             return
-        if told.how == "lost":
+        if told.status == OperationStatus.LOST:
             self.lose(piece)
-        elif isinstance(op, Try) and op.number == piece.number:
+        elif isinstance(op, AttemptWork) and op.number == piece.number:
             self.write(piece)
-        elif isinstance(op, Done):
+        elif isinstance(op, CompleteWork):
             self.answer(piece)
 
     async def look(self) -> None:
@@ -213,12 +229,12 @@
                 self.hand_all_over()
 
     def check(self) -> None:
-        for name in self.hand.lapsed(now_ms()):
+        for name in self.hand.drop_expired(now_ms()):
             if piece := self.by_name.get(name):
                 self.lose(piece)
 
-    def put(self, op: Op) -> bool:
-        if not self.hand.add(op):
+    def put(self, op: WorkOperation) -> bool:
+        if not self.hand.enqueue(op):
             return False
         self.wanting.set()
         return True
@@ -240,13 +256,13 @@
             self.write(piece)
         elif piece.fence:
             piece.number += 1
-            op = Try(
+            op = AttemptWork(
                 name=piece.name,
                 fence=piece.fence,
                 number=piece.number,
                 server=attempt.server,
                 place=place,
-                unrun=not piece.was_out and not piece.ran,
+                earlier_never_ran=not piece.was_out and not piece.ran,
             )
             self.keep(piece, op)
         elif piece.name in self.by_name:  # a request of that name is out here: as if it were another door's
@@ -270,12 +286,12 @@
         piece = self.pieces[name] = Piece(exchange, work, digest, CLASS_EFFECTS[rule.effect])
         return piece
 
-    def begin_of(self, piece: Piece, attempt: Attempt, place: str) -> Begin:
+    def begin_of(self, piece: Piece, attempt: Attempt, place: str) -> BeginWork:
         command = piece.exchange.command
         rule = self.door.settings.classes[command.class_index]
-        return Begin(
+        return BeginWork(
             name=piece.name,
-            id=command.id,
+            request_id=command.id,
             digest=piece.digest,
             customer=command.words[1].decode(),
             effect=piece.effect,
@@ -291,7 +307,7 @@
         group = self.door.settings.classes[class_index].group
         return {i.Group.ZONE: f"zone {entry.zone}", i.Group.CELL: f"cell {entry.cell}"}.get(group, "all")
 
-    def keep(self, piece: Piece, op: Op) -> None:
+    def keep(self, piece: Piece, op: WorkOperation) -> None:
         """Tell of an attempt, and wait for word for a while."""
         if self.put(op):
             self.after(piece, KEEP_WAIT_S, self.unkept, piece)
@@ -313,7 +329,7 @@
             piece.attempt = None
             attempt.finish(i.Result.MOOT)
 
-    def begun(self, op: Begin, told: Told) -> None:
+    def begun(self, op: BeginWork, told: OperationResult) -> None:
         """Word of an intent."""
         piece = self.by_name.get(op.name)
         if piece is None or piece.begin is not op:
@@ -321,7 +337,7 @@
         piece.begin = None
         if piece.timer:
             piece.timer.cancel()
-        if told.how == "kept":
+        if told.status == OperationStatus.PERSISTED:
             self.counts.begun += 1
             piece.fence, piece.ran, piece.number = told.fence, bool(told.server), 0
             self.limit(piece, told.left_ms)
@@ -332,19 +348,22 @@
                 self.resume(piece, told)
             else:
                 self.write(piece)
-        elif told.how in ("full", "lost"):
+        elif told.status in (OperationStatus.FULL, OperationStatus.LOST):
             self.counts.refused += 1
             if piece.until_ms:
                 self.refuse(piece)
             else:
                 self.go_without(piece)
-        elif told.how == "elsewhere":
+        elif told.status == OperationStatus.ELSEWHERE:
             self.wait(piece, op)
         else:
             self.counts.answered += 1
             self.take_out(piece)
             value = b"$%d\r\n%b\r\n" % (len(told.value), told.value)
-            self.end(piece, {"answered": value, "other": OTHER}.get(told.how, FAILED))
+            self.end(
+                piece,
+                {OperationStatus.ANSWERED: value, OperationStatus.CONFLICT: OTHER}.get(told.status, FAILED),
+            )
 
     def limit(self, piece: Piece, left_ms: int) -> None:
         """What has run may run again only while its servers remember it."""
@@ -369,7 +388,7 @@
             self.door.backends.send(attempt, attempt.end_us - now_us())
 
     def holds(self, piece: Piece) -> bool:
-        return self.hand.holds(piece.name, piece.fence, now_ms())
+        return self.hand.owns(piece.name, piece.fence, now_ms())
 
     def noted(self, name: str, result: i.Result, others_out: bool) -> None:
         """An attempt has ended: what never came whole to its server, or was turned away, has not run."""
@@ -385,7 +404,7 @@
         if piece is None or piece.without or piece.over:
             return False
         piece.data = data
-        if self.put(Done(name=piece.name, fence=piece.fence, value=value)):
+        if self.put(CompleteWork(name=piece.name, fence=piece.fence, value=value)):
             self.after(piece, OUTCOME_WAIT_S, self.unkept_outcome, piece)
         else:
             self.unkept_outcome(piece)
@@ -400,7 +419,7 @@
         if piece.data is None or piece.over:
             return
         if self.holds(piece):
-            self.hand.held.pop(piece.name, None)
+            self.hand.forget(piece.name)
             self.end(piece, piece.data)
         else:
             self.lose(piece)
@@ -410,7 +429,7 @@
         if piece.over:
             return
         self.counts.lost += 1
-        self.hand.held.pop(piece.name, None)
+        self.hand.forget(piece.name)
         log.warning("request %s is no longer this door's to answer", piece.exchange.command.id)
         name = piece.exchange.reply.id
         for attempt in list(piece.exchange.out.values()):
@@ -445,7 +464,7 @@
         draining = self.door.last_us <= piece.exchange.budget.end_us
         on = refused and (piece.is_handed or draining)
         self.counts.left += self.holds(piece)
-        self.hand.leave(piece.name, on=on, unrun=not (piece.was_out or piece.ran))
+        self.hand.release(piece.name, transfer=on, never_ran=not (piece.was_out or piece.ran))
         self.wanting.set()
         self.forget(piece)
 
@@ -457,7 +476,7 @@
         """A drain will not see its end: another goes on with it, and its client is told to ask again."""
         if piece.over or piece.data is not None or not self.holds(piece):
             return
-        self.hand.leave(piece.name, on=True, unrun=not (piece.was_out or piece.ran))
+        self.hand.release(piece.name, transfer=True, never_ran=not (piece.was_out or piece.ran))
         self.counts.left += 1
         self.wanting.set()
         name = piece.exchange.reply.id
@@ -477,7 +496,7 @@
         exchange.out.pop(attempt.number, None)
         self.door.post(i.Outcome(name, True, attempt.number, attempt.server, i.Result.ELSEWHERE, 0))
 
-    def wait(self, piece: Piece, begin: Begin) -> None:
+    def wait(self, piece: Piece, begin: BeginWork) -> None:
         """Another has it: wait for the outcome within the client's own time, and ask now and then."""
         if not piece.until_ms:
             self.take_out(piece)
@@ -493,7 +512,7 @@
             return
         self.after(piece, AGAIN_S * self.random.uniform(0.75, 1.25), self.ask_again, piece, begin)
 
-    def ask_again(self, piece: Piece, begin: Begin) -> None:
+    def ask_again(self, piece: Piece, begin: BeginWork) -> None:
         other = self.by_name.get(piece.name)
         if piece.over:
             return
@@ -505,7 +524,7 @@
         else:
             self.wait(piece, fresh)
 
-    def unheard(self, piece: Piece, begin: Begin) -> None:
+    def unheard(self, piece: Piece, begin: BeginWork) -> None:
         """No word of whether another has it: it goes on waiting."""
         self.withdraw(piece)
         self.wait(piece, begin)
@@ -530,7 +549,7 @@
             self.waiting -= 1
             piece.until_ms = 0
 
-    def resume(self, piece: Piece, told: Told) -> None:
+    def resume(self, piece: Piece, told: OperationResult) -> None:
         """Nobody has it any more: it is ours, and the module's again, where it may have run if it has."""
         self.stop_waiting(piece)
         piece.exchange.attempts = 0
@@ -556,7 +575,7 @@
             (name for name, known in servers.items() if self.place(class_index, known.entry) == place), ""
         )
 
-    def go_on(self, handed: Handed) -> None:
+    def go_on(self, handed: TransferredWork) -> None:
         """Work of a lost owner's is this door's now."""
         self.counts.handed += 1
         self.wanting.set()  # to tell that it has come
@@ -564,14 +583,14 @@
             command = self.command_of(handed.request)
         except (CommandError, ProtocolError, KeyError, TypeError, ValueError) as error:
             log.warning("work that was handed over cannot be read: %s", error)
-            self.hand.leave(handed.name, unrun=not handed.server)
+            self.hand.release(handed.name, never_ran=not handed.server)
             return
         name = f"{command.id}.{handed.fence}"
         now = now_us()
         budget = Budget.taken(handed.left_ms * 1000 + ANSWER_MARGIN_US, 0, now)
         exchange = self.door.exchange(command, Nobody(name), budget)
         if exchange is None:
-            self.hand.leave(handed.name, on=True, unrun=not handed.server)
+            self.hand.release(handed.name, transfer=True, never_ran=not handed.server)
             return
         piece = self.piece(exchange, name)
         piece.fence, piece.ran = handed.fence, bool(handed.server)
@@ -589,13 +608,13 @@
 
     def drain(self) -> None:
         """No more is to be handed to this door."""
-        self.hand.leaving = True
+        self.hand.is_draining = True
         self.wanting.set()
 
     async def close(self) -> None:
         """At the end of a drain: the last words, if anybody hears them."""
         log.info("work in hand: %s", self.counts.line())
         end = self.loop.time() + CALL_S
-        while (self.hand.queue or self.hand.asked) and not self.away and self.loop.time() < end:
+        while (self.hand.queue or self.hand.in_flight) and not self.away and self.loop.time() < end:
             self.wanting.set()
             await asyncio.sleep(LOOK_S / 5)
--- a/thistletrail/leasing/config.py
+++ b/thistletrail/leasing/config.py
@@ -1,18 +1,18 @@
-"""What the steward is told: its lease, how many doors there may be, and budgets by the form of their names.
+"""Configuration of the lease service: its leases, how many gateways may exist, and budgets by name pattern.
 
-TOML, checked in full: an unknown key or a figure out of its range is one line that names it.
+TOML, checked in full: an unknown key or a value out of range is an error of one line that names it.
 
-    doors = 200            # that may exist: each has a floor, kept aside for when it cannot reach the steward
+    doors = 200            # gateways that may exist: each has a floor for when it cannot reach the service
     lease_ms = 3000
-    work_lease_ms = 1000   # after which a door that says nothing has lost the work that it has in hand
+    work_lease_ms = 1000   # after which a silent gateway has lost the work items that it owns
 
     [[budgets]]
-    name = "ceiling/institution/*"    # one for each name that this fits; a star stands for a part of it
+    name = "ceiling/institution/*"    # one for each name that matches; a star stands for any part of it
     rate = 30.0                       # units a second
     burst = 60
 
     [[budgets]]
-    name = "further-attempts"         # of all front doors together
+    name = "further-attempts"         # of all gateways together
     rate = 40.0
     burst = 80
 
@@ -28,54 +28,70 @@
 from typing import Annotated
 
 import msgspec
+from msgspec import Meta
 
-from thistletrail.leasing.budget_state import LEASE_MS, LEAST_LEASE_MS, MOST_LEASE_MS, Terms
+from thistletrail.leasing.budget_state import LEASE_MS, MAX_LEASE_MS, MIN_LEASE_MS, BudgetLimits
+from thistletrail.leasing.errors import ConfigError
 from thistletrail.leasing.messages import WORK_LEASE_MS
 
-MOST_NAME = 120  # characters of a budget's name
+MAX_NAME_LENGTH = 120  # characters of a budget's name
+MAX_RATE = 1e6  # units a second
+MAX_COUNT = 10**6  # of a burst, or of what may be open at once
+MAX_GATEWAYS = 1000  # five times the largest fleet
 
 
-class ConfigError(Exception):
-    """The file cannot be used; the text is one plain line."""
+class BudgetPattern(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """Budgets whose names match a pattern: a rate with a burst, or a count of what may be open."""
 
+    name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+    rate: Annotated[float, Meta(gt=0, le=MAX_RATE)] | None = None
+    burst: Annotated[int, Meta(ge=1, le=MAX_COUNT)] | None = None
+    open: Annotated[int, Meta(ge=1, le=MAX_COUNT)] | None = None
 
-class Kind(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Budgets of one form: a rate with a burst, or a count."""
+    def is_complete(self) -> bool:
+        """Return whether there is either a rate with a burst, or a count, and nothing beside it."""
+        has_rate = self.rate is not None and self.burst is not None
+        has_incomplete_rate = (self.rate is None) != (self.burst is None)
+        has_count = self.open is not None
+        return has_rate != has_count and not has_incomplete_rate
 
-    name: Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
-    rate: Annotated[float, msgspec.Meta(gt=0, le=1e6)] | None = None
-    burst: Annotated[int, msgspec.Meta(ge=1, le=10**6)] | None = None
-    open: Annotated[int, msgspec.Meta(ge=1, le=10**6)] | None = None
-
-    def terms(self) -> Terms:
-        return Terms.of(self.rate or 0.0, self.burst if self.open is None else self.open)
+    def limits(self) -> BudgetLimits:
+        """Return the limits of each budget that matches."""
+        if self.open is not None:
+            return BudgetLimits.from_rate(self.rate or 0.0, self.open)
+        return BudgetLimits.from_rate(self.rate or 0.0, self.burst or 0)
 
 
 class Config(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """All of it."""
+    """The whole configuration; times are in milliseconds."""
 
-    budgets: tuple[Kind, ...]
-    doors: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 200
-    lease_ms: Annotated[int, msgspec.Meta(ge=LEAST_LEASE_MS, le=MOST_LEASE_MS)] = LEASE_MS
-    work_lease_ms: Annotated[int, msgspec.Meta(ge=LEAST_LEASE_MS, le=MOST_LEASE_MS)] = WORK_LEASE_MS
+    budgets: tuple[BudgetPattern, ...]
+    gateways: Annotated[int, Meta(ge=1, le=MAX_GATEWAYS)] = msgspec.field(default=200, name="doors")
+    lease_ms: Annotated[int, Meta(ge=MIN_LEASE_MS, le=MAX_LEASE_MS)] = LEASE_MS
+    work_lease_ms: Annotated[int, Meta(ge=MIN_LEASE_MS, le=MAX_LEASE_MS)] = WORK_LEASE_MS
 
-    def terms_of(self, name: str) -> Terms | None:
-        """Those of a budget, by the first form that its name fits; None for one that is not set."""
-        if len(name) > MOST_NAME:
+    def limits_of(self, name: str) -> BudgetLimits | None:
+        """Return the limits of a budget, by the first pattern that its name matches; None without one."""
+        if len(name) > MAX_NAME_LENGTH:
             return None
-        return next((kind.terms() for kind in self.budgets if fnmatchcase(name, kind.name)), None)
+        matching = (pattern for pattern in self.budgets if fnmatchcase(name, pattern.name))
+        pattern = next(matching, None)
+        return pattern.limits() if pattern is not None else None
+
 
+def read_config(path: Path) -> Config:
+    """Return the configuration in a file.
 
-def read(path: Path) -> Config:
-    """The file, or a ConfigError of one line."""
+    Raises:
+        ConfigError: The file cannot be read or used.
+    """
     try:
         config = msgspec.toml.decode(path.read_bytes(), type=Config)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from error
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
-    for kind in config.budgets:
-        rated = kind.rate is not None and kind.burst is not None
-        if rated == (kind.open is not None) or (kind.rate is None) != (kind.burst is None):
-            raise ConfigError(f"{path}: '{kind.name}' needs rate and burst, or open")
+    for pattern in config.budgets:
+        if not pattern.is_complete():
+            raise ConfigError(f"{path}: '{pattern.name}' needs rate and burst, or open")
     return config
--- a/thistletrail/leasing/http_service.py
+++ b/thistletrail/leasing/http_service.py
@@ -1,299 +1,222 @@
-"""The steward on HTTP: one call, signed by a secret that all have; grants are synced before they are told.
-
-Asks that come while the disk is busy are committed together by the next sync.
-"""
+"""The lease service on HTTP: signed calls, whose effects are journaled before they are answered."""
 
 from __future__ import annotations
 
 import asyncio
 import hmac
 import logging
-from collections.abc import Awaitable, Callable, Iterable
-from typing import Any
+from collections.abc import AsyncIterator, Awaitable, Callable
 
 import msgspec
 from aiohttp import web
 
-from thistletrail.leasing.budget_state import Issued, RefusedError, State
+from thistletrail.leasing.committer import Committer
 from thistletrail.leasing.config import Config
+from thistletrail.leasing.errors import FrameError, LeadershipLostError, RequestRejectedError
 from thistletrail.leasing.framing import (
-    FULL,
-    PATH,
-    REFUSED,
-    SIGNATURE,
+    RENEW_PATH,
+    SIGNATURE_HEADER,
+    STATUS_FULL,
+    STATUS_REJECTED,
     WORK_PATH,
-    FrameError,
-    Frames,
-    frame,
+    Frame,
+    FrameReader,
+    encode_frame,
     now_ms,
     sign,
 )
-from thistletrail.leasing.journal import Book
-from thistletrail.leasing.leadership import LostError
-from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, WorkAnswer, WorkAsk, holder_of
-from thistletrail.leasing.work_state import Record, Work
+from thistletrail.leasing.journal import Journal
+from thistletrail.leasing.messages import RenewRequest, WorkRequest
+from thistletrail.leasing.work_records import WorkOutcome
 from thistletrail.write_ahead_log.records import FullError
 
 log = logging.getLogger(__name__)
 
-MOST_BODY = 1 << 19  # bytes: 2,000 budgets with names of 120 characters
-MOST_WORK = 8 << 20  # bytes of an ask on work: 500 ops of some kilobytes, or tens of the largest requests
-MOST_STREAMS = 1000  # calls on work: five times the largest fleet
-TICK_S = 1.0  # between looks at what is over
-LOOK_S = 0.05  # between looks for work that has lost its owner: a twentieth of its lease
-MOST_WAITING = 2000  # asks that wait for the disk: ten from each door of the largest fleet
+MAX_RENEW_BYTES = 1 << 19  # of a body: 2,000 budgets with names of 120 characters
+MAX_WORK_BYTES = 8 << 20  # of a frame: 500 operations of some kilobytes, or tens of the largest requests
+MAX_STREAMS = 1000  # work calls at a time: five times the largest fleet
+
+HTTP_BAD_REQUEST = 400
+HTTP_SERVICE_UNAVAILABLE = 503
+HTTP_INSUFFICIENT_STORAGE = 507
 
 
 @web.middleware
-async def refusals(
+async def errors_as_responses(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """What is refused is one clear sentence."""
+    """Answer an expected error with its status and one plain line."""
     try:
         return await handler(request)
-    except RefusedError as error:
-        return web.Response(status=400, text=f"{error}\n")
+    except RequestRejectedError as error:
+        return web.Response(status=HTTP_BAD_REQUEST, text=f"{error}\n")
     except FullError as error:
-        return web.Response(status=507, text=f"the grant cannot be kept: {error}\n")
-    except LostError as error:
-        return web.Response(status=503, text=f"{error}\n")
+        return web.Response(
+            status=HTTP_INSUFFICIENT_STORAGE, text=f"the grant cannot be persisted: {error}\n"
+        )
+    except LeadershipLostError as error:
+        return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text=f"{error}\n")
 
 
-class Service:
-    """One steward that answers."""
+class LeaseService:
+    """One term of the lease service: the calls that change its states.
 
-    def __init__(self, book: Book, config: Config, secret: bytes, lost: asyncio.Event) -> None:
-        """`lost` is set once another process has the office, by whoever finds out first."""
-        self.book, self.config, self.secret = book, config, secret
-        self.state: State
-        self.work: Work
-        self.state, self.work = book.open(config)
-        self.waiting: list[tuple[Ask | WorkAsk, asyncio.Future[Answer | WorkAnswer]]] = []
-        self.unkept: list[Record] = []  # of work, decided on and not in the log: kept before anything is told
-        self.woken, self.lost = asyncio.Event(), lost
-        self.commits = self.asks = self.streams = 0
-        self.app = web.Application(middlewares=[refusals], client_max_size=MOST_BODY)
+    `app` is the aiohttp application; the journal is closed when that is cleaned up. `lost` is set
+    once another process leads, by whoever finds out first.
+    """
+
+    def __init__(self, journal: Journal, config: Config, secret: bytes, lost: asyncio.Event) -> None:
+        """Read the journal of the term before; this may take long.
+
+        Raises:
+            DamageError: That journal is damaged.
+        """
+        self.secret = secret
+        self.committer = Committer(journal, config, lost)
+        self.stream_count = 0
+        self.app = web.Application(middlewares=[errors_as_responses], client_max_size=MAX_RENEW_BYTES)
         self.app.add_routes(
             [
-                web.post(PATH, self.renew),
-                web.post(WORK_PATH, self.do_work),
-                web.get("/status", self.status),
-                web.get("/parked", self.parked),
+                web.post(RENEW_PATH, self.on_renew),
+                web.post(WORK_PATH, self.on_work_stream),
+                web.get("/status", self.on_status),
+                web.get("/parked", self.on_parked),
             ]
         )
-        self.app.cleanup_ctx.append(self.running)
+        self.app.cleanup_ctx.append(self.background_tasks)
+
+    async def background_tasks(self, _: web.Application) -> AsyncIterator[None]:
+        """Run the committer from the application's start to its cleanup."""
+        async with self.committer.running():
+            yield
 
-    async def running(self, _: web.Application) -> object:
-        tasks = [asyncio.create_task(job()) for job in (self.commit, self.tick, self.look)]
-        yield
-        for task in tasks:
-            task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
-        self.book.close()
+    # --- calls ---
 
-    def signed(self, request: web.Request, body: bytes) -> None:
-        """Whoever lacks the secret is told nothing."""
-        if not hmac.compare_digest(request.headers.get(SIGNATURE, ""), sign(self.secret, body)):
+    def check_signature(self, request: web.Request, body: bytes) -> None:
+        """Answer 403 unless a body is signed by the shared secret."""
+        if not hmac.compare_digest(request.headers.get(SIGNATURE_HEADER, ""), sign(self.secret, body)):
             raise web.HTTPForbidden(text="not signed by the shared secret\n")
 
-    async def renew(self, request: web.Request) -> web.Response:
+    async def on_renew(self, request: web.Request) -> web.Response:
+        """Renew the leases of a holder's budgets."""
         body = await request.read()
-        self.signed(request, body)
+        self.check_signature(request, body)
         try:
-            ask = msgspec.msgpack.decode(body, type=Ask)
+            renewal = msgspec.msgpack.decode(body, type=RenewRequest)
         except msgspec.MsgspecError as error:
-            raise RefusedError(f"no ask: {error}") from error
-        if len(self.waiting) >= MOST_WAITING:
-            return web.Response(status=503, text="too many asks wait\n")
-        said = msgspec.msgpack.encode(await self.decided(ask))
+            raise RequestRejectedError(f"not a renewal request: {error}") from error
+        if self.committer.is_overloaded:
+            return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text="too many requests wait\n")
+        encoded = msgspec.msgpack.encode(await self.committer.submit(renewal))
         return web.Response(
-            body=said, content_type="application/msgpack", headers={SIGNATURE: sign(self.secret, said)}
+            body=encoded,
+            content_type="application/msgpack",
+            headers={SIGNATURE_HEADER: sign(self.secret, encoded)},
         )
 
-    async def do_work(self, request: web.Request) -> web.StreamResponse:
-        """A door's long call: each frame is an ask, and is answered by one. What is not signed ends it."""
-        if self.streams >= MOST_STREAMS:
-            return web.Response(status=503, text="too many calls\n")
+    async def on_work_stream(self, request: web.Request) -> web.StreamResponse:
+        """Answer a gateway's long call: a response for each frame. One that is not signed ends it."""
+        if self.stream_count >= MAX_STREAMS:
+            return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text="too many calls\n")
         response = web.StreamResponse()
-        frames, self.streams = Frames(self.secret, MOST_WORK), self.streams + 1
+        self.stream_count += 1
         try:
-            while (found := frames.next()) is None:  # nothing is answered before the first good frame
-                frames.feed(await self.more(request))
-            await response.prepare(request)
-            while found is not None:
-                await response.write(await self.work_answer(found[1]))
-                while (found := frames.next()) is None:
-                    frames.feed(await self.more(request))
+            await self.answer_frames(request, response)
         except FrameError as error:
-            log.warning("a call on work in hand ends: %s", error)
+            log.warning("a work call ends: %s", error)
             if not response.prepared:
                 raise web.HTTPForbidden(text="not signed by the shared secret\n") from error
         except (EOFError, ConnectionError):
-            pass  # its door has gone
+            pass  # its gateway has disconnected
         finally:
-            self.streams -= 1
+            self.stream_count -= 1
         return response
 
-    async def more(self, request: web.Request) -> bytes:
-        data = await request.content.readany()
-        if not data:
-            raise EOFError
-        return data
-
-    async def work_answer(self, body: bytes) -> bytes:
-        """The frame that answers one ask."""
+    async def answer_frames(self, request: web.Request, response: web.StreamResponse) -> None:
+        """Answer frames until the call ends, by an error; nothing is sent before the first valid frame."""
+        frames = FrameReader(self.secret, MAX_WORK_BYTES)
+        frame = await self.next_frame(request, frames)
+        await response.prepare(request)
+        while True:
+            await response.write(await self.answer_frame(frame))
+            frame = await self.next_frame(request, frames)
+
+    async def next_frame(self, request: web.Request, frames: FrameReader) -> Frame:
+        """Read until a frame is complete; an EOFError at the end of the call."""
+        while (frame := frames.next()) is None:
+            data = await request.content.readany()
+            if not data:
+                raise EOFError
+            frames.feed(data)
+        return frame
+
+    async def answer_frame(self, frame: Frame) -> bytes:
+        """Return the frame that answers one work request."""
         try:
-            if len(self.waiting) >= MOST_WAITING:
-                raise RefusedError("too many asks wait")
-            ask = msgspec.msgpack.decode(body, type=WorkAsk)
-            said = await self.decided(ask)
+            if self.committer.is_overloaded:
+                raise RequestRejectedError("too many requests wait")
+            request = msgspec.msgpack.decode(frame.body, type=WorkRequest)
+            response = await self.committer.submit(request)
         except msgspec.MsgspecError as error:
-            return frame(self.secret, f"no ask: {error}".encode(), REFUSED)
-        except RefusedError as error:
-            return frame(self.secret, str(error).encode(), REFUSED)
-        except LostError as error:
-            raise EOFError from error  # its door goes to whoever has taken over
+            return encode_frame(self.secret, f"not a work request: {error}".encode(), STATUS_REJECTED)
+        except RequestRejectedError as error:
+            return encode_frame(self.secret, str(error).encode(), STATUS_REJECTED)
+        except LeadershipLostError as error:
+            raise EOFError from error  # its gateway goes to whoever has taken over
         except FullError as error:
-            return frame(self.secret, str(error).encode(), FULL)
-        return frame(self.secret, msgspec.msgpack.encode(said))
-
-    def decided(self, ask: Ask | WorkAsk) -> asyncio.Future[Answer | WorkAnswer]:
-        """Take an ask in; the answer comes once what it has brought about is kept."""
-        if self.lost.is_set():
-            raise LostError("another steward has taken over")
-        answer: asyncio.Future[Answer | WorkAnswer] = asyncio.get_running_loop().create_future()
-        self.waiting.append((ask, answer))
-        self.woken.set()
-        return answer
-
-    async def commit(self) -> None:
-        """Decide on all asks that wait, keep what they bring about by one sync, and then answer."""
-        loop = asyncio.get_running_loop()
-        while True:
-            await self.woken.wait()
-            self.woken.clear()
-            batch, self.waiting = self.waiting, []
-            answers, made = [], []
-            for ask, future in batch:
-                try:
-                    answer = self.decide(ask)
-                except RefusedError as error:
-                    future.set_exception(error)
-                    continue
-                answers.append((future, answer))
-                if isinstance(answer, Answer):
-                    made += self.grants_of(answer)
-            kept, self.unkept = self.unkept, []
-            try:
-                await loop.run_in_executor(None, self.book.append, made, kept)
-            except FullError as error:  # in the state grants count as given, until they lapse
-                log.error("grants and work cannot be kept: %s", error)
-                self.unkept = [*self.work.undo(kept), *self.unkept]
-                turn_away(answers, FullError(str(error)))
-                continue
-            except LostError as error:  # what is decided here was told to nobody, and never will be
-                self.lost.set()
-                turn_away([*answers, *((future, ask) for ask, future in self.waiting)], error)
-                return
-            self.commits, self.asks = self.commits + 1, self.asks + len(batch)
-            for future, answer in answers:
-                if not future.done():  # its asker may have gone
-                    future.set_result(answer)
-            if self.book.due() and not self.unkept:
-                await self.snapshot()
-
-    async def snapshot(self) -> None:
-        """Between two commits: nothing is on its way into the log."""
-        try:
-            image = self.book.image(self.state, self.work)
-            await asyncio.get_running_loop().run_in_executor(None, self.book.put, image)
-        except OSError as error:
-            log.warning("no snapshot can be written: %s", error.strerror)
-
-    def decide(self, ask: Ask | WorkAsk) -> Answer | WorkAnswer:
-        now = now_ms()
-        if isinstance(ask, WorkAsk):
-            if len(ask.ops) > MOST_OPS:
-                raise RefusedError(f"an ask has {MOST_OPS} ops at most")
-            answer, records = self.work.ask(ask, now)
-            self.unkept += records
-            return answer
-        for want in ask.wants:
-            if want.budget not in self.state.budgets and (terms := self.config.terms_of(want.budget)):
-                self.state.set_terms(want.budget, terms, now)
-        return self.state.ask(ask, now)
-
-    def grants_of(self, answer: Answer) -> list[tuple[str, str, Issued]]:
-        """The grants of an answer as the state has them."""
-        holder = holder_of(answer.door, answer.mark)
-        return [
-            (grant.budget, holder, self.state.budgets[grant.budget].holdings[holder].issued[-1])
-            for grant in answer.grants
-        ]
-
-    async def tick(self) -> None:
-        while True:
-            await asyncio.sleep(TICK_S)
-            self.state.lapse(now_ms())
-
-    async def look(self) -> None:
-        """Find what has lost its owner; the next commit keeps that, before anybody is told."""
-        while True:
-            await asyncio.sleep(LOOK_S)
-            if found := self.work.look(now_ms()):
-                self.unkept += found
-                self.woken.set()
-
-    def reload(self, config: Config) -> None:
-        """Other terms, from now on; what is granted by the old ones lapses."""
-        self.config = config
-        for name in self.state.budgets:
-            if terms := config.terms_of(name):
-                self.state.set_terms(name, terms, now_ms())
-
-    async def status(self, request: web.Request) -> web.Response:
-        self.signed(request, request.path.encode())
-        now = now_ms()
-        held = {
-            name: {"whole": budget.terms.whole, "held": budget.bound, "holders": len(budget.holdings)}
-            for name, budget in self.state.budgets.items()
-        }
-        work = {
-            "intents": len(self.work.intents),
-            "bytes": self.work.bytes,
-            "doors": len(self.work.members),
-            **self.work.counts,
+            return encode_frame(self.secret, str(error).encode(), STATUS_FULL)
+        return encode_frame(self.secret, msgspec.msgpack.encode(response))
+
+    # --- status ---
+
+    async def on_status(self, request: web.Request) -> web.Response:
+        """Answer what is held of each budget, and counts of work items, as JSON."""
+        self.check_signature(request, request.path.encode())
+        budgets = self.committer.states.budgets
+        reserved = {
+            name: {"whole": budget.limits.total, "held": budget.reserved, "holders": len(budget.holdings)}
+            for name, budget in budgets.budgets.items()
         }
         return web.json_response(
             {
-                "work": work,
-                "fence": self.state.fence,
-                "quiet_ms": max(0, self.state.quiet_until_ms - now),
-                "asks": self.asks,
-                "commits": self.commits,
-                "budgets": held,
+                "work": self.work_status(),
+                "fence": budgets.fence,
+                "quiet_ms": max(0, budgets.quiet_until_ms - now_ms()),
+                "asks": self.committer.request_count,
+                "commits": self.committer.commit_count,
+                "budgets": reserved,
             }
         )
 
-    async def parked(self, request: web.Request) -> web.Response:
-        """Work that has been given up, as it may be what its owners died of, for people to look at."""
-        self.signed(request, request.path.encode())
+    def work_status(self) -> dict[str, int]:
+        """Return counts of work items, by the names that `/status` has for them."""
+        work = self.committer.states.work
+        counters = work.counters
+        return {
+            "intents": len(work.store.items),
+            "bytes": work.store.total_bytes,
+            "doors": len(work.membership.members),
+            "kept": counters.begun,
+            "full": counters.rejected_full,
+            "handed": counters.transferred,
+            "served": counters.ended[WorkOutcome.SERVED],
+            "unknown": counters.ended[WorkOutcome.UNKNOWN],
+            "parked": counters.ended[WorkOutcome.PARKED],
+            "evicted": counters.evicted,
+        }
+
+    async def on_parked(self, request: web.Request) -> web.Response:
+        """Answer the items that were given up, as their owners may have died of them."""
+        self.check_signature(request, request.path.encode())
         return web.json_response(
             [
                 {
-                    "name": one.name,
-                    "customer": one.customer,
-                    "deaths": one.deaths,
-                    "at_ms": one.done_ms,
-                    "request": one.request.decode(errors="replace"),
+                    "name": item.name,
+                    "customer": item.customer,
+                    "deaths": item.deaths,
+                    "at_ms": item.ended_ms,
+                    "request": item.request.decode(errors="replace"),
                 }
-                for one in self.work.parked
+                for item in self.committer.states.work.store.parked
             ]
         )
-
-
-def turn_away(answers: Iterable[tuple[asyncio.Future[Any], object]], error: Exception) -> None:
-    """Whoever still waits learns why there is no answer."""
-    for future, _ in answers:
-        if not future.done():
-            future.set_exception(error)
--- a/thistletrail/leasing/work_holder.py
+++ b/thistletrail/leasing/work_holder.py
@@ -1,151 +1,210 @@
-"""A door's side of work in hand: what it has, under which fences, and until when it may act. Pure.
+"""A gateway's side of work leases: what it owns, under which fencing numbers, and until when it may act.
 
-Before each write, and before each answer, the door asks `holds`. Its lease counts from before it asked, on a
-clock that goes on over suspension, and ends early by a stated margin: what lies between the look at the clock
-and the write itself. What it had when its lease ended is lost to it, whoever has it by now.
+Pure: time is passed in, in milliseconds of a clock that runs in suspension. A gateway calls `owns` before
+each write and each answer. Its lease counts from before the request was sent and ends early by a stated
+margin: what lies between reading the clock and the write itself. What it owned when its lease ended is lost
+to it, whoever owns it by now.
 """
 
 from __future__ import annotations
 
-from thistletrail.leasing.budget_state import MARGIN_SHARE
-from thistletrail.leasing.messages import MOST_OPS, Begin, Done, Handed, Leave, Op, Told, WorkAnswer, WorkAsk
-
-# Between the look at the clock and the last byte's way into the kernel: a turn of the loop on a busy machine.
+from dataclasses import dataclass
+
+from msgspec import Struct
+
+from thistletrail.leasing.budget_state import MARGIN_FRACTION
+from thistletrail.leasing.messages import (
+    MAX_OPERATIONS,
+    BeginWork,
+    CompleteWork,
+    OperationResult,
+    OperationStatus,
+    ReleaseWork,
+    TransferredWork,
+    WorkOperation,
+    WorkRequest,
+    WorkResponse,
+)
+
+# Between reading the clock and the last byte's way into the kernel: a turn of the loop on a busy machine.
 WRITE_MARGIN_MS = 50
-MOST_QUEUED = 4 * MOST_OPS  # ops that wait for the steward: past it work goes on without
-MOST_ASK_BYTES = 4 << 20  # of requests and values in one ask: half of what a steward takes
-MOST_BEGINS = 64  # in one ask, as each may be answered by a kept value of 128 KiB
+MAX_QUEUED = 4 * MAX_OPERATIONS  # operations that wait to be sent: past it work goes on without a lease
+MAX_REQUEST_BYTES = 4 << 20  # of bodies and values in one request: half of what the lease service takes
+MAX_BEGINS = 64  # in one request, as each may be answered by a kept value of 128 KiB
+
+
+@dataclass(frozen=True, slots=True)
+class InFlightRequest:
+    """The request that has no response yet."""
+
+    serial: int
+    sent_ms: int
+    operations: list[WorkOperation]
+
+
+class AppliedOperation(Struct, frozen=True):
+    """An operation, and what became of it."""
 
+    operation: WorkOperation
+    result: OperationResult
 
-class Hand:
-    """All that one start of a door has in hand."""
 
-    def __init__(self, door: int, mark: int) -> None:
-        self.door, self.mark, self.serial = door, mark, 0
+class AppliedResponse(Struct, frozen=True):
+    """What a response has brought: what became of each operation, and items to go on with."""
+
+    operations: tuple[AppliedOperation, ...] = ()
+    transferred: tuple[TransferredWork, ...] = ()
+
+
+class WorkHolder:
+    """All work items that one incarnation of a gateway owns."""
+
+    def __init__(self, gateway: int, incarnation: int) -> None:
+        self.gateway = gateway
+        self.incarnation = incarnation
+        self.serial = 0
         self.until_ms = -1
-        self.held: dict[str, int] = {}  # by name: the fence under which it is ours
-        self.queue: list[Op] = []
-        self.asked: tuple[int, int, list[Op]] | None = None  # serial, when, and ops of the ask that is out
-        self.took: list[int] = []  # fences of the work that the last answer handed: told of having come
-        self.withdrawn: set[str] = set()  # begun, and given up on before there was an answer
-        self.leaving = False
+        self.fences: dict[str, int] = {}  # by name of an owned item: the fencing number
+        self.queue: list[WorkOperation] = []
+        self.in_flight: InFlightRequest | None = None
+        self.accepted_fences: list[int] = []  # of the items of the last response, to acknowledge
+        self.withdrawn: set[str] = set()  # names that were begun, and given up before there was a result
+        self.is_draining = False
 
     # --- what may be done ---
 
     def is_alive(self, now_ms: int) -> bool:
-        """Whether the lease lasts."""
+        """Return whether the lease lasts."""
         return now_ms < self.until_ms
 
-    def holds(self, name: str, fence: int, now_ms: int) -> bool:
-        """Whether a piece of work may be written, answered or ended now."""
-        return self.is_alive(now_ms) and self.held.get(name) == fence
+    def owns(self, name: str, fence: int, now_ms: int) -> bool:
+        """Return whether an item may be written, answered or ended now."""
+        return self.is_alive(now_ms) and self.fences.get(name) == fence
 
-    def lapsed(self, now_ms: int) -> list[str]:
-        """The names of what is lost as the lease has ended. It is let go of, should nobody have taken it."""
-        if self.is_alive(now_ms) or not self.held:
+    def drop_expired(self, now_ms: int) -> list[str]:
+        """Return the names of what is lost as the lease has ended; it is released, if nobody has taken it."""
+        if self.is_alive(now_ms) or not self.fences:
             return []
-        lost = list(self.held)
-        for name, fence in self.held.items():
-            self.queue.append(Leave(name=name, fence=fence))
-        self.held.clear()
+        lost = list(self.fences)
+        for name, fence in self.fences.items():
+            self.queue.append(ReleaseWork(name=name, fence=fence))
+        self.fences.clear()
         return lost
 
-    # --- ops ---
+    # --- operations ---
 
-    def add(self, op: Op) -> bool:
-        """Queue an op: whether there is room."""
-        if len(self.queue) >= MOST_QUEUED:
+    def enqueue(self, operation: WorkOperation) -> bool:
+        """Queue an operation; return whether there was room."""
+        if len(self.queue) >= MAX_QUEUED:
             return False
-        self.queue.append(op)
+        self.queue.append(operation)
         return True
 
-    def leave(self, name: str, on: bool = False, unrun: bool = False) -> None:
-        """Let go of a piece of work."""
-        fence = self.held.pop(name, 0)
+    def forget(self, name: str) -> None:
+        """Own an item no more, without a word to the lease service."""
+        self.fences.pop(name, None)
+
+    def release(self, name: str, transfer: bool = False, never_ran: bool = False) -> None:
+        """Give an item up: for another gateway with `transfer`."""
+        fence = self.fences.pop(name, 0)
         if fence:
-            self.queue.append(Leave(name=name, fence=fence, on=on, unrun=unrun))
+            self.queue.append(ReleaseWork(name=name, fence=fence, transfer=transfer, never_ran=never_ran))
 
     def withdraw(self, name: str) -> None:
-        """Give up on a `Begin` that has not been answered: it is taken back, wherever it is by now."""
-        rest = [op for op in self.queue if not (isinstance(op, Begin) and op.name == name)]
-        if len(rest) < len(self.queue):
-            self.queue = rest
+        """Give up on a `BeginWork` that has no result yet: it is taken back, wherever it is by now."""
+        remaining = [op for op in self.queue if not (isinstance(op, BeginWork) and op.name == name)]
+        if len(remaining) < len(self.queue):
+            self.queue = remaining
         else:
             self.withdrawn.add(name)
 
-    # --- asks ---
+    # --- requests ---
 
-    def ask(self, now_ms: int) -> WorkAsk:
-        """The next ask, with the ops that wait; one is out at a time."""
+    def next_request(self, now_ms: int) -> WorkRequest:
+        """Return the next request, with operations that wait; one is in flight at a time."""
         self.serial += 1
-        count = self.fitting()
-        ops, self.queue = self.queue[:count], self.queue[count:]
-        self.asked = self.serial, now_ms, ops
-        return WorkAsk(
-            door=self.door,
-            mark=self.mark,
+        count = self.fitting_count()
+        operations = self.queue[:count]
+        self.queue = self.queue[count:]
+        self.in_flight = InFlightRequest(self.serial, now_ms, operations)
+        return WorkRequest(
+            gateway=self.gateway,
+            incarnation=self.incarnation,
             serial=self.serial,
-            ops=tuple(ops),
-            took=tuple(self.took),
-            leaving=self.leaving,
+            operations=tuple(operations),
+            accepted_fences=tuple(self.accepted_fences),
+            is_draining=self.is_draining,
         )
 
-    def fitting(self) -> int:
-        """How many of the ops that wait go into one ask: one at least."""
-        size = begins = 0
-        for count, op in enumerate(self.queue[:MOST_OPS]):
-            size += len(op.request) if isinstance(op, Begin) else len(op.value) if isinstance(op, Done) else 0
-            begins += isinstance(op, Begin)
-            if count and (size > MOST_ASK_BYTES or begins > MOST_BEGINS):
+    def fitting_count(self) -> int:
+        """Return how many of the queued operations go into one request: one at least."""
+        size = 0
+        begins = 0
+        for count, operation in enumerate(self.queue[:MAX_OPERATIONS]):
+            size += payload_bytes(operation)
+            begins += isinstance(operation, BeginWork)
+            if count and (size > MAX_REQUEST_BYTES or begins > MAX_BEGINS):
                 return count
-        return min(MOST_OPS, len(self.queue))
+        return min(MAX_OPERATIONS, len(self.queue))
 
-    def unanswered(self) -> None:
-        """The ask that was out got no answer: its ops go again, each of which may be told twice."""
-        if self.asked is not None:
-            self.queue = [*self.asked[2], *self.queue]
-            self.asked = None
+    def requeue_unanswered(self) -> None:
+        """The request in flight got no response: its operations are sent again, some for the second time."""
+        if self.in_flight is not None:
+            self.queue = [*self.in_flight.operations, *self.queue]
+            self.in_flight = None
 
-    def refused(self) -> list[Op]:
-        """The ask that was out was turned away as a whole: what it began goes on without. Those ops."""
-        if self.asked is None:
+    def on_rejected(self) -> list[BeginWork]:
+        """The request in flight was rejected as a whole: return what goes on without a lease."""
+        if self.in_flight is None:
             return []
-        ops, self.asked = self.asked[2], None
-        begun = [op for op in ops if isinstance(op, Begin)]
-        self.withdrawn -= {op.name for op in begun}
-        self.queue = [*(op for op in ops if not isinstance(op, Begin)), *self.queue]
+        operations = self.in_flight.operations
+        self.in_flight = None
+        begun = [operation for operation in operations if isinstance(operation, BeginWork)]
+        self.withdrawn -= {operation.name for operation in begun}
+        others = [operation for operation in operations if not isinstance(operation, BeginWork)]
+        self.queue = [*others, *self.queue]
         return begun
 
-    def lease_end(self, asked_ms: int, lease_ms: int, now_ms: int) -> int:
-        """When to stop: the margins before the lease is over, counted from before the ask."""
-        return asked_ms + lease_ms - max(1, int(lease_ms * MARGIN_SHARE)) - WRITE_MARGIN_MS
-
-    def answered(self, answer: WorkAnswer, now_ms: int) -> tuple[list[tuple[Op, Told]], list[Handed]]:
-        """Take an answer over: what became of each op, and work that is handed to this door."""
-        if self.asked is None or answer.serial != self.asked[0]:
-            return [], []
-        _, asked_ms, ops = self.asked
-        self.asked = None
-        self.until_ms = max(self.until_ms, self.lease_end(asked_ms, answer.lease_ms, now_ms))
-        told = list(zip(ops, answer.told, strict=False))
-        for op, one in told:
-            self.note(op, one)
-        known, self.took = self.took, []
-        if not self.is_alive(now_ms):  # too late to begin anything by it: none of it has come
-            return told, []
-        fresh = [handed for handed in answer.handed if handed.fence not in known]
-        self.took = [handed.fence for handed in answer.handed]
-        for handed in fresh:
-            self.held[handed.name] = handed.fence
-        return told, fresh
-
-    def note(self, op: Op, told: Told) -> None:
-        """What one op has made ours, or shown to be lost."""
-        if isinstance(op, Begin):
-            if told.how == "kept":
-                self.held[op.name] = told.fence
-            if op.name in self.withdrawn:
-                self.withdrawn.discard(op.name)
-                self.leave(op.name, unrun=not told.server)
-        elif told.how == "lost" and self.held.get(op.name) == op.fence:
-            del self.held[op.name]
+    def lease_end_ms(self, sent_ms: int, lease_ms: int) -> int:
+        """Return when to stop: the margins before the lease ends, counted from before the request."""
+        return sent_ms + lease_ms - max(1, int(lease_ms * MARGIN_FRACTION)) - WRITE_MARGIN_MS
+
+    def on_response(self, response: WorkResponse, now_ms: int) -> AppliedResponse:
+        """Apply a response; one to a request that is not in flight any more brings nothing."""
+        in_flight = self.in_flight
+        if in_flight is None or response.serial != in_flight.serial:
+            return AppliedResponse()
+        self.in_flight = None
+        self.until_ms = max(self.until_ms, self.lease_end_ms(in_flight.sent_ms, response.lease_ms))
+        operations = tuple(map(AppliedOperation, in_flight.operations, response.results))
+        for applied in operations:
+            self.apply_result(applied.operation, applied.result)
+        known = self.accepted_fences
+        self.accepted_fences = []
+        if not self.is_alive(now_ms):  # too late to go on with anything: it has not arrived
+            return AppliedResponse(operations)
+        self.accepted_fences = [item.fence for item in response.transferred]
+        arrived = tuple(item for item in response.transferred if item.fence not in known)
+        for item in arrived:
+            self.fences[item.name] = item.fence
+        return AppliedResponse(operations, arrived)
+
+    def apply_result(self, operation: WorkOperation, result: OperationResult) -> None:
+        """Note what an operation has made this gateway's, or shown to be lost."""
+        if isinstance(operation, BeginWork):
+            if result.status is OperationStatus.PERSISTED:
+                self.fences[operation.name] = result.fence
+            if operation.name in self.withdrawn:
+                self.withdrawn.discard(operation.name)
+                self.release(operation.name, never_ran=not result.server)
+        elif result.status is OperationStatus.LOST and self.fences.get(operation.name) == operation.fence:
+            del self.fences[operation.name]
+
+
+def payload_bytes(operation: WorkOperation) -> int:
+    """Return the size of what makes an operation large."""
+    if isinstance(operation, BeginWork):
+        return len(operation.request)
+    if isinstance(operation, CompleteWork):
+        return len(operation.value)
+    return 0
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -10,9 +10,9 @@
 import math
 from typing import TYPE_CHECKING
 
-from thistletrail.leasing.budget_holder import Holder
-from thistletrail.leasing.budget_state import LEASE_MS, State, Terms
-from thistletrail.leasing.messages import Answer, Ask
+from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_state import LEASE_MS, BudgetLimits, BudgetState
+from thistletrail.leasing.messages import RenewRequest, RenewResponse
 from thistletrail.policy import interface as i
 from thistletrail.simulation.clock import MS
 
@@ -31,7 +31,7 @@
 
     def __init__(self, day: Day) -> None:
         self.day, self.on = day, day.scenario.leased or day.scenario.leased_quotas
-        self.state = State(0, day.clock.now // MS, 0)
+        self.state = BudgetState(0, day.clock.now // MS, 0)
         self.held: dict[int, Held] = {}
         self.asks = 0
 
@@ -44,17 +44,17 @@
             self.day.clock.after(first, held.renew, door.life, 0)
             self.day.clock.after(LOOK_US, held.look, door.life)
 
-    def terms(self, key: i.Key) -> Terms:
+    def terms(self, key: i.Key) -> BudgetLimits:
         from thistletrail.policy.allowances import whole_of  # an older revision has none
 
-        return Terms.of(*whole_of(key[0], self.settings.plans[key[2]]))
+        return BudgetLimits.from_rate(*whole_of(key[0], self.settings.plans[key[2]]))
 
-    def ask(self, ask: Ask) -> Answer:
+    def ask(self, ask: RenewRequest) -> RenewResponse:
         now, self.asks = self.day.clock.now // MS, self.asks + 1
-        for want in ask.wants:
+        for want in ask.budgets:
             if want.budget not in self.state.budgets:
-                self.state.set_terms(want.budget, self.terms(key_of(want.budget)), now)
-        return self.state.ask(ask, now)
+                self.state.set_limits(want.budget, self.terms(key_of(want.budget)), now)
+        return self.state.renew(ask, now)
 
 
 class Held:
@@ -62,7 +62,7 @@
 
     def __init__(self, leases: Leases, door: Door) -> None:
         self.leases, self.door, self.clock = leases, door, leases.day.clock
-        self.holder = Holder(door.number, door.life, leases.day.scenario.doors)
+        self.holder = BudgetHolder(door.number, door.life, leases.day.scenario.doors)
         self.keys: dict[str, i.Key] = {}
         self.taken: dict[str, int] = {}
         self.serial = 0  # of the renewal that is due: a sooner one takes its place
@@ -92,37 +92,37 @@
         for want in self.wants():
             name = name_of(want.key)
             self.keys[name] = want.key
-            need, terms = math.ceil(want.need), self.leases.terms(want.key)
+            need, limits = math.ceil(want.need), self.leases.terms(want.key)
             self.needs += need
-            demand = round(want.demand * (THOUSANDTHS if terms.burst else 1))
-            self.holder.use(name, terms, demand, now // MS, need, want.used)
-            self.holder.parts[name].back = want.back
-        for name in [name for name in self.keys if name not in self.holder.parts]:
+            demand = round(want.demand * (THOUSANDTHS if limits.burst else 1))
+            self.holder.set_demand(name, limits, demand, now // MS, need, want.used)
+            self.holder.leases[name].returned_units = want.back
+        for name in [name for name in self.keys if name not in self.holder.leases]:
             del self.keys[name]
-        self.clock.after(ASK_US, self.answered, life, self.leases.ask(self.holder.ask(now // MS)))
+        self.clock.after(ASK_US, self.answered, life, self.leases.ask(self.holder.next_request(now // MS)))
         self.serial += 1
         part = 1 - JITTER * self.leases.day.streams["leases"].uniform()
         self.clock.after(round(part * RENEW_US), self.renew, life, self.serial)
 
-    def answered(self, life: int, answer: Answer) -> None:
+    def answered(self, life: int, answer: RenewResponse) -> None:
         now = self.clock.now
-        if life != self.door.life or not self.holder.answered(answer, now // MS):
+        if life != self.door.life or not self.holder.on_response(answer, now // MS):
             return
         fresh = [
-            (name, part)
-            for name, part in self.holder.parts.items()
-            if part.fence and part.fence != self.taken.get(name)
+            (name, lease)
+            for name, lease in self.holder.leases.items()
+            if lease.fence and lease.fence != self.taken.get(name)
         ]
-        brought = any(part.came for _, part in fresh)
+        brought = any(lease.granted_units for _, lease in fresh)
         self.patience_us = min(2 * self.patience_us + LOOK_US, RENEW_US) if self.needs and not brought else 0
-        for name, part in fresh:
-            self.taken[name] = part.fence
+        for name, lease in fresh:
+            self.taken[name] = lease.fence
             self.door.handle(
                 i.Allowance(
                     self.keys[name],
-                    part.part / part.terms.whole,
-                    part.came,
-                    now + (part.until_ms - now // MS) * MS,
+                    lease.share / lease.limits.total,
+                    lease.granted_units,
+                    now + (lease.until_ms - now // MS) * MS,
                 )
             )
 
