--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -1,4 +1,4 @@
-"""The steward's service: its log over crashes, its wire, a standby, several processes with faults between."""
+"""The lease service: its journal over crashes, its wire, a standby, several processes with faults between."""
 
 import asyncio
 import contextlib
@@ -194,7 +194,7 @@
     again.close()
     with pytest.raises(FolderLockedError, match="there is a history"):
         begin_history(tmp_path, CONFIG)
-    after = Journal(begin_term(tmp_path))  # which has begun a term, and told nobody anything
+    after = Journal(begin_term(tmp_path))  # which has begun a term, and answered nobody
     assert held_by(after) == before
     after.close()
 
@@ -209,25 +209,25 @@
     journal.close()
 
 
-# --- terms of office ---
+# --- leadership ---
 
 
-def test_who_was_passed_over_keeps_nothing_more_and_its_successor_knows_all_it_told(
+def test_a_replaced_leader_answers_nothing_more_and_its_successor_knows_all_it_answered(
     tmp_path: Path, still: int
 ) -> None:
     grown(tmp_path, still)
     old = Journal(begin_term(tmp_path))
     before = held_by(old)
-    told = HolderGrant("open", "7/1", IssuedGrant(10**18, 3, still + 1500))
-    old.append([told])
-    late = Term(tmp_path, old.term.number)  # as a standby that has seen no sign of life
+    answered = HolderGrant("open", "7/1", IssuedGrant(10**18, 3, still + 1500))
+    old.append([answered])
+    late = Term(tmp_path, old.term.number)  # as a standby that has seen no heartbeat
     with pytest.raises(LeadershipLostError, match="taken over"):
         old.append([HolderGrant("open", "8/1", IssuedGrant(10**18 + 1, 3, still + 1500))])
     assert not old.term.is_current() and late.is_current()
     new = Journal(late)
     known = held_by(new)
-    # What was kept and never told may be there too.
-    assert [one for one in known if one.holder != "8/1"] == [*before, told]
+    # What was written and never answered may be there too.
+    assert [one for one in known if one.holder != "8/1"] == [*before, answered]
     with pytest.raises(FolderLockedError):
         Term(tmp_path, old.term.number)  # for one process alone
     old.close()
@@ -237,7 +237,7 @@
     last.close()
 
 
-def test_a_term_whose_process_died_before_it_told_anything_is_passed_over(tmp_path: Path, still: int) -> None:
+def test_a_term_whose_process_died_before_it_answered_anything_is_skipped(tmp_path: Path, still: int) -> None:
     grown(tmp_path, still)
     for _ in range(3):
         term = begin_term(tmp_path)
@@ -257,8 +257,8 @@
     term.close()
 
 
-def test_a_program_from_before_there_were_terms_is_not_passed_over(tmp_path: Path) -> None:
-    """It gives no signs of life, and would go on beside its successor."""
+def test_a_program_from_before_there_were_terms_is_not_replaced(tmp_path: Path) -> None:
+    """It gives no heartbeat, and would go on beside its successor."""
     lock = os.open(tmp_path / "lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(lock, fcntl.LOCK_EX)
     watch = LeaderWatch(tmp_path)
@@ -284,7 +284,7 @@
         one.close()
 
 
-def test_a_standby_goes_by_signs_of_life_and_not_by_its_own_time(tmp_path: Path) -> None:
+def test_a_standby_goes_by_heartbeats_and_not_by_its_own_time(tmp_path: Path) -> None:
     term = begin_term(tmp_path)
     watch = LeaderWatch(tmp_path)
     for number in range(3 * MAX_MISSED_LOOKS):
@@ -323,10 +323,10 @@
 
 @dataclass
 class Fleet:
-    """A steward with its standbys, and holders, each a process of its own."""
+    """A lease service with its standbys, and holders, each a process of its own."""
 
     folder: Path
-    stewards: list[Process] = field(default_factory=list)
+    services: list[Process] = field(default_factory=list)
     standbys: list[subprocess.Popen[bytes]] = field(default_factory=list)
     addresses: list[tuple[str, int]] = field(default_factory=list)
     holders: dict[int, Process] = field(default_factory=dict)
@@ -349,10 +349,10 @@
             "--standby",
         )
 
-    async def steward(self, number: int) -> Process:
+    async def service(self, number: int) -> Process:
         """Started, and waited for until it serves."""
-        process, _ = await start_program(self.words(number), self.folder / f"steward-{number}.log")
-        self.stewards.append(process)
+        process, _ = await start_program(self.words(number), self.folder / f"service-{number}.log")
+        self.services.append(process)
         return process
 
     def standby(self, number: int) -> None:
@@ -378,10 +378,10 @@
             record["at"] > moment for record in self.last("open").values()
         )
 
-    async def holder(self, door: int, demand: int = 1000) -> None:
+    async def holder(self, gateway: int, demand: int = 1000) -> None:
         self.starts += 1
-        told = {
-            "door": door,
+        settings = {
+            "door": gateway,
             "mark": self.starts,
             "doors": 16,
             "addresses": self.addresses,
@@ -392,8 +392,8 @@
             "history": str(self.folder / f"holder-{self.starts}.jsonl"),
         }
         path = self.folder / f"holder-{self.starts}.json"
-        path.write_bytes(msgspec.json.encode(told))
-        self.holders[door], _ = await start_program(
+        path.write_bytes(msgspec.json.encode(settings))
+        self.holders[gateway], _ = await start_program(
             ("-m", "thistletrail.benchmarks.holders", str(path)), self.folder / "log"
         )
 
@@ -405,13 +405,13 @@
         ]
         return sorted(found, key=lambda record: record["at"])
 
-    def held(self, budget: str, door: int | None = None) -> int:
+    def held(self, budget: str, gateway: int | None = None) -> int:
         """What holders may use now, by what they noted."""
         now = now_ms()
         return sum(
             record["part"]
             for (who, _), record in self.last(budget).items()
-            if record["until"] > now and door in (None, who)
+            if record["until"] > now and gateway in (None, who)
         )
 
     def last(self, budget: str) -> dict[tuple[int, int], dict]:
@@ -439,13 +439,13 @@
     (folder / "secret").write_text(SECRET)
     begin_history(folder / "data", CONFIG)
     try:
-        await found.steward(0)
+        await found.service(0)
         found.standby(1)
         found.standby(2)
-        await asyncio.gather(*(found.holder(door) for door in range(holders)))
+        await asyncio.gather(*(found.holder(gateway) for gateway in range(holders)))
         yield found
     finally:
-        for process in (*found.stewards, *found.holders.values()):
+        for process in (*found.services, *found.holders.values()):
             process.kill()
             await process.process.wait()
         found.kill_standbys()
@@ -472,7 +472,7 @@
 
 
 def overdrawn(records: list[dict], budget: str) -> float:
-    """By how much all that was spent ever went beyond one store of the whole."""
+    """By how much all that was spent ever went beyond one store of the total."""
     spent = [record["at"] for record in records if record["kind"] == "spent" and record["budget"] == budget]
     limits, worst = LIMITS[budget], 0.0
     store = Store(limits.total / 1000, limits.burst, spent[0] * 1000 if spent else 0)
@@ -499,10 +499,10 @@
     asyncio.run(act())
 
 
-def test_a_standby_goes_on_with_all_grants_when_the_steward_is_killed(tmp_path: Path) -> None:
+def test_a_standby_goes_on_with_all_grants_when_the_leader_is_killed(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         await found.until(lambda: found.held("open") >= 50)
-        for process in found.stewards:
+        for process in found.services:
             process.kill()
         died = now_ms()
         await found.until(
@@ -513,13 +513,13 @@
     run(act, tmp_path, 6)
 
 
-def test_a_steward_that_hangs_is_passed_over_and_harms_nobody_when_it_wakes(tmp_path: Path) -> None:
+def test_a_leader_that_hangs_is_replaced_and_harms_nobody_when_it_wakes(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         await found.until(lambda: found.held("open") >= 50)
-        found.stewards[0].process.send_signal(signal.SIGSTOP)
+        found.services[0].process.send_signal(signal.SIGSTOP)
         stopped = now_ms()
         await found.until(lambda: found.granted_after(stopped + 1500))
-        found.stewards[0].process.send_signal(signal.SIGCONT)  # with asks in hand
+        found.services[0].process.send_signal(signal.SIGCONT)  # with requests under way
         woke = now_ms()
         await found.until(lambda: found.granted_after(woke))
         found.kill_standbys()  # it stands by, and is the last one that is left
@@ -529,7 +529,7 @@
     run(act, tmp_path, 6)
 
 
-def test_three_stewards_killed_one_by_one_and_all_at_once_at_any_moment(tmp_path: Path) -> None:
+def test_three_lease_services_killed_one_by_one_and_all_at_once_at_any_moment(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         await found.until(lambda: found.held("open") >= 50)
         for turn in range(6):
@@ -537,7 +537,7 @@
             if turn % 2:  # one of them, whichever has the office
                 found.standbys[turn % len(found.standbys)].kill()
             else:
-                for process in (*found.stewards, *found.standbys):
+                for process in (*found.services, *found.standbys):
                     process.kill()
             found.standby(turn % 3)
             found.standby((turn + 1) % 3)
@@ -547,7 +547,7 @@
     run(act, tmp_path, 5)
 
 
-def test_a_folder_lost_under_a_living_steward_is_waited_out_by_whoever_comes(tmp_path: Path) -> None:
+def test_a_folder_lost_under_a_living_leader_is_waited_out_by_its_successor(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         await found.until(lambda: found.held("open") >= 50)
         (found.folder / "data").rename(found.folder / "gone")
@@ -564,14 +564,14 @@
     run(act, tmp_path, 4)
 
 
-def test_parts_of_the_dead_and_the_paused_are_used_elsewhere_and_never_twice(tmp_path: Path) -> None:
+def test_shares_of_the_dead_and_the_paused_are_used_elsewhere_and_never_twice(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         await found.until(lambda: found.held("open") >= 50)
         found.holders[0].process.send_signal(signal.SIGSTOP)
-        for door in (1, 2):
-            found.holders[door].kill()
-            await found.holders[door].process.wait()
-        await found.holder(1)  # back under a new mark, within the lease of the old one
+        for gateway in (1, 2):
+            found.holders[gateway].kill()
+            await found.holders[gateway].process.wait()
+        await found.holder(1)  # back as a new incarnation, within the lease of the old one
         # Three are left of five: what the dead and the paused one had goes to them.
         await found.until(lambda: found.held("open", 3) >= 17)
         assert found.held("open", 0) == 0
@@ -581,12 +581,12 @@
     run(act, tmp_path, 5)
 
 
-def test_all_killed_at_once_come_back_within_the_whole(tmp_path: Path) -> None:
+def test_all_killed_at_once_come_back_within_the_total(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         await found.until(lambda: found.held("open") >= 50)
-        for process in (*found.stewards, *found.holders.values()):
+        for process in (*found.services, *found.holders.values()):
             process.kill()
-        await asyncio.gather(*(found.holder(door) for door in range(5)))
+        await asyncio.gather(*(found.holder(gateway) for gateway in range(5)))
         marks = set(range(6, 11))
         await found.until(
             lambda: marks
@@ -596,7 +596,7 @@
     run(act, tmp_path, 5)
 
 
-def test_who_lacks_the_secret_is_told_nothing(tmp_path: Path) -> None:
+def test_who_lacks_the_secret_is_answered_nothing(tmp_path: Path) -> None:
     async def act(found: Fleet) -> None:
         host, port = found.addresses[0]
         url = f"http://{host}:{port}"
@@ -697,7 +697,7 @@
         (["bogus"], "No such command"),
     ],
 )
-def test_bad_input_is_told_and_is_no_crash(words: list[str], said: str, tmp_path: Path) -> None:
+def test_bad_input_is_reported_and_is_no_crash(words: list[str], said: str, tmp_path: Path) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "thistletrail.leasing", *words],
         cwd=ROOT,
--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -40,33 +40,33 @@
     st.dictionaries(st.text(max_size=3), st.integers(0, 5_000), max_size=30),
     st.integers(0, 1000),
 )
-def test_parts_add_up_to_the_whole_and_are_max_min_fair(
+def test_shares_add_up_to_the_total_and_are_max_min_fair(
     whole: int, demands: dict[str, int], turn: int
 ) -> None:
-    parts = divide(whole, demands, turn)
-    assert parts.keys() == demands.keys() and all(part >= 0 for part in parts.values())
-    assert sum(parts.values()) == (whole if demands else 0)
-    for name, part in parts.items():
-        if part < demands[name]:  # it lacks: nobody has a unit more than it, beyond a rounding
-            assert all(other <= part + 1 for other in parts.values())
+    shares = divide(whole, demands, turn)
+    assert shares.keys() == demands.keys() and all(share >= 0 for share in shares.values())
+    assert sum(shares.values()) == (whole if demands else 0)
+    for name, share in shares.items():
+        if share < demands[name]:  # it lacks: nobody has a unit more than it, beyond a rounding
+            assert all(other <= share + 1 for other in shares.values())
 
 
 def test_units_that_do_not_divide_go_round() -> None:
-    """Five units among 17 doors, each of which wants one: all get as much in the long run."""
+    """Five units among 17 gateways, each of which wants one: all get as much in the long run."""
     names = {f"d{n}": 1 for n in range(17)}
     total = dict.fromkeys(names, 0)
     for turn in range(17 * 20):
-        for name, part in divide(5, names, turn).items():
-            total[name] += part
+        for name, share in divide(5, names, turn).items():
+            total[name] += share
     assert set(total.values()) == {5 * 20}
 
 
 def test_a_lie_about_demand_is_worth_a_fair_share_at_most() -> None:
-    parts = divide(1000, {"liar": 10**12, "a": 100, "b": 400, "c": 400})
-    assert parts == {"liar": 300, "a": 100, "b": 300, "c": 300}
+    shares = divide(1000, {"liar": 10**12, "a": 100, "b": 400, "c": 400})
+    assert shares == {"liar": 300, "a": 100, "b": 300, "c": 300}
 
 
-def test_a_part_grows_in_bounded_steps_and_shrinks_at_once() -> None:
+def test_a_share_grows_in_bounded_steps_and_shrinks_at_once() -> None:
     way = [0]
     while way[-1] < 900:
         way.append(bounded_step(way[-1], 900, 1000))
@@ -161,7 +161,7 @@
     return lease.share if now < lease.until_ms else 0
 
 
-def test_two_doors_settle_at_half_each_and_a_third_makes_them_share() -> None:
+def test_two_gateways_settle_at_half_each_and_a_third_makes_them_share() -> None:
     service, first, second, third = state(), holder(0), holder(1), holder(2)
     renew(service, first, times=5)
     assert leased(first, "open") == leasable_total(100) == 90
@@ -171,18 +171,18 @@
     assert [leased(one, "open") for one in (first, second, third)] == [30, 30, 30]
 
 
-def test_a_leavers_part_is_in_use_elsewhere_after_its_lease() -> None:
+def test_the_share_of_a_dead_gateway_is_in_use_elsewhere_after_its_lease() -> None:
     service, first, second = state(), holder(0), holder(1)
     renew(service, first, second, times=6)
     for now in range(NOW + 1000, NOW + LEASE_MS, 1000):
         renew(service, second, now=now)
-        assert leased(second, "open", now) <= 45  # what the dead one may still believe in is kept
+        assert leased(second, "open", now) <= 45  # what the dead one may still rely on is reserved
     for step in range(4):
         renew(service, second, now=NOW + LEASE_MS + 1000 * step)
     assert leased(second, "open", NOW + LEASE_MS + 3000) == 90
 
 
-def test_a_new_start_of_a_door_does_not_get_the_old_ones_part_before_it_has_lapsed() -> None:
+def test_a_new_incarnation_does_not_get_the_old_ones_share_before_it_has_expired() -> None:
     service, old = state(), holder(0, incarnation=1)
     renew(service, old, times=5)
     fresh = holder(0, incarnation=2)
@@ -194,7 +194,7 @@
     assert leased(old, "open", NOW + LEASE_MS + 4000) == 0  # a paused one that wakes looks at its clock
 
 
-def test_an_answer_after_its_lease_or_of_another_start_is_of_no_use() -> None:
+def test_a_response_after_its_lease_or_of_another_incarnation_is_of_no_use() -> None:
     service, one = state(), holder(0)
     request = one.next_request(NOW)
     response = service.renew(request, NOW)
@@ -205,18 +205,18 @@
     assert one.on_response(response, NOW + LEASE_MS // 2) and not one.on_response(
         response, NOW + LEASE_MS // 2
     )
-    # The lease counts from before it asked, and ends early.
+    # The lease counts from before the request was sent, and ends early.
     assert NOW + 0.9 * LEASE_MS < one.leases["open"].until_ms < NOW + LEASE_MS
 
 
-def test_the_same_ask_again_and_older_ones_are_granted_nothing() -> None:
+def test_the_same_request_again_and_older_ones_are_granted_nothing() -> None:
     service, one = state(), holder(0)
     first, second = one.next_request(NOW), one.next_request(NOW)
     assert service.renew(second, NOW).grants
     assert not service.renew(first, NOW).grants and not service.renew(second, NOW).grants
 
 
-def test_without_the_steward_there_is_the_floor_and_back_without_a_jump() -> None:
+def test_without_the_lease_service_there_is_the_floor_and_back_without_a_jump() -> None:
     service, one = state(), holder(0)
     renew(service, one, times=5)
     assert one.usable_share("open", NOW) == 90 + 1
@@ -237,7 +237,7 @@
     assert leased(one, "open", NOW + 10_000) > 0
 
 
-def test_a_smaller_whole_is_reached_as_holders_agree_or_lapse() -> None:
+def test_a_smaller_total_is_reached_as_holders_acknowledge_or_expire() -> None:
     service, first, second = state(), holder(0), holder(1)
     renew(service, first, second, times=6)
     service.set_limits("open", BudgetLimits(20), NOW)
@@ -258,7 +258,7 @@
     spent, now = 0, NOW
     for step in range(200):
         now = NOW + 100 * step
-        if step % 2 == 0:  # as doors do that wait for units
+        if step % 2 == 0:  # as gateways do that wait for units
             renew(service, one, two, now=now)
         for who in (one, two):
             while who.spend("rate", 1, now):
@@ -281,7 +281,7 @@
 
 def test_a_need_is_met_from_the_pool_and_leaves_half_of_it_for_others() -> None:
     service, one, two = state(), holder(0), holder(1)
-    for step in range(10):  # parts settle, and the pool fills
+    for step in range(10):  # shares settle, and the pool fills
         renew(service, one, two, now=NOW + 1000 * step)
     later = NOW + 9000
     there = service.budgets["rate"].pool_thousandths // 1000
@@ -297,7 +297,7 @@
     assert grant.units == 0
 
 
-def test_what_is_said_is_bounded() -> None:
+def test_requests_and_state_are_bounded() -> None:
     service, one = state(), holder(0)
     requests = tuple(BudgetRequest(budget="open", demand=1) for _ in range(MAX_BUDGETS_IN_REQUEST + 1))
     with pytest.raises(RequestRejectedError, match="2000 budgets at most"):
@@ -320,7 +320,7 @@
     assert grant is not None and fresh.budgets["open"].holdings["0/1"].demand == 0
 
 
-def test_a_budget_without_demand_is_let_go_of() -> None:
+def test_a_budget_without_demand_is_dropped() -> None:
     one = holder(0)
     assert len(one.next_request(NOW + UNUSED_MS).budgets) == 2
     assert one.next_request(NOW + UNUSED_MS + 1).budgets == () and one.usable_share("open", NOW) == 0
@@ -329,7 +329,7 @@
 
 @CALM
 @given(st.integers(0, 10_000), st.integers(2, 12))
-def test_drift_pauses_and_losses_never_make_it_more_than_the_whole(seed: int, count: int) -> None:
+def test_drift_pauses_and_losses_never_make_it_more_than_the_total(seed: int, count: int) -> None:
     """Holders whose clocks drift by 1 in 1,000 either way, who pause, start again and lose answers."""
     chance = random.Random(seed)
     service = state()
@@ -354,7 +354,7 @@
             assert held <= leasable_total(whole)
 
 
-def test_an_answer_without_grants_is_taken_and_changes_nothing() -> None:
+def test_a_response_without_grants_is_accepted_and_changes_nothing() -> None:
     one = holder(0)
     serial = one.next_request(NOW).serial
     assert one.on_response(RenewResponse(gateway=0, incarnation=1, serial=serial, lease_ms=LEASE_MS), NOW)
--- a/tests/test_leasing_wire.py
+++ b/tests/test_leasing_wire.py
@@ -77,20 +77,20 @@
 TRANSFERRED = TransferredWork(name="c/k", fence=9, request=b"req", left_ms=700, server="s1", place="zone 1")
 
 MESSAGES: dict[str, Message] = {
-    "want": BUDGET_REQUEST,
-    "ask": RenewRequest(
+    "BudgetRequest": BUDGET_REQUEST,
+    "RenewRequest": RenewRequest(
         gateway=3,
         incarnation=99,
         serial=12,
         budgets=(BUDGET_REQUEST, BudgetRequest(budget="rate/b", demand=1)),
     ),
-    "grant": GRANT,
-    "answer": RenewResponse(gateway=3, incarnation=99, serial=12, lease_ms=3000, grants=(GRANT,)),
-    "begin": BEGIN,
-    "try_": ATTEMPT,
-    "done": COMPLETE,
-    "leave": RELEASE,
-    "work_ask": WorkRequest(
+    "Grant": GRANT,
+    "RenewResponse": RenewResponse(gateway=3, incarnation=99, serial=12, lease_ms=3000, grants=(GRANT,)),
+    "BeginWork": BEGIN,
+    "AttemptWork": ATTEMPT,
+    "CompleteWork": COMPLETE,
+    "ReleaseWork": RELEASE,
+    "WorkRequest": WorkRequest(
         gateway=3,
         incarnation=99,
         serial=13,
@@ -98,9 +98,9 @@
         accepted_fences=(7, 8),
         is_draining=True,
     ),
-    "told": RESULT,
-    "handed": TRANSFERRED,
-    "work_answer": WorkResponse(
+    "OperationResult": RESULT,
+    "TransferredWork": TRANSFERRED,
+    "WorkResponse": WorkResponse(
         gateway=3,
         incarnation=99,
         serial=13,
@@ -126,15 +126,15 @@
     name="c/k", server="s1", place="zone 1", at_ms=4000, number=2, earlier_never_ran=True
 )
 RECORDS: dict[str, WorkRecord] = {
-    "record_began": BEGAN,
-    "record_tried": ATTEMPTED,
-    "record_owned": WorkOwned(
+    "WorkBegan": BEGAN,
+    "WorkAttempted": ATTEMPTED,
+    "WorkOwned": WorkOwned(
         name="c/k", owner="4/1", fence=9, end_ms=5000, request_id="r-2", deaths=1, awaits_taker=True
     ),
-    "record_ended_served": WorkEnded(name="c/k", outcome=WorkOutcome.SERVED, at_ms=4500, value=b"\xffv"),
-    "record_ended_unknown": WorkEnded(name="c/k", outcome=WorkOutcome.UNKNOWN, at_ms=4500),
-    "record_ended_parked": WorkEnded(name="c/k", outcome=WorkOutcome.PARKED, at_ms=4500),
-    "record_dropped": WorkDropped(name="c/k"),
+    "WorkEnded served": WorkEnded(name="c/k", outcome=WorkOutcome.SERVED, at_ms=4500, value=b"\xffv"),
+    "WorkEnded unknown": WorkEnded(name="c/k", outcome=WorkOutcome.UNKNOWN, at_ms=4500),
+    "WorkEnded parked": WorkEnded(name="c/k", outcome=WorkOutcome.PARKED, at_ms=4500),
+    "WorkDropped": WorkDropped(name="c/k"),
 }
 
 # Recorded at a1df16a: messages as msgpack in hexadecimal, records as the JSON of the log.
@@ -172,7 +172,7 @@
 
 def test_a_grant_has_its_recorded_bytes(journal: Journal) -> None:
     held = HolderGrant("open/a", "3/99", IssuedGrant(1001, 9, 8000, 2))
-    assert as_logged(msgspec.to_builtins(journal.stored_grant(held))) == RECORDED["record_grant"]
+    assert as_logged(msgspec.to_builtins(journal.stored_grant(held))) == RECORDED["StoredGrant"]
 
 
 def test_a_snapshot_has_its_recorded_bytes(journal: Journal) -> None:
@@ -183,7 +183,7 @@
     work.restore(BEGAN)
     work.restore(ATTEMPTED)
     snapshot = journal.snapshot(LeasingStates(budgets, work))
-    assert as_logged(msgspec.to_builtins(snapshot)) == RECORDED["image"]
+    assert as_logged(msgspec.to_builtins(snapshot)) == RECORDED["StoredSnapshot"]
 
 
 def test_a_frame_and_a_signature_have_their_recorded_bytes() -> None:
--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -164,7 +164,7 @@
     assert fleet.work.membership.is_alive("0/1", START + WORK_LEASE_MS - 1)
 
 
-def test_what_clients_ask_again_for_is_waited_for_answered_or_gone_on_with_where_it_ran() -> None:
+def test_what_clients_request_again_is_waited_for_answered_or_gone_on_with_where_it_ran() -> None:
     fleet = Fleet()
     result = fleet.begin(0, begin_work())
     assert fleet.begin(1, begin_work(request_id="again")).status == "elsewhere"
@@ -179,7 +179,7 @@
     assert fleet.begin(1, begin_work(request_id="third", server="s2", place="west")).status == "elsewhere"
 
 
-def test_what_never_ran_is_forgotten_or_handed_over_and_may_run_anywhere() -> None:
+def test_what_never_ran_is_forgotten_or_transferred_and_may_run_anywhere() -> None:
     fleet = Fleet()
     result = fleet.begin(0, begin_work())
     fleet.ask(0, ReleaseWork(name="c/k", fence=result.fence, never_ran=True))
