--- a/thistletrail/leasing/__init__.py
+++ b/thistletrail/leasing/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide budgets, divided among the front doors by leases: never more than the whole."""
+"""The lease service: fleet-wide budgets and ownership of work, by fenced leases."""
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -128,16 +128,18 @@
 
     def find_lost(self, now_ms: int) -> None:
         """Look at every item for a lost owner, or for one that it waits for."""
+        members = self.membership.members
         lost = self.membership.lost(now_ms)
         for item in list(self.store.items.values()):
-            if now_ms >= item.forget_ms:
+            # An item is never forgotten before its end: most are done with at the first comparison.
+            if now_ms >= item.end_ms and now_ms >= item.forget_ms:
                 self.change(WorkDropped(name=item.name))
-            elif item.owner and (item.owner in lost or item.owner not in self.membership.members):
+            elif item.owner and (item.owner in lost or item.owner not in members):
                 self.transfer(item, item.deaths + self.has_died_of(item), now_ms)
             elif item.awaits_taker and not self.must_wait(item, now_ms):
                 self.transfer(item, item.deaths, now_ms)
         for holder in lost:
-            del self.membership.members[holder]
+            del members[holder]
 
     def has_died_of(self, item: WorkItem) -> bool:
         """Return whether its lost owner had the item: one that was never accepted has not killed it."""
