--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -49,7 +49,7 @@
     WorkResponse,
 )
 from thistletrail.simulation.ledger import Store
-from thistletrail.write_ahead_log.records import DamageError, FullError
+from thistletrail.write_ahead_log.record_file import CorruptFileError, WriteFailedError
 
 SECRET = "not for anybody else"
 CONFIG = Config(
@@ -119,7 +119,7 @@
         holder = f"{serial % 3}/1"
         journal.append([HolderGrant("open", holder, state.budgets["open"].holdings[holder].issued[-1])])
         assert answer.grants
-        sizes.append(journal.records.size)
+        sizes.append(journal.records.size_bytes)
     journal.close()
     return sizes
 
@@ -154,14 +154,14 @@
     data = bytearray(log_of(tmp_path / "whole").read_bytes())
     damaged = bytearray(data)
     damaged[sizes[1] + 20] ^= 1
-    with pytest.raises(DamageError, match="is damaged at byte") as caught:
+    with pytest.raises(CorruptFileError, match="is damaged at byte") as caught:
         Journal(begin_term(copied(tmp_path / "whole", tmp_path / "damaged", damaged))).open(CONFIG)
     assert "\n" not in str(caught.value)
     fresh = Journal(begin_term(tmp_path / "other"))
     assert fresh.open(CONFIG).budgets.quiet_until_ms == still + MAX_LEASE_MS
     third = copied(tmp_path / "whole", tmp_path / "third", data[: sizes[0]])
     log_of(third).with_name("snapshot").unlink()
-    with pytest.raises(DamageError, match="is missing, but there is a log"):
+    with pytest.raises(CorruptFileError, match="is missing, but there is a log"):
         Journal(begin_term(third)).open(CONFIG)
 
 
@@ -311,7 +311,7 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", full)
-    with pytest.raises(FullError, match="No space left"):
+    with pytest.raises(WriteFailedError, match="No space left"):
         journal.append(list(state.issued_grants())[:1])
     monkeypatch.undo()
     assert size > 0 and log_of(tmp_path).stat().st_size == size
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from thistletrail.benchmarks import cost
+from thistletrail.benchmarks import cost, quickstart
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.loads import LOADS
 from thistletrail.benchmarks.process import ROOT, check_port, prepare, revision
@@ -36,6 +36,7 @@
 def parser() -> Parser:
     found = Parser(prog="benchmarks", description="What a front door costs, on loopback, with stand-ins.")
     commands = found.add_subparsers(dest="command", required=True, metavar="COMMAND")
+    commands.add_parser("quickstart", help="start one gateway before stubs, and send one request through it")
     costs = commands.add_parser("cost", help="processor time, memory and descriptors of requests")
     costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
     costs.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
@@ -44,7 +45,7 @@
     costs.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
     costs.add_argument("--against", metavar="REV", help="play another revision in turns with this tree")
     costs.add_argument("--pairs", type=whole(MOST_PAIRS), default=5, metavar="N", help="of plays")
-    lists_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the list service")
+    lists_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the registry")
     lists_.add_argument("--watchers", type=whole(900), default=200, metavar="N")
     lists_.add_argument("--instances", type=whole(2000), default=200, metavar="N")
     lists_.add_argument("--changes", type=whole(10_000), default=50, metavar="N")
@@ -67,6 +68,10 @@
     return found
 
 
+async def run_quickstart(_: argparse.Namespace) -> None:
+    print(quickstart.describe(await quickstart.play()))
+
+
 async def run_takeover(args: argparse.Namespace) -> None:
     from thistletrail.benchmarks import work  # its packages are not those of a front door
 
@@ -122,15 +127,15 @@
         args.json.write_text(json.dumps(kept, indent=1) + "\n")
 
 
-async def run_roster(args: argparse.Namespace) -> None:
-    from thistletrail.benchmarks import lists  # its packages are not those of a front door
+async def run_registry(args: argparse.Namespace) -> None:
+    from thistletrail.benchmarks import registry  # its packages are not those of a front door
 
     if args.json:
         check_writable(args.json)
-    found = await lists.play(args.watchers, args.instances, args.changes, args.seed)
-    print(lists.table(found))
+    figures = await registry.measure(args.watchers, args.instances, args.changes, args.seed)
+    print(registry.format_table(figures))
     if args.json:
-        args.json.write_text(json.dumps(lists.as_json(found), indent=1) + "\n")
+        args.json.write_text(json.dumps(registry.to_json_object(figures), indent=1) + "\n")
 
 
 def check_writable(path: Path) -> None:
@@ -148,9 +153,14 @@
     task = asyncio.current_task()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-    await {"cost": run_cost, "registry": run_roster, "takeover": run_takeover, "leases": run_leases}[
-        args.command
-    ](args)
+    commands = {
+        "quickstart": run_quickstart,
+        "cost": run_cost,
+        "registry": run_registry,
+        "takeover": run_takeover,
+        "leases": run_leases,
+    }
+    await commands[args.command](args)
 
 
 def main() -> int:
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -20,16 +20,17 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
 from thistletrail.benchmarks.standins import text
+from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.leases import Renewals
-from thistletrail.fault_injection.listing import Listing
 from thistletrail.fault_injection.plan import Fault, Plan
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
-from thistletrail.gateway.allowance import FURTHER
-from thistletrail.gateway.keep import HEAD, Snapshot, pack
+from thistletrail.gateway import snapshot_records
+from thistletrail.gateway.budget_lease_client import FURTHER
+from thistletrail.gateway.snapshot_store import HEAD, from_record, pack
 from thistletrail.leasing.config import read_config
 from thistletrail.leasing.journal import begin_history
 from thistletrail.simulation.clock import Clock
@@ -43,7 +44,7 @@
 
 def aged(data: bytes, by_ms: int) -> bytes:
     """A door's snapshot as if it had been made so much earlier."""
-    found = msgspec.msgpack.decode(data[HEAD.size :], type=Snapshot)
+    found = from_record(snapshot_records.decode(data[HEAD.size :]))
     return pack(msgspec.structs.replace(found, at_ms=found.at_ms - by_ms))
 
 
@@ -203,7 +204,7 @@
         found = self.relays.get((link, near, far))
         if found is None:
             make = (
-                (lambda: Listing(near, lambda name, at: self.address_of(near, name, at)))
+                (lambda: EndpointListRewriter(near, lambda name, at: self.address_of(near, name, at)))
                 if link in ("doors-list", "doors-follower")
                 else None
             )
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -18,7 +18,7 @@
 
 from thistletrail.fault_injection.relay import THERE, Relay, Side
 from thistletrail.fault_injection.world import World
-from thistletrail.gateway.allowance import FURTHER
+from thistletrail.gateway.budget_lease_client import FURTHER
 from thistletrail.leasing.budget_state import MARGIN_FRACTION, BudgetLimits, divisible_total
 from thistletrail.leasing.messages import RenewRequest, RenewResponse
 from thistletrail.simulation.clock import Clock, S
--- a/thistletrail/gateway/discovery.py
+++ b/thistletrail/gateway/discovery_client.py
@@ -16,16 +16,16 @@
 import h11
 
 from thistletrail.gateway.config import Address, Config, ConfigError, read_address
-from thistletrail.gateway.costs import DISCOVERY, Costs
-from thistletrail.gateway.objects import ObjectReader
-from thistletrail.policy import interface as i
+from thistletrail.gateway.cost_counters import DISCOVERY, Costs
+from thistletrail.gateway.json_stream import ObjectReader
+from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Server, ServerState
 
 log = logging.getLogger(__name__)
 
 STATES = {
-    "SERVING": i.ServerState.UP,
-    "DRAINING": i.ServerState.DRAINING,
-    "DELETED": i.ServerState.GONE,
+    "SERVING": ServerState.UP,
+    "DRAINING": ServerState.DRAINING,
+    "DELETED": ServerState.GONE,
 }
 NAMES = {state: name for name, state in STATES.items()}
 # What a front door has not heard counts as told to it 6 s after a watch fell silent, and 6 s after discovery
@@ -48,7 +48,7 @@
 class News:
     """News of the list for the module, and the addresses that go with it."""
 
-    event: i.ServerList
+    event: EndpointUpdate
     addresses: dict[str, Address]
 
 
@@ -73,19 +73,19 @@
         known = isinstance(value, int | float) and 0 <= value <= most  # also false for what is no number
         return float(value) if known else 0.0
 
-    def server(self, entry: Mapping[str, Any]) -> i.Server:
-        return i.Server(
+    def server(self, entry: Mapping[str, Any]) -> Server:
+        return Server(
             name=str(entry["instanceId"]),
             zone=self.zones.get(entry.get("zone"), -1),
             kind=self.kinds.get(entry.get("machineType"), -1),
             cell=int(entry.get("cell") or 0),
             # In a state that we do not know it is not said to serve: nothing new goes there.
-            state=STATES.get(entry.get("lifecycle"), i.ServerState.DRAINING),
+            state=STATES.get(entry.get("lifecycle"), ServerState.DRAINING),
             size=self.number(entry, "weight", MOST_WEIGHT) or 1.0,
             started_us=self.started_us(self.number(entry, "startedAtMs", MOST_TIME_MS)),
         )
 
-    def entry(self, server: i.Server, address: Address) -> dict[str, Any]:
+    def entry(self, server: Server, address: Address) -> dict[str, Any]:
         """A server in discovery's form, as `server` reads it."""
         started_ms = (server.started_us - self.offset_us) / 1000 if server.started_us else 0
         return {
@@ -99,21 +99,21 @@
             "startedAtMs": started_ms,
         }
 
-    def news(self, value: Mapping[str, Any], kind: i.ListKind | None = None) -> News:
+    def news(self, value: Mapping[str, Any], kind: EndpointUpdateKind | None = None) -> News:
         """A list or changes to it; an entry that makes no sense is passed over."""
-        kind = kind or (i.ListKind.FULL if value.get("reset") else i.ListKind.CHANGES)
+        kind = kind or (EndpointUpdateKind.FULL if value.get("reset") else EndpointUpdateKind.CHANGES)
         servers, addresses = [], {}
         for entry in value["instances"]:
             try:
                 server = self.server(entry)
                 # One that is gone needs no address, and must be heard of in any case.
-                if server.state is not i.ServerState.GONE:
+                if server.state is not ServerState.GONE:
                     addresses[server.name] = read_address(entry["hostPort"])
             except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
                 log.error("passed over an entry of the list: %.200r: %s", entry, error)
                 continue
             servers.append(server)
-        return News(i.ServerList(kind, int(value["generation"]), tuple(servers)), addresses)
+        return News(EndpointUpdate(kind, int(value["generation"]), tuple(servers)), addresses)
 
 
 class StaleError(ValueError):
@@ -229,7 +229,7 @@
         """A whole object. Where it fails, the version stays, and the next watch brings it again."""
         if self.closed:  # what is still in the pipe must not undo what a newer source has told
             return
-        kind = i.ListKind.FULL if self.version is None else None
+        kind = EndpointUpdateKind.FULL if self.version is None else None
         news = self.catalog.news(json.loads(line), kind)
         if self.is_older(news):
             return
@@ -245,7 +245,7 @@
         that did not tell ours, is a StaleError for a time: after that it is taken for all there is."""
         if self.version is None or news.event.version >= self.version or self.newest in (None, self.address):
             return False
-        if news.event.kind is i.ListKind.CHANGES:
+        if news.event.kind is EndpointUpdateKind.CHANGES:
             return True
         now = time.monotonic()
         self.stale_since = now if self.stale_since is None else self.stale_since
@@ -265,11 +265,12 @@
 
     async def run(self) -> None:
         while not self.closed:
+            waited = False
             try:
                 if self.version is None:
-                    await self.read("/catalog/members")
+                    waited = await self.read("/catalog/members")
                 if self.version is not None:
-                    await self.read(f"/catalog/members?watch=1&after={self.version}")
+                    waited = await self.read(f"/catalog/members?watch=1&after={self.version}")
             except (OSError, TimeoutError) as error:
                 log.warning(
                     "no watch on discovery at %s:%d: %s; the list is %s",
@@ -282,15 +283,20 @@
             if self.retiring:
                 return
             self.at = (self.at + 1) % len(self.addresses)
-            await asyncio.sleep(self.random.uniform(0, self.backoff_s))
-            self.backoff_s = min(MOST_BACKOFF_S, self.backoff_s * 2)
+            if not waited:
+                await asyncio.sleep(self.wait_s())
+
+    def wait_s(self) -> float:
+        """The wait before the next try, drawn anew."""
+        most, self.backoff_s = self.backoff_s, min(MOST_BACKOFF_S, self.backoff_s * 2)
+        return self.random.uniform(0, most)
 
     def age(self) -> str:
         age = self.age_s()
         return f"{age:.1f} s old" if age >= 0 else "the one known at the start"
 
-    async def read(self, target: str) -> None:
-        """One answer, until it ends or has been silent for too long."""
+    async def read(self, target: str) -> bool:
+        """One answer, until it ends or has been silent for too long; whether the next try is due then."""
         host, port = self.address
         self.costs.watches += 1
         self.sockets += 1
@@ -299,19 +305,27 @@
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: self.kind(target, f"{host}:{port}", self.line), host, port
                 )
-            await self.follow(connection)
+            return await self.follow(connection)
         finally:
             self.sockets -= 1
 
-    async def follow(self, connection: WatchConnection) -> None:
+    async def follow(self, connection: WatchConnection) -> bool:
         self.connection = connection
         try:
             while not connection.ended.done():
                 left = connection.due() - time.monotonic()
                 if left <= 0:
                     log.warning("the watch on discovery is silent; the list is %s", self.age())
-                    return
-                await asyncio.wait([connection.ended], timeout=left)
+                    if connection.answered:  # what it has missed it would never tell
+                        return False
+                    # It is answered as discovery comes back, and what that tells counts at once: it stays
+                    # open while the next try waits.
+                    await asyncio.wait([connection.ended], timeout=self.wait_s())
+                    if not connection.answered:
+                        return True
+                else:
+                    await asyncio.wait([connection.ended], timeout=left)
+            return False
         finally:
             connection.close()
 
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -22,7 +22,7 @@
 from thistletrail.leasing.journal import Journal, begin_history
 from thistletrail.leasing.leadership import Term, begin_term, maintain_leadership, wait_for_term
 from thistletrail.leasing.model_checking.command import check_command
-from thistletrail.write_ahead_log.records import DamageError
+from thistletrail.write_ahead_log.record_file import CorruptFileError
 
 log = logging.getLogger("thistletrail.leasing")
 
@@ -152,7 +152,7 @@
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
         asyncio.run(serve(data, config_path, read_secret(secret), host, int(port), standby))
-    except (ConfigError, FolderLockedError, DamageError) as error:
+    except (ConfigError, FolderLockedError, CorruptFileError) as error:
         sys.exit(f"leasing: {error}")
     except OSError as error:
         sys.exit(f"leasing: {error.filename or listen}: {error.strerror}")
--- a/thistletrail/leasing/committer.py
+++ b/thistletrail/leasing/committer.py
@@ -25,7 +25,7 @@
     holder_name,
 )
 from thistletrail.leasing.work_records import WorkRecord
-from thistletrail.write_ahead_log.records import FullError
+from thistletrail.write_ahead_log.record_file import WriteFailedError
 
 log = logging.getLogger(__name__)
 
@@ -189,10 +189,10 @@
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(None, self.journal.append, batch.grants, records)
-        except FullError as error:  # in the state grants count as made, until they expire
+        except WriteFailedError as error:  # in the state grants count as made, until they expire
             log.error("grants and work items cannot be persisted: %s", error)
             self.unwritten = [*self.states.work.undo(records), *self.unwritten]
-            batch.fail(FullError(str(error)))
+            batch.fail(WriteFailedError(str(error)))
             return False
         return True
 
--- a/thistletrail/leasing/http_service.py
+++ b/thistletrail/leasing/http_service.py
@@ -28,7 +28,7 @@
 from thistletrail.leasing.journal import Journal
 from thistletrail.leasing.messages import RenewRequest, WorkRequest
 from thistletrail.leasing.work_records import WorkOutcome
-from thistletrail.write_ahead_log.records import FullError
+from thistletrail.write_ahead_log.record_file import WriteFailedError
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +50,7 @@
         return await handler(request)
     except RequestRejectedError as error:
         return web.Response(status=HTTP_BAD_REQUEST, text=f"{error}\n")
-    except FullError as error:
+    except WriteFailedError as error:
         return web.Response(
             status=HTTP_INSUFFICIENT_STORAGE, text=f"the grant cannot be persisted: {error}\n"
         )
@@ -163,7 +163,7 @@
             return encode_frame(self.secret, str(error).encode(), STATUS_REJECTED)
         except LeadershipLostError as error:
             raise EOFError from error  # its gateway goes to whoever has taken over
-        except FullError as error:
+        except WriteFailedError as error:
             return encode_frame(self.secret, str(error).encode(), STATUS_FULL)
         return encode_frame(self.secret, msgspec.msgpack.encode(response))
 
--- a/thistletrail/leasing/journal.py
+++ b/thistletrail/leasing/journal.py
@@ -25,7 +25,13 @@
 from thistletrail.leasing.leadership import LOG_NAME, SNAPSHOT_NAME, Term, begin_term
 from thistletrail.leasing.work_records import WorkRecord
 from thistletrail.leasing.work_state import WorkState
-from thistletrail.write_ahead_log.records import DamageError, Records, read_log, read_whole, write_whole
+from thistletrail.write_ahead_log.record_file import (
+    CorruptFileError,
+    RecordFile,
+    decode_records,
+    read_single_record,
+    replace_single_record,
+)
 
 log = logging.getLogger(__name__)
 
@@ -111,7 +117,7 @@
         self.term = term
         self.boot_id = boot_id()
         self.snapshot_path = term.path / SNAPSHOT_NAME
-        self.records = Records(term.path / LOG_NAME)
+        self.records = RecordFile(term.path / LOG_NAME)
 
     # --- reading ---
 
@@ -119,7 +125,7 @@
         """Return the states as the terms before answered them, or new ones; written as this term's snapshot.
 
         Raises:
-            DamageError: The journal of the term before is damaged.
+            CorruptFileError: The journal of the term before is damaged.
         """
         states = self.read_predecessor(config)
         self.records.open()
@@ -141,7 +147,7 @@
         try:
             return self.restore(stored, config, first_fence, now)
         except (KeyError, TypeError, ValueError) as error:
-            raise DamageError(
+            raise CorruptFileError(
                 f"{self.term.folder} holds a record that the lease service does not know: {error!r}"
             ) from error
 
@@ -203,7 +209,7 @@
         What is written may be answered while this term lasts, which is looked at last.
 
         Raises:
-            FullError: They cannot be written; the log is as before.
+            WriteFailedError: They cannot be written; the log is as before.
             LeadershipLostError: A later term has begun.
         """
         stored_grants = [msgspec.to_builtins(self.stored_grant(grant)) for grant in grants]
@@ -213,7 +219,7 @@
 
     def is_snapshot_due(self) -> bool:
         """Return whether the log has grown so long that a snapshot is to replace it."""
-        return self.records.count >= MAX_RECORDS or self.records.size >= MAX_LOG_BYTES
+        return self.records.record_count >= MAX_RECORDS or self.records.size_bytes >= MAX_LOG_BYTES
 
     def snapshot(self, states: LeasingStates) -> StoredSnapshot:
         """Return all that may be relied on, as it is stored."""
@@ -228,8 +234,8 @@
 
     def write_snapshot(self, snapshot: StoredSnapshot) -> None:
         """Write a snapshot into one file; then empty the log that it replaces."""
-        write_whole(self.snapshot_path, msgspec.to_builtins(snapshot))
-        self.records.empty()
+        replace_single_record(self.snapshot_path, msgspec.to_builtins(snapshot))
+        self.records.clear()
 
     def close(self) -> None:
         """Close the log, and let go of the term."""
@@ -244,16 +250,16 @@
     is missed.
 
     Raises:
-        DamageError: The log is damaged before its end, or there is a log without a snapshot.
+        CorruptFileError: The log is damaged before its end, or there is a log without a snapshot.
     """
     log_path = path / LOG_NAME
     data = log_path.read_bytes() if log_path.exists() else b""
-    records, end = read_log(data, str(log_path))
-    if end < len(data):
-        log.warning("%s: %d bytes of an incomplete record are skipped", log_path, len(data) - end)
-    snapshot = read_whole(path / SNAPSHOT_NAME)
+    decoded = decode_records(data, str(log_path))
+    if decoded.end < len(data):
+        log.warning("%s: %d bytes of an incomplete record are skipped", log_path, len(data) - decoded.end)
+    snapshot = read_single_record(path / SNAPSHOT_NAME)
     if snapshot is None:
-        if records:
-            raise DamageError(f"{path / SNAPSHOT_NAME} is missing, but there is a log")
+        if decoded.values:
+            raise CorruptFileError(f"{path / SNAPSHOT_NAME} is missing, but there is a log")
         return None
-    return StoredTerm(snapshot, records)
+    return StoredTerm(snapshot, decoded.values)
--- a/thistletrail/leasing/leadership.py
+++ b/thistletrail/leasing/leadership.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 
 from thistletrail.leasing.errors import FolderLockedError
-from thistletrail.write_ahead_log.records import sync_folder
+from thistletrail.write_ahead_log.record_file import sync_directory
 
 log = logging.getLogger(__name__)
 
@@ -140,7 +140,7 @@
             os.close(self.lock_file)
             raise FolderLockedError(f"another lease service has the folder {folder}") from None
         claim.replace(self.path / LOCK_NAME)  # locked already when others can see it
-        sync_folder(folder)
+        sync_directory(folder)
         # Held open, so that the file system gives its inode number to no other folder.
         self.folder_file = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
