--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistletrail.leasing.budget_holder import MAX_UNANSWERED, UNUSED_MS, BudgetHolder
+from thistletrail.leasing.budget_holder import MAX_UNANSWERED, UNUSED_MS, BudgetHolder, Demand
 from thistletrail.leasing.budget_state import (
     LEASE_MS,
     MAX_BUDGETS,
@@ -25,6 +25,7 @@
 from thistletrail.leasing.model_checking.budget_transitions import EventKind, transitions
 from thistletrail.leasing.model_checking.budget_world import first_world
 from thistletrail.leasing.model_checking.budgets import check_all_walks, check_near_states, check_walks
+from thistletrail.leasing.model_checking.search import Walks
 
 NOW = 1_000_000
 COUNT, RATE = BudgetLimits(100), BudgetLimits(10_000, 20)
@@ -87,11 +88,11 @@
 
 
 def test_random_walks_of_a_larger_fleet_hold() -> None:
-    result = check_walks(BudgetModel, 5, 2, 12, 60, 3)
+    result = check_walks(BudgetModel, 5, 2, Walks(12, 60, 3))
     assert result.violation == "" and result.states == 12 * 60
 
 
-WALKS = (2, 1, 1200, 30, 1)  # gateways, budgets, walks, events and seed
+WALKS = (2, 1, Walks(1200, 30, 1))  # gateways, budgets, and the walks
 
 
 def test_nothing_is_found_on_these_walks_where_nothing_is_planted() -> None:
@@ -144,7 +145,7 @@
 ) -> BudgetHolder:
     found = BudgetHolder(gateway, incarnation, gateways)
     for name, one in (terms or {"open": COUNT, "rate": RATE}).items():
-        found.set_demand(name, one, demand, NOW)
+        found.set_demand(name, one, Demand(demand), NOW)
     return found
 
 
--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -31,6 +31,7 @@
     WorkRequest,
     WorkResponse,
 )
+from thistletrail.leasing.model_checking.search import Walks
 from thistletrail.leasing.model_checking.work import check_near_states, check_walks
 from thistletrail.leasing.model_checking.work_faults import PLANTED_FAULTS, WorkModel
 from thistletrail.leasing.work_holder import (
@@ -554,13 +555,13 @@
 
 
 def test_far_states_hold() -> None:
-    result = check_walks(WorkModel, 3, 300, 30, 2)
+    result = check_walks(WorkModel, 3, Walks(300, 30, 2))
     assert not result.violation, result.trace
 
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: fault.name)
 def test_each_planted_fault_is_found(fault: type[WorkModel]) -> None:
-    assert check_walks(fault, 3, 20_000, 25, 1).violation
+    assert check_walks(fault, 3, Walks(20_000, 25, 1)).violation
 
 
 # --- the module ---
--- a/thistletrail/benchmarks/holders.py
+++ b/thistletrail/benchmarks/holders.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_holder import BudgetHolder, Demand
 from thistletrail.leasing.budget_state import BudgetLimits
-from thistletrail.leasing.client import LeaseRenewer
+from thistletrail.leasing.client import LeaseRenewer, ServiceSettings
 from thistletrail.leasing.framing import now_ms
 
 NEED = 10  # units of a rate that it has a use for at once, at any time
@@ -54,7 +54,8 @@
 
     def want(self) -> None:
         for name, terms in self.terms.items():
-            self.holder.set_demand(name, terms, self.told.demands[name], now_ms(), NEED if terms.burst else 0)
+            demand = Demand(self.told.demands[name], NEED if terms.burst else 0)
+            self.holder.set_demand(name, terms, demand, now_ms())
 
     def renewed(self) -> None:
         """Grants that were taken over, and those whose lease was renewed."""
@@ -66,9 +67,7 @@
     async def run(self) -> None:
         renewer = LeaseRenewer(
             self.holder,
-            self.told.addresses,
-            self.told.secret.encode(),
-            self.told.lease_ms,
+            ServiceSettings(self.told.addresses, self.told.secret.encode(), self.told.lease_ms),
             random.Random(self.told.mark),
             self.want,
             self.renewed,
--- a/thistletrail/benchmarks/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -14,7 +14,7 @@
 from hdrh.histogram import HdrHistogram
 
 from thistletrail.benchmarks.work import DIGITS, MOST_US, steward
-from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_holder import BudgetHolder, Demand
 from thistletrail.leasing.budget_state import BudgetLimits
 from thistletrail.leasing.client import RenewalConnection
 from thistletrail.leasing.config import read_config
@@ -77,7 +77,7 @@
         now, began = now_ms(), time.monotonic_ns()
         for name in self.budgets:
             demand, waits = self.chance.randrange(3000), self.chance.random() < NEED_SHARE
-            self.holder.set_demand(name, BudgetLimits.from_rate(RATE, BURST), demand, now, int(waits))
+            self.holder.set_demand(name, BudgetLimits.from_rate(RATE, BURST), Demand(demand, int(waits)), now)
         body = msgspec.msgpack.encode(self.holder.next_request(now))
         found = (await self.line.call(body, sign(self.secret, body))).body
         answer = msgspec.msgpack.decode(found, type=RenewResponse)
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -13,9 +13,9 @@
 
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.config import Config
-from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_holder import BudgetHolder, Demand
 from thistletrail.leasing.budget_state import BudgetLimits
-from thistletrail.leasing.client import RENEW_FRACTION, LeaseRenewer
+from thistletrail.leasing.client import RENEW_FRACTION, LeaseRenewer, ServiceSettings
 from thistletrail.leasing.framing import now_ms
 from thistletrail.policy.events import BudgetGranted, BudgetKey
 from thistletrail.policy.leased_budgets import wanted, whole_of
@@ -47,9 +47,7 @@
         steward = config.steward
         self.renewer = LeaseRenewer(
             self.holder,
-            steward.addresses,
-            steward.secret,
-            steward.lease_ms,
+            ServiceSettings(steward.addresses, steward.secret, steward.lease_ms),
             chance,
             self.prepare,
             self.renewed,
@@ -94,7 +92,7 @@
             need, terms = math.ceil(want.needed), self.terms(want.key)
             self.needs += need
             demand = round(want.demand * (THOUSANDTHS if terms.burst else 1))
-            self.holder.set_demand(name, terms, demand, now, need, want.in_use)
+            self.holder.set_demand(name, terms, Demand(demand, need, want.in_use), now)
             self.holder.leases[name].returned_units = want.returned
         for name in [name for name in self.keys if name not in self.holder.leases]:
             del self.keys[name]
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -8,6 +8,7 @@
 import logging
 import signal
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 from urllib.error import HTTPError, URLError
 from urllib.request import Request, urlopen
@@ -35,38 +36,57 @@
 FOLDER = click.Path(file_okay=False, path_type=Path)
 
 
-async def serve(folder: Path, config_path: Path, secret: bytes, host: str, port: int, standby: bool) -> None:
+@dataclass(frozen=True, slots=True)
+class ServeOptions:
+    """What `serve` is started with."""
+
+    folder: Path
+    config_path: Path
+    secret: bytes
+    host: str
+    port: int
+    standby: bool
+
+
+async def serve(options: ServeOptions) -> None:
     """Serve until SIGTERM or SIGINT; a standby serves in its terms, and stands by again between them.
 
     Raises:
         FolderLockedError: Another process leads, and this is no standby.
     """
-    config = read_config(config_path)
+    config = read_config(options.config_path)
+    port = options.port
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
-    while term := await wait_for_term(folder, stopped) if standby else begin_term(folder):
-        served = TermServer(term, config, config_path, secret)
-        port = await served.run(host, port, stopped)
+    while term := await next_term(options, stopped):
+        served = TermServer(term, config, options)
+        port = await served.run(port, stopped)
         if stopped.is_set():
             return
-        if not standby:
-            raise FolderLockedError(f"another lease service has taken over the folder {folder}")
-        log.warning("another lease service has taken over the folder %s", folder)
+        if not options.standby:
+            raise FolderLockedError(f"another lease service has taken over the folder {options.folder}")
+        log.warning("another lease service has taken over the folder %s", options.folder)
         config = served.config  # as a SIGHUP has left it
 
 
+async def next_term(options: ServeOptions, stopped: asyncio.Event) -> Term | None:
+    """Return the next term of this process, which a standby waits for; None if it is stopped before."""
+    if options.standby:
+        return await wait_for_term(options.folder, stopped)
+    return begin_term(options.folder)
+
+
 class TermServer:
     """Serves HTTP for as long as one term lasts."""
 
-    def __init__(self, term: Term, config: Config, config_path: Path, secret: bytes) -> None:
+    def __init__(self, term: Term, config: Config, options: ServeOptions) -> None:
         self.term = term
         self.config = config
-        self.config_path = config_path
-        self.secret = secret
+        self.options = options
 
-    async def run(self, host: str, port: int, stopped: asyncio.Event) -> int:
+    async def run(self, port: int, stopped: asyncio.Event) -> int:
         """Serve until it is stopped, or another process leads; return the port that was listened on."""
         lost = asyncio.Event()
         loop = asyncio.get_running_loop()
@@ -74,19 +94,19 @@
         try:
             # Reading the journal may take long, in which heartbeats go on.
             service = await loop.run_in_executor(
-                None, LeaseService, Journal(self.term), self.config, self.secret, lost
+                None, LeaseService, Journal(self.term), self.config, self.options.secret, lost
             )
             loop.add_signal_handler(signal.SIGHUP, self.reload, service)
-            return await listen(service, host, port, stopped)
+            return await listen(service, self.options.host, port, stopped)
         finally:
             keeping.cancel()
 
     def reload(self, service: LeaseService) -> None:
         """Read the configuration again; it stays as it was where that is not possible."""
         try:
-            self.config = read_config(self.config_path)
+            self.config = read_config(self.options.config_path)
         except ConfigError as error:
-            log.error("the configuration stays as it was: %s", error)
+            log.error("the configuration stays as it was: %s", error)  # noqa: TRY400 - no fault of the code
         else:
             service.committer.reload(self.config)
 
@@ -151,7 +171,8 @@
         raise click.BadParameter(f"'{listen}' is not HOST:PORT")
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
-        asyncio.run(serve(data, config_path, read_secret(secret), host, int(port), standby))
+        options = ServeOptions(data, config_path, read_secret(secret), host, int(port), standby)
+        asyncio.run(serve(options))
     except (ConfigError, FolderLockedError, CorruptFileError) as error:
         sys.exit(f"leasing: {error}")
     except OSError as error:
--- a/thistletrail/leasing/budget_holder.py
+++ b/thistletrail/leasing/budget_holder.py
@@ -9,6 +9,8 @@
 
 from dataclasses import dataclass
 
+from msgspec import Struct
+
 from thistletrail.leasing.budget_state import MARGIN_FRACTION, THOUSANDTHS, BudgetLimits, floor_share
 from thistletrail.leasing.messages import BudgetRequest, Grant, RenewRequest, RenewResponse
 
@@ -16,6 +18,20 @@
 MAX_UNANSWERED = 8  # requests: the response to an older one is of no use any more
 
 
+class Demand(Struct, frozen=True):
+    """What a holder needs of a budget.
+
+    Attributes:
+        amount: Recent demand: a count, or thousandths of units a second.
+        needed_units: Units that requests wait for now, beyond what the holder has.
+        in_use: How much of a count is in use.
+    """
+
+    amount: int
+    needed_units: int = 0
+    in_use: int = 0
+
+
 @dataclass(slots=True)
 class BudgetLease:
     """What a holder has of one budget."""
@@ -64,24 +80,16 @@
         self.sent_ms: dict[int, int] = {}  # by serial: when each unanswered request was made
         self.leases: dict[str, BudgetLease] = {}
 
-    def set_demand(
-        self,
-        budget: str,
-        limits: BudgetLimits,
-        demand: int,
-        now_ms: int,
-        needed_units: int = 0,
-        in_use: int = 0,
-    ) -> None:
+    def set_demand(self, budget: str, limits: BudgetLimits, demand: Demand, now_ms: int) -> None:
         """Note demand for a budget: it is requested until there has been none for a while."""
         lease = self.leases.get(budget)
         if lease is None:
             lease = BudgetLease(limits, level_at_ms=now_ms)
             self.leases[budget] = lease
-        lease.demand = demand
+        lease.demand = demand.amount
         lease.last_demand_ms = now_ms
-        lease.needed_units = needed_units
-        lease.in_use = in_use
+        lease.needed_units = demand.needed_units
+        lease.in_use = demand.in_use
 
     # --- renewals ---
 
--- a/thistletrail/leasing/client.py
+++ b/thistletrail/leasing/client.py
@@ -173,24 +173,29 @@
         return frame
 
 
+@dataclass(frozen=True, slots=True)
+class ServiceSettings:
+    """How to reach the lease service: the addresses of all its processes, the shared secret, its lease."""
+
+    addresses: tuple[Address, ...]
+    secret: bytes
+    lease_ms: int
+
+
 class LeaseRenewer:
     """Keeps the leases of a holder alive: batched and jittered renewals, at one of several addresses."""
 
     def __init__(
         self,
         holder: BudgetHolder,
-        addresses: tuple[Address, ...],
-        secret: bytes,
-        lease_ms: int,
+        service: ServiceSettings,
         random_source: random.Random,
         prepare: Callable[[], None],
         on_renewed: Callable[[], None],
     ) -> None:
         """`prepare` is called before each request, to set demand; `on_renewed` once a response is adopted."""
         self.holder = holder
-        self.addresses = addresses
-        self.secret = secret
-        self.lease_ms = lease_ms
+        self.service = service
         self.random = random_source
         self.prepare = prepare
         self.on_renewed = on_renewed
@@ -202,7 +207,7 @@
 
     async def run(self) -> None:
         """Renew until it is cancelled; the first time at once, spread over a fraction of the interval."""
-        interval_s = self.lease_ms * RENEW_FRACTION / 1000
+        interval_s = self.service.lease_ms * RENEW_FRACTION / 1000
         await asyncio.sleep(self.random.uniform(0, interval_s * JITTER))
         try:
             while True:
@@ -231,7 +236,6 @@
         try:
             async with asyncio.timeout(timeout_s):
                 await self.renew()
-            return True
         except (
             OSError,
             TimeoutError,
@@ -240,24 +244,25 @@
             msgspec.MsgspecError,
         ) as error:
             self.failures += 1
-            host, port = self.addresses[self.address_index]
+            host, port = self.service.addresses[self.address_index]
             reason = str(error) or "it does not answer"
             log.warning("no renewal by the lease service at %s:%d: %s", host, port, reason)
             self.disconnect()
-            self.address_index = (self.address_index + 1) % len(self.addresses)
+            self.address_index = (self.address_index + 1) % len(self.service.addresses)
             return False
+        return True
 
     async def renew(self) -> None:
         """Send one request, check the response, and adopt it."""
         if self.connection is None:
-            self.connection = RenewalConnection(self.addresses[self.address_index])
+            self.connection = RenewalConnection(self.service.addresses[self.address_index])
         self.prepare()
         body = msgspec.msgpack.encode(self.holder.next_request(now_ms()))
-        response = await self.connection.call(body, sign(self.secret, body))
+        response = await self.connection.call(body, sign(self.service.secret, body))
         if response.status != HTTP_OK:
             text = response.body.decode(errors="replace").strip()[:MAX_ERROR_LENGTH]
             raise ServiceUnavailableError(text or f"status {response.status}")
-        if not hmac.compare_digest(response.signature, sign(self.secret, response.body)):
+        if not hmac.compare_digest(response.signature, sign(self.service.secret, response.body)):
             raise ServiceUnavailableError("the response is not signed by the shared secret")
         if self.holder.on_response(msgspec.msgpack.decode(response.body, type=RenewResponse), now_ms()):
             self.on_renewed()
--- a/thistletrail/leasing/http_service.py
+++ b/thistletrail/leasing/http_service.py
@@ -152,9 +152,9 @@
 
     async def answer_frame(self, frame: Frame) -> bytes:
         """Return the frame that answers one work request."""
+        if self.committer.is_overloaded:
+            return encode_frame(self.secret, b"too many requests wait", STATUS_REJECTED)
         try:
-            if self.committer.is_overloaded:
-                raise RequestRejectedError("too many requests wait")
             request = msgspec.msgpack.decode(frame.body, type=WorkRequest)
             response = await self.committer.submit(request)
         except msgspec.MsgspecError as error:
--- a/thistletrail/leasing/model_checking/budget_transitions.py
+++ b/thistletrail/leasing/model_checking/budget_transitions.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 
 from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_state import THOUSANDTHS
 from thistletrail.leasing.messages import RenewRequest, RenewResponse
 from thistletrail.leasing.model_checking.budget_faults import LEASE_MS
 from thistletrail.leasing.model_checking.budget_world import (
@@ -90,7 +91,7 @@
     who = f"gateway {holder.gateway} (incarnation {holder.incarnation})"
     if world.requests_of.get(number, 0) < MAX_REQUESTS:
         yield transition(world, EventKind.SEND_REQUEST, f"{who} sends a request", sending(number))
-    if any(lease.level_thousandths >= 1000 for lease in holder.leases.values()):
+    if any(lease.level_thousandths >= THOUSANDTHS for lease in holder.leases.values()):
         yield transition(world, EventKind.SPEND, f"{who} spends", spending(number))
     count = holder.leases.get(COUNT_NAME)
     if count is None:
--- a/thistletrail/leasing/model_checking/budget_world.py
+++ b/thistletrail/leasing/model_checking/budget_world.py
@@ -8,7 +8,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field, replace
 
-from thistletrail.leasing.budget_holder import BudgetHolder, BudgetLease
+from thistletrail.leasing.budget_holder import BudgetHolder, BudgetLease, Demand
 from thistletrail.leasing.budget_state import Budget, BudgetLimits, Holding
 from thistletrail.leasing.messages import RenewRequest, RenewResponse
 from thistletrail.leasing.model_checking.budget_faults import LEASE_MS, BudgetModel, CheckedBudgetState
@@ -159,7 +159,7 @@
     holder = world.model.holder_type(gateway, incarnation, world.gateways)
     for name, budget in world.state.budgets.items():
         needed_units = NEEDED_UNITS * (gateway % 2)
-        holder.set_demand(name, budget.limits, DEMAND, world.now_ms, needed_units)
+        holder.set_demand(name, budget.limits, Demand(DEMAND, needed_units), world.now_ms)
     world.holders.append(holder)
 
 
--- a/thistletrail/leasing/model_checking/budgets.py
+++ b/thistletrail/leasing/model_checking/budgets.py
@@ -9,7 +9,7 @@
 from thistletrail.leasing.model_checking.budget_properties import violation
 from thistletrail.leasing.model_checking.budget_transitions import BudgetTransition, EventKind, transitions
 from thistletrail.leasing.model_checking.budget_world import BudgetWorld, first_world
-from thistletrail.leasing.model_checking.search import CheckResult, search_all, walk_randomly
+from thistletrail.leasing.model_checking.search import CheckResult, Walks, search_all, walk_randomly
 
 # Events without which no fault of the fencing numbers shows.
 MESSAGE_EVENTS = frozenset((EventKind.SEND_REQUEST, EventKind.REQUEST_ARRIVES, EventKind.RESPONSE_ARRIVES))
@@ -28,9 +28,7 @@
     model: type[BudgetModel],
     gateways: int,
     budgets: int,
-    walks: int,
-    length: int,
-    seed: int,
+    walks: Walks,
     kinds: Collection[EventKind] = (),
 ) -> CheckResult:
     """Look at random walks, by turns from both first states; with `kinds`, by such events alone.
@@ -44,12 +42,10 @@
     def chosen(world: BudgetWorld) -> Iterator[BudgetTransition]:
         return (step for step in transitions(world) if not kinds or step.kind in kinds)
 
-    return walk_randomly(first, chosen, violation, walks, length, seed)
+    return walk_randomly(first, chosen, violation, walks)
 
 
-def check_all_walks(
-    model: type[BudgetModel], gateways: int, budgets: int, walks: int, length: int, seed: int
-) -> CheckResult:
+def check_all_walks(model: type[BudgetModel], gateways: int, budgets: int, walks: Walks) -> CheckResult:
     """Look at walks by all events, as many by messages alone, and as many by messages and openings."""
     states = 0
     for count, kinds in (
@@ -57,7 +53,7 @@
         (budgets, MESSAGE_EVENTS),
         (BUDGETS_WITH_COUNT, MESSAGE_EVENTS | {EventKind.OPEN}),
     ):
-        result = check_walks(model, gateways, count, walks, length, seed, kinds)
+        result = check_walks(model, gateways, count, walks, kinds)
         states += result.states
         if result.violation:
             break
--- a/thistletrail/leasing/model_checking/command.py
+++ b/thistletrail/leasing/model_checking/command.py
@@ -10,7 +10,7 @@
 
 from thistletrail.leasing.model_checking import budget_faults, budgets, work, work_faults
 from thistletrail.leasing.model_checking.budget_faults import BudgetModel
-from thistletrail.leasing.model_checking.search import CheckResult
+from thistletrail.leasing.model_checking.search import CheckResult, Walks
 from thistletrail.leasing.model_checking.work_faults import WorkModel
 
 EXIT_VIOLATION = 3  # a property does not hold, or a planted fault is not found
@@ -38,7 +38,7 @@
 )
 @click.option("--planted", is_flag=True, help="Plant each fault, and say how it is found.")
 @click.option("--seed", type=click.IntRange(0, 2**53), default=1, show_default=True)
-def check_command(
+def check_command(  # noqa: PLR0913 - one for each option
     gateways: int,
     old_gateways: int | None,
     budget_count: int,
@@ -64,11 +64,11 @@
     """Check each planted fault, print how it is found, and return whether all are."""
     results = []
     for budget_fault in budget_faults.PLANTED_FAULTS:
-        result = budgets.check_all_walks(budget_fault, 2, 1, PLANTED_WALKS, PLANTED_WALK_EVENTS, seed)
+        result = budgets.check_all_walks(budget_fault, 2, 1, Walks(PLANTED_WALKS, PLANTED_WALK_EVENTS, seed))
         click.echo(f"{budget_fault.name}: {found_text(result)}")
         results.append(result)
     for work_fault in work_faults.PLANTED_FAULTS:
-        result = work.check_walks(work_fault, 3, PLANTED_WORK_WALKS, PLANTED_WORK_WALK_EVENTS, seed)
+        result = work.check_walks(work_fault, 3, Walks(PLANTED_WORK_WALKS, PLANTED_WORK_WALK_EVENTS, seed))
         click.echo(f"work leases, {work_fault.name}: {found_text(result)}")
         results.append(result)
     return all(result.violation for result in results)
@@ -90,7 +90,7 @@
         ),
     )
     if walks:
-        result = budgets.check_all_walks(BudgetModel, gateways, budget_count, walks, WALK_EVENTS, seed)
+        result = budgets.check_all_walks(BudgetModel, gateways, budget_count, Walks(walks, WALK_EVENTS, seed))
         report(f"random walks: {result.states} states", result)
         results.append(result)
     return results
@@ -104,7 +104,7 @@
         lambda is_first_holding_all: work.check_near_states(WorkModel, gateways, depth, is_first_holding_all),
     )
     if walks:
-        result = work.check_walks(WorkModel, gateways, 2 * walks, WORK_WALK_EVENTS, seed)
+        result = work.check_walks(WorkModel, gateways, Walks(2 * walks, WORK_WALK_EVENTS, seed))
         report(f"work leases, random walks: {result.states} states", result)
         results.append(result)
     return results
--- a/thistletrail/leasing/model_checking/search.py
+++ b/thistletrail/leasing/model_checking/search.py
@@ -68,21 +68,28 @@
     return CheckResult(len(seen), depth)
 
 
+@dataclass(frozen=True, slots=True)
+class Walks:
+    """Random walks: how many, of how many events each, and the seed of their generator."""
+
+    count: int
+    length: int
+    seed: int
+
+
 def walk_randomly(
     first: Callable[[int], W],
     transitions: Transitions[W],
     violation: Violation[W],
-    walks: int,
-    length: int,
-    seed: int,
+    walks: Walks,
 ) -> CheckResult:
-    """Look at random walks of so many events, each from the first state of its number."""
-    random_source = random.Random(seed)
+    """Look at random walks, each from the first state of its number."""
+    random_source = random.Random(walks.seed)
     states = 0
-    for number in range(walks):
+    for number in range(walks.count):
         world = first(number)
         trace: tuple[str, ...] = ()
-        for _ in range(length):
+        for _ in range(walks.length):
             choices = list(transitions(world))
             if not choices:
                 break
@@ -92,4 +99,4 @@
             states += 1
             if broken := violation(world):
                 return CheckResult(states, len(trace), broken, trace)
-    return CheckResult(states, length)
+    return CheckResult(states, walks.length)
--- a/thistletrail/leasing/model_checking/work.py
+++ b/thistletrail/leasing/model_checking/work.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistletrail.leasing.model_checking.search import CheckResult, search_all, walk_randomly
+from thistletrail.leasing.model_checking.search import CheckResult, Walks, search_all, walk_randomly
 from thistletrail.leasing.model_checking.work_faults import WorkModel
 from thistletrail.leasing.model_checking.work_properties import violation
 from thistletrail.leasing.model_checking.work_transitions import transitions
@@ -17,13 +17,11 @@
     return search_all(first, transitions, violation, depth)
 
 
-def check_walks(model: type[WorkModel], gateways: int, walks: int, length: int, seed: int) -> CheckResult:
+def check_walks(model: type[WorkModel], gateways: int, walks: Walks) -> CheckResult:
     """Look at random walks, by turns from both first states."""
     return walk_randomly(
         lambda number: first_world(model, gateways, number % 2 == 0),
         transitions,
         violation,
         walks,
-        length,
-        seed,
     )
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -60,6 +60,8 @@
 
 LOST = OperationResult(status=OperationStatus.LOST)
 FAILED = OperationResult(status=OperationStatus.FAILED)
+CONFLICT = OperationResult(status=OperationStatus.CONFLICT)
+ELSEWHERE = OperationResult(status=OperationStatus.ELSEWHERE)
 
 
 @dataclass(frozen=True, slots=True)
@@ -309,25 +311,29 @@
         if item is None:
             return self.begin_new(holder, operation, now_ms)
         if item.digest != operation.digest:
-            return OperationResult(status=OperationStatus.CONFLICT)
-        if item.outcome is WorkOutcome.SERVED:
-            return OperationResult(status=OperationStatus.ANSWERED, value=item.value)
+            return CONFLICT
         if item.outcome is not None:
-            return FAILED
+            return self.ended_result(item)
         end_ms = max(item.end_ms, now_ms + min(operation.left_ms, MAX_LEFT_MS))
         if item.owner:
             if (item.owner, item.request_id) == (holder, operation.request_id):  # the response was lost
                 return self.owned_result(item, item.run_before_owner, now_ms)
             item.end_ms = end_ms  # whoever goes on with it has that much more time
-            return OperationResult(status=OperationStatus.ELSEWHERE)
-        if not item.may_run_again(now_ms):
-            return FAILED
+            return ELSEWHERE
         return self.take_over(holder, item, operation, end_ms, now_ms)
 
+    def ended_result(self, item: WorkItem) -> OperationResult:
+        """Return how an item has ended."""
+        if item.outcome is WorkOutcome.SERVED:
+            return OperationResult(status=OperationStatus.ANSWERED, value=item.value)
+        return FAILED
+
     def take_over(
         self, holder: str, item: WorkItem, operation: BeginWork, end_ms: int, now_ms: int
     ) -> OperationResult:
-        """Give an item that nobody owns to the holder that has requested it again."""
+        """Give an item that nobody owns to the holder that has requested it again, if it may run again."""
+        if not item.may_run_again(now_ms):
+            return FAILED
         ran_at = item.last_run
         self.change(
             WorkOwned(
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -10,7 +10,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from thistletrail.leasing.budget_holder import BudgetHolder
+from thistletrail.leasing.budget_holder import BudgetHolder, Demand
 from thistletrail.leasing.budget_state import LEASE_MS, BudgetLimits, BudgetState
 from thistletrail.leasing.messages import RenewRequest, RenewResponse
 from thistletrail.policy.events import BudgetDemand, BudgetGranted, BudgetKey, BudgetKind
@@ -92,7 +92,7 @@
             need, limits = math.ceil(want.needed), self.leases.terms(want.key)
             self.needs += need
             demand = round(want.demand * (THOUSANDTHS if limits.burst else 1))
-            self.holder.set_demand(name, limits, demand, now // MS, need, want.in_use)
+            self.holder.set_demand(name, limits, Demand(demand, need, want.in_use), now // MS)
             self.holder.leases[name].returned_units = want.returned
         for name in [name for name in self.keys if name not in self.holder.leases]:
             del self.keys[name]
