--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -249,7 +249,7 @@
         elif isinstance(operation, ReleaseWork):
             self.release(holder, item, operation, now_ms)
         elif operation.number > item.attempt_number:
-            self.attempt(operation, now_ms)
+            self.note_attempt(operation, now_ms, operation.number, operation.earlier_never_ran)
         return persisted
 
     def complete(self, item: WorkItem, operation: CompleteWork, now_ms: int) -> None:
@@ -261,16 +261,22 @@
         else:
             self.end(item, WorkOutcome.UNKNOWN, now_ms)
 
-    def attempt(self, operation: AttemptWork, now_ms: int) -> None:
-        """Note that an item may run at another server."""
+    def note_attempt(
+        self,
+        operation: BeginWork | AttemptWork,
+        now_ms: int,
+        number: int = 0,
+        earlier_never_ran: bool = False,
+    ) -> None:
+        """Note that an item may run from now on where an operation sends it."""
         self.change(
             WorkAttempted(
                 name=operation.name,
                 server=operation.server,
                 place=operation.place,
                 at_ms=now_ms,
-                number=operation.number,
-                earlier_never_ran=operation.earlier_never_ran,
+                number=number,
+                earlier_never_ran=earlier_never_ran,
             )
         )
 
@@ -346,15 +352,9 @@
             )
         )
         if not ran_at.server or ran_at.place == operation.place:
-            self.first_attempt(operation, now_ms)
+            self.note_attempt(operation, now_ms)
         return self.owned_result(item, ran_at, now_ms)
 
-    def first_attempt(self, operation: BeginWork, now_ms: int) -> None:
-        """Note that an item may run where its owner sends it first."""
-        self.change(
-            WorkAttempted(name=operation.name, server=operation.server, place=operation.place, at_ms=now_ms)
-        )
-
     def owned_result(self, item: WorkItem, ran_at: Location, now_ms: int) -> OperationResult:
         """Return that the item is the sender's, with where it may have run before."""
         return OperationResult(
@@ -387,7 +387,7 @@
                 request_id=operation.request_id,
             )
         )
-        self.first_attempt(operation, now_ms)
+        self.note_attempt(operation, now_ms)
         self.counters.begun += 1
         return self.owned_result(self.store.items[operation.name], NOWHERE, now_ms)
 
