--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -17,13 +17,15 @@
 from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
 from thistletrail.gateway.snapshot_store import SnapshotStore, check_snapshot
 from thistletrail.gateway.start_history import crash_backoff_s
-from thistletrail.leasing import book as books
-from thistletrail.leasing.book import Book
-from thistletrail.leasing.config import read as read_leasing_config
-from thistletrail.leasing.messages import Begin, WorkAsk
-from thistletrail.leasing.state import Issued, State, Terms
-from thistletrail.leasing.tenure import claim
-from thistletrail.leasing.work import Intent, Work
+from thistletrail.leasing import journal as leasing_journal
+from thistletrail.leasing.budget_state import BudgetLimits, HolderGrant, IssuedGrant
+from thistletrail.leasing.config import read_config as read_leasing_config
+from thistletrail.leasing.journal import Journal as LeasingJournal
+from thistletrail.leasing.journal import LeasingStates
+from thistletrail.leasing.leadership import begin_term
+from thistletrail.leasing.messages import BeginWork, OperationStatus, WorkEffect, WorkRequest
+from thistletrail.leasing.work_records import WorkOutcome
+from thistletrail.leasing.work_store import NOWHERE, Location, WorkItem
 from thistletrail.policy.events import (
     CustomerSnapshot,
     EjectedServerSnapshot,
@@ -166,186 +168,219 @@
 FENCE = 1_764_700_000_000_000  # on which the fences of that history are counted
 CEILING = "ceiling/institution/7"
 ISSUED = [
-    (CEILING, "0/11", Issued(FENCE + 1, 2025, 1_000_003_000, 0)),
-    (CEILING, "0/11", Issued(FENCE + 6, 4050, 1_000_003_740, 4)),
-    (CEILING, "1/21", Issued(FENCE + 4, 1620, 1_000_003_000, 0)),
-    ("further-attempts", "0/11", Issued(FENCE + 2, 2700, 1_000_003_000, 0)),
-    ("sessions", "0/11", Issued(FENCE + 3, 11, 1_000_003_000, 0)),
-    ("sessions", "0/11", Issued(FENCE + 7, 22, 1_000_003_740, 0)),
-    ("sessions", "1/21", Issued(FENCE + 5, 11, 1_000_003_000, 0)),
+    HolderGrant(CEILING, "0/11", IssuedGrant(FENCE + 1, 2025, 1_000_003_000, 0)),
+    HolderGrant(CEILING, "0/11", IssuedGrant(FENCE + 6, 4050, 1_000_003_740, 4)),
+    HolderGrant(CEILING, "1/21", IssuedGrant(FENCE + 4, 1620, 1_000_003_000, 0)),
+    HolderGrant("further-attempts", "0/11", IssuedGrant(FENCE + 2, 2700, 1_000_003_000, 0)),
+    HolderGrant("sessions", "0/11", IssuedGrant(FENCE + 3, 11, 1_000_003_000, 0)),
+    HolderGrant("sessions", "0/11", IssuedGrant(FENCE + 7, 22, 1_000_003_740, 0)),
+    HolderGrant("sessions", "1/21", IssuedGrant(FENCE + 5, 11, 1_000_003_000, 0)),
 ]
 
 
-FIRST_MS, LATER_MS, LAST_MS = 1_000_000_000, 1_000_000_740, 1_000_000_770  # when pieces of work were begun
+FIRST_MS, LATER_MS, LAST_MS = 1_000_000_000, 1_000_000_740, 1_000_000_770  # when work items were begun
 LEFT_MS = 300_000  # for which their results are wanted
 
 
-def intent(name: str, fence: int, begun_ms: int, **values: object) -> Intent:
+def work_item(name: str, fence: int, begun_ms: int, **values: object) -> WorkItem:
     usual = {
         "name": f"work/{name}",
         "digest": f"digest of work/{name}",
         "customer": "00000000b4d65521",
-        "effect": "keyed",
+        "effect": WorkEffect.KEYED,
         "end_ms": begun_ms + LEFT_MS,
         "window_ms": 400_000,
         "request": f"request of work/{name}".encode(),
         "owner": "",
         "fence": FENCE + fence,
-        "tried": ("s1", "a"),
-        "first_ms": begun_ms,
+        "last_run": Location("s1", "a"),
+        "first_run_ms": begun_ms,
     }
-    return Intent(**{**usual, **values})
+    return WorkItem(**{**usual, **values})
 
 
-INTENTS = [
+WORK_ITEMS = [
     # Begun in an earlier term: their records are in the snapshot.
-    intent("running", 1, FIRST_MS, owner="0/11", id="work/running-request", tried=("s2", "a"), number=1),
-    intent(
+    work_item(
+        "running",
+        1,
+        FIRST_MS,
+        owner="0/11",
+        request_id="work/running-request",
+        last_run=Location("s2", "a"),
+        attempt_number=1,
+    ),
+    work_item(
         "served",
         2,
         FIRST_MS,
-        id="work/served-request",
-        how="served",
+        request_id="work/served-request",
+        outcome=WorkOutcome.SERVED,
         value=b"the answer\x00\xff",
-        done_ms=FIRST_MS + 40,
+        ended_ms=FIRST_MS + 40,
     ),
-    intent("failed", 3, FIRST_MS, owner="0/11", id="work/failed-request", effect="unsafe"),
-    intent(
+    work_item(
+        "failed", 3, FIRST_MS, owner="0/11", request_id="work/failed-request", effect=WorkEffect.UNSAFE
+    ),
+    work_item(
         "second",
         5,
         FIRST_MS + 40,
         owner="1/21",
-        id="work/second-request",
-        effect="safe",
+        request_id="work/second-request",
+        effect=WorkEffect.SAFE,
         customer="00000000000000ff",
-        tried=("", ""),
+        last_run=NOWHERE,
     ),
     # Begun in the last term: their records are in its log.
-    intent("moved", 10, LATER_MS, owner="1/21", tried=("s3", "b"), before=("s3", "b"), deaths=1),
-    intent(
+    work_item(
+        "moved",
+        10,
+        LATER_MS,
+        owner="1/21",
+        last_run=Location("s3", "b"),
+        run_before_owner=Location("s3", "b"),
+        deaths=1,
+    ),
+    work_item(
         "unknown",
         11,
         LATER_MS,
-        effect="unsafe",
-        before=("s1", "a"),
+        effect=WorkEffect.UNSAFE,
+        run_before_owner=Location("s1", "a"),
         deaths=1,
-        how="unknown",
-        done_ms=LAST_MS,
+        outcome=WorkOutcome.UNKNOWN,
+        ended_ms=LAST_MS,
     ),
-    intent("parked", 14, LATER_MS, before=("s1", "a"), deaths=2, how="parked", done_ms=LAST_MS),
-    intent("left", 18, LAST_MS, tried=("s4", "b"), before=("s4", "b")),
-    intent("orphan", 19, LAST_MS, before=("s1", "a"), orphan=True),
-    intent(
+    work_item(
+        "parked",
+        14,
+        LATER_MS,
+        run_before_owner=Location("s1", "a"),
+        deaths=2,
+        outcome=WorkOutcome.PARKED,
+        ended_ms=LAST_MS,
+    ),
+    work_item("left", 18, LAST_MS, last_run=Location("s4", "b"), run_before_owner=Location("s4", "b")),
+    work_item("orphan", 19, LAST_MS, run_before_owner=Location("s1", "a"), awaits_taker=True),
+    work_item(
         "done",
         17,
         LAST_MS,
-        id="work/done-request",
-        how="served",
+        request_id="work/done-request",
+        outcome=WorkOutcome.SERVED,
         value=b"second answer",
-        done_ms=LAST_MS + 25,
+        ended_ms=LAST_MS + 25,
     ),
 ]
 
 
-def restore_leasing(folder: Path, monkeypatch: pytest.MonkeyPatch, boot: str) -> tuple[Book, State, Work]:
+def restore_leasing(
+    folder: Path, monkeypatch: pytest.MonkeyPatch, boot: str
+) -> tuple[LeasingJournal, LeasingStates]:
     """The next term of a copy of the journal, on a machine of that boot."""
-    monkeypatch.setattr(books, "boot", lambda: boot)
-    monkeypatch.setattr(books, "now_ms", lambda: LEASING_NOW_MS)
+    monkeypatch.setattr(leasing_journal, "boot_id", lambda: boot)
+    monkeypatch.setattr(leasing_journal, "now_ms", lambda: LEASING_NOW_MS)
     monkeypatch.setattr(time, "time_ns", lambda: round(SNAPSHOT_UNIX_S) * 1_000_000_000)
     shutil.copytree(DATA / "leasing" / "state", folder)
-    book = Book(claim(folder))
-    state, work = book.open(read_leasing_config(DATA / "leasing" / "config.toml"))
-    return book, state, work
+    journal = LeasingJournal(begin_term(folder))
+    states = journal.open(read_leasing_config(DATA / "leasing" / "config.toml"))
+    return journal, states
 
 
 def test_budgets_and_grants_of_a1df16a_are_restored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    book, state, _ = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
-    assert book.tenure.number == 4
-    assert list(state.issued()) == ISSUED
+    journal, states = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    state = states.budgets
+    assert journal.term.number == 4
+    assert list(state.issued_grants()) == ISSUED
     assert (state.fence, state.lease_ms, state.quiet_until_ms) == (FENCE + 7, 3000, 0)
-    assert {name: budget.terms for name, budget in state.budgets.items()} == {
-        CEILING: Terms(30_000, 60),
-        "further-attempts": Terms(40_000, 80),
-        "sessions": Terms(50, 0),
+    assert {name: budget.limits for name, budget in state.budgets.items()} == {
+        CEILING: BudgetLimits(30_000, 60),
+        "further-attempts": BudgetLimits(40_000, 80),
+        "sessions": BudgetLimits(50, 0),
     }
-    assert {name: budget.bound for name, budget in state.budgets.items()} == {
+    assert {name: budget.reserved for name, budget in state.budgets.items()} == {
         CEILING: 4050 + 1620,
         "further-attempts": 2700,
         "sessions": 22 + 11,
     }
-    book.close()
+    journal.close()
 
 
-def test_work_in_hand_of_a1df16a_is_restored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    book, _, work = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
-    assert list(work.intents.values()) == INTENTS
-    assert (work.fence, work.lease_ms) == (FENCE + 19, 1000)
-    assert {name: member.until_ms for name, member in work.members.items()} == {
+def test_work_items_of_a1df16a_are_restored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    journal, states = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    work = states.work
+    assert list(work.store.items.values()) == WORK_ITEMS
+    assert (work.store.fence, work.lease_ms) == (FENCE + 19, 1000)
+    assert {name: member.until_ms for name, member in work.membership.members.items()} == {
         "0/11": LEASING_NOW_MS + 1000,
         "1/21": LEASING_NOW_MS + 1000,
     }
-    assert work.marks == {0: 11, 1: 21}
-    assert [one.name for one in work.parked] == ["work/parked"]
-    assert work.of_customer == {"00000000b4d65521": 9, "00000000000000ff": 1}
-    assert work.bytes == 349
-    book.close()
+    assert work.membership.latest == {0: 11, 1: 21}
+    assert [item.name for item in work.store.parked] == ["work/parked"]
+    assert work.store.items_of_customer == {"00000000b4d65521": 9, "00000000000000ff": 1}
+    assert work.store.total_bytes == 349
+    journal.close()
 
 
 @pytest.mark.parametrize(
-    "name, how, value",
+    "name, status, value",
     [
-        ("served", "answered", b"the answer\x00\xff"),
-        ("done", "answered", b"second answer"),
-        ("unknown", "failed", b""),
-        ("running", "elsewhere", b""),
-        ("left", "kept", b""),
+        ("served", OperationStatus.ANSWERED, b"the answer\x00\xff"),
+        ("done", OperationStatus.ANSWERED, b"second answer"),
+        ("unknown", OperationStatus.FAILED, b""),
+        ("running", OperationStatus.ELSEWHERE, b""),
+        ("left", OperationStatus.PERSISTED, b""),
     ],
 )
-def test_who_asks_again_after_a1df16a_gets_what_was_kept(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, how: str, value: bytes
+def test_who_requests_again_after_a1df16a_gets_what_was_persisted(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, status: OperationStatus, value: bytes
 ) -> None:
-    book, _, work = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
-    begin = Begin(
+    journal, states = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    begin = BeginWork(
         name=f"work/{name}",
-        id="again",
+        request_id="again",
         digest=f"digest of work/{name}",
         customer="00000000b4d65521",
-        effect="keyed",
+        effect=WorkEffect.KEYED,
         left_ms=2000,
         window_ms=4000,
         request=b"again",
         server="s9",
         place="b",
     )
-    answer, _ = work.ask(WorkAsk(door=5, mark=1, serial=1, ops=(begin,)), LEASING_NOW_MS)
-    assert [(told.how, told.value) for told in answer.told] == [(how, value)]
-    book.close()
+    request = WorkRequest(gateway=5, incarnation=1, serial=1, operations=(begin,))
+    response = states.work.handle(request, LEASING_NOW_MS).response
+    assert [(result.status, result.value) for result in response.results] == [(status, value)]
+    journal.close()
 
 
 def test_work_that_a1df16a_left_to_nobody_goes_to_the_first_gateway_there(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    book, _, work = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
-    work.look(LEASING_NOW_MS)
-    orphan = work.intents["work/orphan"]
+    journal, states = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
+    states.work.transfer_lost_items(LEASING_NOW_MS)
+    orphan = states.work.store.items["work/orphan"]
     assert orphan.owner in ("0/11", "1/21")
-    assert (orphan.fence, orphan.orphan) == (FENCE + 20, False)
-    book.close()
+    assert (orphan.fence, orphan.awaits_taker) == (FENCE + 20, False)
+    journal.close()
 
 
-def test_of_another_boot_grants_are_waited_out_and_work_in_hand_is_over(
+def test_of_another_boot_grants_are_waited_out_and_work_items_are_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    book, state, work = restore_leasing(tmp_path / "state", monkeypatch, "another boot")
-    most_lease_ms = 10_000
-    assert [(name, holder, one.part) for name, holder, one in state.issued()] == [
-        (name, holder, one.part) for name, holder, one in ISSUED
+    journal, states = restore_leasing(tmp_path / "state", monkeypatch, "another boot")
+    max_lease_ms = 10_000
+    state = states.budgets
+    assert [(held.budget, held.holder, held.grant.share) for held in state.issued_grants()] == [
+        (held.budget, held.holder, held.grant.share) for held in ISSUED
     ]
-    assert {one.until_ms for _, _, one in state.issued()} == {LEASING_NOW_MS + most_lease_ms}
-    assert state.quiet_until_ms == LEASING_NOW_MS + most_lease_ms
-    assert not work.intents and work.fence == FENCE + 5  # the snapshot's; no later one is of this boot
-    assert "are of another boot, and are passed over" in caplog.text
-    book.close()
+    assert {held.grant.until_ms for held in state.issued_grants()} == {LEASING_NOW_MS + max_lease_ms}
+    assert state.quiet_until_ms == LEASING_NOW_MS + max_lease_ms
+    # The fence is the snapshot's; no later one is of this boot.
+    assert not states.work.store.items and states.work.store.fence == FENCE + 5
+    assert "are of another boot, and are skipped" in caplog.text
+    journal.close()
 
 
 # --- the registry's journal and snapshot ---
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -14,10 +14,10 @@
 
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.config import Config
-from thistletrail.leasing.client import RENEW_SHARE, Renewer
-from thistletrail.leasing.holder import Holder
-from thistletrail.leasing.state import Terms
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.budget_holder import BudgetHolder, Demand
+from thistletrail.leasing.budget_state import BudgetLimits
+from thistletrail.leasing.client import RENEW_FRACTION, LeaseRenewer, ServiceSettings
+from thistletrail.leasing.framing import now_ms
 from thistletrail.policy.events import BudgetGranted, BudgetKey
 from thistletrail.policy.leased_budgets import wanted, whole_of
 
@@ -43,7 +43,7 @@
         lease_settings = config.budget_leases
         rng = random.Random(config.settings.seed)
         # Buckets and floors are the policy's, by a customer's set; the holder's own are of no use here.
-        self.holder = Holder(
+        self.holder = BudgetHolder(
             config.settings.gateway_index, rng.getrandbits(63), config.settings.gateway_count
         )
         self.keys: dict[str, BudgetKey | None] = {}  # by name: the budgets that are requested
@@ -52,12 +52,10 @@
         self.requested_at_s = 0.0  # when the last renewal was made, on the loop's clock
         # For how long after a renewal none is hurried for units alone, and the longest that this may grow to.
         self.backoff_s = 0.0
-        self.max_backoff_s = lease_settings.lease_ms * RENEW_SHARE / MILLISECONDS_PER_SECOND
-        self.renewer = Renewer(
+        self.max_backoff_s = lease_settings.lease_ms * RENEW_FRACTION / MILLISECONDS_PER_SECOND
+        self.renewer = LeaseRenewer(
             self.holder,
-            lease_settings.addresses,
-            lease_settings.secret,
-            lease_settings.lease_ms,
+            ServiceSettings(lease_settings.addresses, lease_settings.secret, lease_settings.lease_ms),
             rng,
             self._update_demand,
             self._on_renewed,
@@ -93,13 +91,13 @@
         plan_name = self.plan_names[key.plan_index]
         return f"{key.kind}/{plan_name}/{key.set_first}.{key.set_size}/{key.customer:08x}"
 
-    def _terms(self, key: BudgetKey | None) -> Terms:
+    def _limits(self, key: BudgetKey | None) -> BudgetLimits:
         """The rate and burst of a budget, of all gateways together."""
         settings = self.gateway_server.settings
         if key is None:
-            return Terms.of(settings.retry_rate, settings.retry_burst)
+            return BudgetLimits.from_rate(settings.retry_rate, settings.retry_burst)
         rate, burst = whole_of(key.kind, settings.plans[key.plan_index])
-        return Terms.of(rate, burst)
+        return BudgetLimits.from_rate(rate, burst)
 
     def _update_demand(self) -> None:
         """Give the holder all budgets of which a share is needed; it lets go of others by itself."""
@@ -109,14 +107,14 @@
         for demand in wanted(self.gateway_server.policy, now_us())[:MAX_BUDGETS]:
             name = self._name(demand.key)
             self.keys[name] = demand.key
-            terms = self._terms(demand.key)
+            limits = self._limits(demand.key)
             needed_units = math.ceil(demand.needed)
             self.needed_units += needed_units
-            rate_or_count = round(demand.demand * (THOUSANDTHS if terms.burst else 1))
-            self.holder.use(name, terms, rate_or_count, now, needed_units, demand.in_use)
-            self.holder.parts[name].back = demand.returned
+            rate_or_count = round(demand.demand * (THOUSANDTHS if limits.burst else 1))
+            self.holder.set_demand(name, limits, Demand(rate_or_count, needed_units, demand.in_use), now)
+            self.holder.leases[name].returned_units = demand.returned
         for name in list(self.keys):
-            if name not in self.holder.parts:
+            if name not in self.holder.leases:
                 del self.keys[name]
                 self.posted_fences.pop(name, None)
 
@@ -126,10 +124,10 @@
         posted_at_us = now_us()
         new_grants = {
             name: grant
-            for name, grant in self.holder.parts.items()
+            for name, grant in self.holder.leases.items()
             if grant.fence and grant.fence != self.posted_fences.get(name)
         }
-        has_new_units = any(grant.came for grant in new_grants.values())
+        has_new_units = any(grant.granted_units for grant in new_grants.values())
         if self.needed_units and not has_new_units:
             self.backoff_s = min(2 * self.backoff_s + POLL_INTERVAL_S, self.max_backoff_s)
         else:
@@ -137,5 +135,5 @@
         for name, grant in new_grants.items():
             self.posted_fences[name] = grant.fence
             until_us = posted_at_us + (grant.until_ms - now) * MICROSECONDS_PER_MILLISECOND
-            share = grant.part / grant.terms.whole
-            self.gateway_server.post(BudgetGranted(self.keys[name], share, grant.came, until_us))
+            share = grant.share / grant.limits.total
+            self.gateway_server.post(BudgetGranted(self.keys[name], share, grant.granted_units, until_us))
--- a/thistletrail/gateway/takeover/client.py
+++ b/thistletrail/gateway/takeover/client.py
@@ -13,10 +13,11 @@
 
 from thistletrail.gateway.config import Address
 from thistletrail.gateway.errors import LeaseServiceUnavailableError
-from thistletrail.leasing.client import CallError, Stream, TurnedAwayError
-from thistletrail.leasing.hand import Hand
-from thistletrail.leasing.messages import WORK_LEASE_MS, Op, WorkAnswer
-from thistletrail.leasing.wire import FrameError, now_ms
+from thistletrail.leasing.client import WorkStream
+from thistletrail.leasing.errors import FrameError, ServiceFullError, ServiceUnavailableError
+from thistletrail.leasing.framing import now_ms
+from thistletrail.leasing.messages import WORK_LEASE_MS, WorkOperation, WorkResponse
+from thistletrail.leasing.work_holder import WorkHolder
 
 log = logging.getLogger(__name__)
 
@@ -31,10 +32,10 @@
 class LeaseListener(Protocol):
     """Takes what the lease service answers."""
 
-    def on_answer(self, answer: WorkAnswer) -> None:
+    def on_answer(self, answer: WorkResponse) -> None:
         """The leases are renewed, and the operations of the call are answered."""
 
-    def on_batch_rejected(self, begins: list[Op]) -> None:
+    def on_batch_rejected(self, begins: list[WorkOperation]) -> None:
         """The lease service took nothing of a batch in; these begins are not recorded."""
 
 
@@ -45,7 +46,7 @@
         self,
         addresses: tuple[Address, ...],
         secret: bytes,
-        holder: Hand,
+        holder: WorkHolder,
         chance: random.Random,
         listener: LeaseListener,
     ) -> None:
@@ -54,7 +55,7 @@
         self.holder = holder
         self.chance = chance
         self.listener = listener
-        self.stream: Stream | None = None
+        self.stream: WorkStream | None = None
         self.address_index = 0
         self.is_unreachable = True  # until the first answer
         self.wakeup = asyncio.Event()
@@ -83,9 +84,9 @@
         host, port = self.addresses[self.address_index]
         try:
             answer = await self.exchange()
-        except TurnedAwayError as error:
+        except ServiceFullError as error:
             log.warning("the lease service does not record work: %s", error)
-            self.listener.on_batch_rejected(self.holder.refused())
+            self.listener.on_batch_rejected(self.holder.on_rejected())
             return
         except LeaseServiceUnavailableError as error:
             if not self.is_unreachable:
@@ -97,19 +98,19 @@
         self.is_unreachable = False
         self.listener.on_answer(answer)
 
-    async def exchange(self) -> WorkAnswer:
-        """One call and its answer, or a LeaseServiceUnavailableError; a TurnedAwayError passes through."""
+    async def exchange(self) -> WorkResponse:
+        """One call and its answer, or a LeaseServiceUnavailableError; a ServiceFullError passes through."""
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
-                self.stream = self.stream or Stream(self.addresses[self.address_index], self.secret)
-                data = await self.stream.call(self.holder.ask(now_ms()))
-                return msgspec.msgpack.decode(data, type=WorkAnswer)
-        except TurnedAwayError:
+                self.stream = self.stream or WorkStream(self.addresses[self.address_index], self.secret)
+                data = await self.stream.call(self.holder.next_request(now_ms()))
+                return msgspec.msgpack.decode(data, type=WorkResponse)
+        except ServiceFullError:
             raise
         except (
             OSError,
             TimeoutError,
-            CallError,
+            ServiceUnavailableError,
             FrameError,
             h11.ProtocolError,
             msgspec.MsgspecError,
@@ -119,13 +120,13 @@
     def use_next_address(self) -> None:
         """After a failed call: its operations go again, to another address."""
         self.is_unreachable = True
-        self.holder.unanswered()
+        self.holder.requeue_unanswered()
         self.close()
         self.address_index = (self.address_index + 1) % len(self.addresses)
 
-    def enqueue(self, operation: Op) -> bool:
+    def enqueue(self, operation: WorkOperation) -> bool:
         """Send an operation with the next call, which is made at once; whether there was room for it."""
-        if not self.holder.add(operation):
+        if not self.holder.enqueue(operation):
             return False
         self.wakeup.set()
         return True
@@ -138,7 +139,7 @@
         """Wait until all operations are answered, for one call's time at most."""
         loop = asyncio.get_running_loop()
         end = loop.time() + CALL_TIMEOUT_S
-        while (self.holder.queue or self.holder.asked) and not self.is_unreachable and loop.time() < end:
+        while (self.holder.queue or self.holder.in_flight) and not self.is_unreachable and loop.time() < end:
             self.wake()
             await asyncio.sleep(FLUSH_POLL_S)
 
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -24,9 +24,17 @@
 from thistletrail.gateway.takeover.work_item import WorkItem
 from thistletrail.gateway.takeover.work_table import WorkTable
 from thistletrail.gateway.takeover.work_transfer import WorkTransfer
-from thistletrail.leasing.hand import Hand
-from thistletrail.leasing.messages import Begin, Done, Op, Told, Try, WorkAnswer
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.framing import now_ms
+from thistletrail.leasing.messages import (
+    AttemptWork,
+    BeginWork,
+    CompleteWork,
+    OperationResult,
+    OperationStatus,
+    WorkOperation,
+    WorkResponse,
+)
+from thistletrail.leasing.work_holder import WorkHolder
 from thistletrail.policy.events import AttemptResult
 
 log = logging.getLogger(__name__)
@@ -59,7 +67,7 @@
         self.attempts = attempts
         self.directory = directory
         self.counts = TakeoverCounts()
-        self.holder = Hand(config.settings.gateway_index, now_ms())
+        self.holder = WorkHolder(config.settings.gateway_index, now_ms())
         chance = random.Random(config.settings.seed)
         self.client = WorkLeaseClient(
             config.work_leases.addresses, config.work_leases.secret, self.holder, chance, self
@@ -88,13 +96,13 @@
 
     def check_lease(self) -> None:
         """Give up all work whose lease has ended."""
-        for name in self.holder.lapsed(now_ms()):
+        for name in self.holder.drop_expired(now_ms()):
             if item := self.table.by_name.get(name):
                 self.table.lose(item)
 
     def start_draining(self) -> None:
         """Have no more work transferred to this gateway."""
-        self.holder.leaving = True
+        self.holder.is_draining = True
         self.client.wake()
 
     def release_unfinished(self) -> None:
@@ -108,52 +116,52 @@
 
     # --- answers of the lease service ---
 
-    def on_answer(self, answer: WorkAnswer) -> None:
+    def on_answer(self, answer: WorkResponse) -> None:
         """The leases are renewed: act on each operation's result, and continue transferred work."""
         self.check_lease()
-        results, transferred = self.holder.answered(answer, now_ms())
-        for operation, result in results:
-            self.on_result(operation, result)
-        for work in transferred:
+        applied = self.holder.on_response(answer, now_ms())
+        for ended in applied.operations:
+            self.on_result(ended.operation, ended.result)
+        for work in applied.transferred:
             self.transfer.accept(work)
 
-    def on_batch_rejected(self, begins: list[Op]) -> None:
+    def on_batch_rejected(self, begins: list[WorkOperation]) -> None:
         """The lease service took nothing of a batch in: its begins go on untracked."""
         for begin in begins:
-            self.on_result(begin, Told(how="full"))
+            self.on_result(begin, OperationResult(status=OperationStatus.FULL))
 
-    def on_result(self, operation: Op, result: Told) -> None:
+    def on_result(self, operation: WorkOperation, result: OperationResult) -> None:
         """What became of one operation."""
-        if isinstance(operation, Begin):
+        if isinstance(operation, BeginWork):
             self.on_begin_result(operation, result)
             return
         item = self.table.by_name.get(operation.name)
         if item is None or item.fence != operation.fence:
             return
-        if result.how == "lost":
+        if result.status == OperationStatus.LOST:
             self.table.lose(item)
-        elif isinstance(operation, Try) and operation.number == item.attempt_number:
+        elif isinstance(operation, AttemptWork) and operation.number == item.attempt_number:
             self.send_attempt(item)
-        elif isinstance(operation, Done):
+        elif isinstance(operation, CompleteWork):
             self.table.answer_pending_response(item)
 
-    def on_begin_result(self, begin: Begin, result: Told) -> None:
+    def on_begin_result(self, begin: BeginWork, result: OperationResult) -> None:
         """Whether a request's work is recorded and ours, has ended, or is another gateway's."""
         item = self.table.by_name.get(begin.name)
         if item is None or item.pending_begin is not begin:
             return
         item.pending_begin = None
         item.stop_timer()
-        if result.how == "kept":
+        if result.status == OperationStatus.PERSISTED:
             self.on_lease(item, begin, result)
-        elif result.how in ("full", "lost"):
+        elif result.status in (OperationStatus.FULL, OperationStatus.LOST):
             self.on_not_recorded(item)
-        elif result.how == "elsewhere":
+        elif result.status == OperationStatus.ELSEWHERE:
             self.ownership_wait.wait(item, begin)
         else:
             self.on_ended_before(item, result)
 
-    def on_lease(self, item: WorkItem, begin: Begin, result: Told) -> None:
+    def on_lease(self, item: WorkItem, begin: BeginWork, result: OperationResult) -> None:
         """The work is recorded and leased to this gateway."""
         self.counts.begun += 1
         item.fence = result.fence
@@ -176,13 +184,13 @@
         else:
             self.continue_untracked(item)
 
-    def on_ended_before(self, item: WorkItem, result: Told) -> None:
+    def on_ended_before(self, item: WorkItem, result: OperationResult) -> None:
         """The work has ended already: answer with its outcome."""
         self.counts.answered += 1
         self.table.withdraw_attempt(item)
-        if result.how == "answered":
+        if result.status == OperationStatus.ANSWERED:
             response = b"$%d\r\n%b\r\n" % (len(result.value), result.value)
-        elif result.how == "other":
+        elif result.status == OperationStatus.CONFLICT:
             response = CONFLICTING_KEY
         else:
             response = FAILED
@@ -232,7 +240,7 @@
             self.table.add(item)
         return item
 
-    def record(self, item: WorkItem, operation: Op) -> None:
+    def record(self, item: WorkItem, operation: WorkOperation) -> None:
         """Record an attempt, and wait for the answer for a while."""
         if self.client.enqueue(operation):
             item.start_timer(RECORD_TIMEOUT_S, self.on_record_timeout, item)
@@ -280,7 +288,7 @@
         if item is None or item.is_untracked or item.is_over:
             return False
         item.pending_response = response
-        if self.client.enqueue(Done(name=item.name, fence=item.fence, value=value)):
+        if self.client.enqueue(CompleteWork(name=item.name, fence=item.fence, value=value)):
             item.start_timer(OUTCOME_TIMEOUT_S, self.on_outcome_timeout, item)
         else:
             self.on_outcome_timeout(item)
--- a/thistletrail/gateway/takeover/messages.py
+++ b/thistletrail/gateway/takeover/messages.py
@@ -10,13 +10,17 @@
 from thistletrail.gateway.exchange import Exchange
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.gateway.takeover.work_item import WorkItem
-from thistletrail.leasing.messages import Begin, Try
+from thistletrail.leasing.messages import AttemptWork, BeginWork, WorkEffect
 from thistletrail.policy.events import Server
 from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
 
 DIGEST_BYTES = 16
 DIGEST_FIELDS = ("c", "t", "units")  # that are the same each time a client sends one request
-EFFECT_NAMES = {Effect.IDEMPOTENT: "safe", Effect.IDEMPOTENT_BY_KEY: "keyed", Effect.UNSAFE: "unsafe"}
+WORK_EFFECTS = {
+    Effect.IDEMPOTENT: WorkEffect.SAFE,
+    Effect.IDEMPOTENT_BY_KEY: WorkEffect.KEYED,
+    Effect.UNSAFE: WorkEffect.UNSAFE,
+}
 
 
 def new_work_item(exchange: Exchange, settings: Settings) -> WorkItem:
@@ -28,7 +32,7 @@
         name = f"{arguments[1].decode().lower()}/{values['k']}"
     else:
         name = f"#{exchange.command.id}"
-    return WorkItem(exchange, name, request_digest(arguments, values), EFFECT_NAMES[effect])
+    return WorkItem(exchange, name, request_digest(arguments, values), WORK_EFFECTS[effect])
 
 
 def request_digest(arguments: list[bytes], values: dict[str, str]) -> str:
@@ -38,13 +42,13 @@
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def begin_message(item: WorkItem, attempt: Attempt, place: str, settings: Settings) -> Begin:
+def begin_message(item: WorkItem, attempt: Attempt, place: str, settings: Settings) -> BeginWork:
     """Records a request with its first attempt."""
     command = item.exchange.command
     rule = settings.classes[command.class_index]
-    return Begin(
+    return BeginWork(
         name=item.name,
-        id=command.id,
+        request_id=command.id,
         digest=item.digest,
         customer=command.words[1].decode(),
         effect=item.effect,
@@ -56,15 +60,15 @@
     )
 
 
-def attempt_message(item: WorkItem, attempt: Attempt, place: str) -> Try:
+def attempt_message(item: WorkItem, attempt: Attempt, place: str) -> AttemptWork:
     """Records a further attempt under the item's fence."""
-    return Try(
+    return AttemptWork(
         name=item.name,
         fence=item.fence,
         number=item.attempt_number,
         server=attempt.server,
         place=place,
-        unrun=item.has_never_run,
+        earlier_never_ran=item.has_never_run,
     )
 
 
--- a/thistletrail/gateway/takeover/ownership_wait.py
+++ b/thistletrail/gateway/takeover/ownership_wait.py
@@ -10,8 +10,8 @@
 from thistletrail.gateway.takeover.messages import remaining_ms
 from thistletrail.gateway.takeover.work_item import WorkItem
 from thistletrail.gateway.takeover.work_table import WorkTable
-from thistletrail.leasing.messages import WORK_LEASE_MS, Begin
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.framing import now_ms
+from thistletrail.leasing.messages import WORK_LEASE_MS, BeginWork
 
 POLL_S = 0.1  # between requests for the outcome
 POLL_JITTER = (0.75, 1.25)
@@ -32,7 +32,7 @@
         self.chance = chance
         self.record_timeout_s = record_timeout_s
 
-    def wait(self, item: WorkItem, begin: Begin) -> None:
+    def wait(self, item: WorkItem, begin: BeginWork) -> None:
         """Wait until the next poll, or reject the request where it cannot wait longer."""
         if not item.wait_until_ms and not self.start_waiting(item):
             self.table.reject(item)
@@ -52,7 +52,7 @@
         item.wait_until_ms = now_ms() + MAX_WAIT_MS
         return True
 
-    def poll(self, item: WorkItem, begin: Begin) -> None:
+    def poll(self, item: WorkItem, begin: BeginWork) -> None:
         """Begin again: the answer is the outcome, the lease, or that another gateway still has the work."""
         if item.is_over:
             return
@@ -66,7 +66,7 @@
         else:
             self.wait(item, fresh)
 
-    def on_poll_timeout(self, item: WorkItem, begin: Begin) -> None:
+    def on_poll_timeout(self, item: WorkItem, begin: BeginWork) -> None:
         """The poll was not answered: wait on."""
         self.table.withdraw_begin(item)
         self.wait(item, begin)
--- a/thistletrail/gateway/takeover/work_item.py
+++ b/thistletrail/gateway/takeover/work_item.py
@@ -9,7 +9,7 @@
 from thistletrail.gateway.backends import Attempt
 from thistletrail.gateway.exchange import Exchange
 from thistletrail.gateway.takeover.detached_reply import DetachedReply
-from thistletrail.leasing.messages import Begin
+from thistletrail.leasing.messages import BeginWork, WorkEffect
 
 
 @dataclass(slots=True)
@@ -29,8 +29,8 @@
     exchange: Exchange
     name: str  # over the fleet
     digest: str  # of what is requested under that name
-    effect: str  # how often it may run, in the lease service's terms
-    pending_begin: Begin | None = None
+    effect: WorkEffect  # how often it may run, in the lease service's terms
+    pending_begin: BeginWork | None = None
     fence: int = 0  # fencing token; 0: not leased
     attempt_number: int = 0  # of the last attempt recorded under this fence
     may_have_run_before: bool = False  # under another fence
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -10,8 +10,8 @@
 from thistletrail.gateway.takeover.counts import TakeoverCounts
 from thistletrail.gateway.takeover.host import Requests
 from thistletrail.gateway.takeover.work_item import WorkItem
+from thistletrail.leasing.framing import now_ms
 from thistletrail.leasing.messages import WORK_LEASE_MS
-from thistletrail.leasing.wire import now_ms
 from thistletrail.policy.actions import FailRequest, RejectRequest
 from thistletrail.policy.events import AttemptEnded, AttemptResult, ClientDisconnected
 
@@ -41,7 +41,7 @@
 
     def is_leased(self, item: WorkItem) -> bool:
         """Whether the lease allows to write, answer or end the work now."""
-        return self.holder.holds(item.name, item.fence, now_ms())
+        return self.holder.owns(item.name, item.fence, now_ms())
 
     # --- steps back ---
 
@@ -101,7 +101,7 @@
         if item.pending_response is None or item.is_over:
             return
         if self.is_leased(item):
-            self.holder.held.pop(item.name, None)
+            self.holder.forget(item.name)
             self.complete(item, item.pending_response)
         else:
             self.lose(item)
@@ -111,7 +111,7 @@
         if item.is_over:
             return
         self.counts.lost += 1
-        self.holder.held.pop(item.name, None)
+        self.holder.forget(item.name)
         log.warning("request %s is no longer this gateway's to answer", item.exchange.command.id)
         for attempt in list(item.exchange.in_flight.values()):
             attempt.cancel()
@@ -133,7 +133,7 @@
         is_draining = self.requests.drain_end_us <= item.exchange.budget.end_us
         to_be_continued = was_rejected and (item.is_transferred or is_draining)
         self.counts.released += self.is_leased(item)
-        self.holder.leave(item.name, on=to_be_continued, unrun=item.has_never_run)
+        self.holder.release(item.name, transfer=to_be_continued, never_ran=item.has_never_run)
         self.client.wake()
         self.forget(item)
 
@@ -146,7 +146,7 @@
         """Have another gateway continue what a drain will not see the end of; the client is to retry."""
         if item.is_over or item.pending_response is not None or not self.is_leased(item):
             return
-        self.holder.leave(item.name, on=True, unrun=item.has_never_run)
+        self.holder.release(item.name, transfer=True, never_ran=item.has_never_run)
         self.counts.released += 1
         self.client.wake()
         self.forget(item)
--- a/thistletrail/gateway/takeover/work_transfer.py
+++ b/thistletrail/gateway/takeover/work_transfer.py
@@ -16,7 +16,7 @@
 from thistletrail.gateway.takeover.messages import new_work_item, placement, read_transferred_request
 from thistletrail.gateway.takeover.work_item import WorkItem
 from thistletrail.gateway.takeover.work_table import WorkTable
-from thistletrail.leasing.messages import Handed
+from thistletrail.leasing.messages import TransferredWork
 from thistletrail.policy.actions import FailRequest
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
         self.parser = parser
         self.directory = directory
 
-    def accept(self, transferred: Handed) -> None:
+    def accept(self, transferred: TransferredWork) -> None:
         """Continue the work of a gateway that is lost, under this gateway's fence."""
         self.table.counts.transferred += 1
         self.client.wake()  # to confirm that the work has arrived
@@ -51,14 +51,14 @@
             command = read_transferred_request(self.parser, transferred.request)
         except TransferredRequestError as error:
             log.warning("a transferred request cannot be read: %s", error)
-            self.holder.leave(transferred.name, unrun=has_never_run)
+            self.holder.release(transferred.name, never_ran=has_never_run)
             return
         reply = DetachedReply(f"{command.id}.{transferred.fence}")
         # The margin that `taken` subtracts was subtracted when the client's own gateway took the request in.
         budget = Deadline.start(transferred.left_ms * 1000 + ANSWER_MARGIN_US, 0, now_us())
         exchange = self.requests.open_transferred(command, reply, budget)
         if exchange is None:
-            self.holder.leave(transferred.name, on=True, unrun=has_never_run)
+            self.holder.release(transferred.name, transfer=True, never_ran=has_never_run)
             return
         item = new_work_item(exchange, self.requests.settings)
         item.fence = transferred.fence
--- /dev/null
+++ b/thistletrail/leasing/http_service.py
@@ -0,0 +1,222 @@
+"""The lease service on HTTP: signed calls, whose effects are journaled before they are answered."""
+
+from __future__ import annotations
+
+import asyncio
+import hmac
+import logging
+from collections.abc import AsyncIterator, Awaitable, Callable
+
+import msgspec
+from aiohttp import web
+
+from thistletrail.leasing.committer import Committer
+from thistletrail.leasing.config import Config
+from thistletrail.leasing.errors import FrameError, LeadershipLostError, RequestRejectedError
+from thistletrail.leasing.framing import (
+    RENEW_PATH,
+    SIGNATURE_HEADER,
+    STATUS_FULL,
+    STATUS_REJECTED,
+    WORK_PATH,
+    Frame,
+    FrameReader,
+    encode_frame,
+    now_ms,
+    sign,
+)
+from thistletrail.leasing.journal import Journal
+from thistletrail.leasing.messages import RenewRequest, WorkRequest
+from thistletrail.leasing.work_records import WorkOutcome
+from thistletrail.write_ahead_log.record_file import WriteFailedError
+
+log = logging.getLogger(__name__)
+
+MAX_RENEW_BYTES = 1 << 19  # of a body: 2,000 budgets with names of 120 characters
+MAX_WORK_BYTES = 8 << 20  # of a frame: 500 operations of some kilobytes, or tens of the largest requests
+MAX_STREAMS = 1000  # work calls at a time: five times the largest fleet
+
+HTTP_BAD_REQUEST = 400
+HTTP_SERVICE_UNAVAILABLE = 503
+HTTP_INSUFFICIENT_STORAGE = 507
+
+
+@web.middleware
+async def errors_as_responses(
+    request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
+) -> web.StreamResponse:
+    """Answer an expected error with its status and one plain line."""
+    try:
+        return await handler(request)
+    except RequestRejectedError as error:
+        return web.Response(status=HTTP_BAD_REQUEST, text=f"{error}\n")
+    except WriteFailedError as error:
+        return web.Response(
+            status=HTTP_INSUFFICIENT_STORAGE, text=f"the grant cannot be persisted: {error}\n"
+        )
+    except LeadershipLostError as error:
+        return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text=f"{error}\n")
+
+
+class LeaseService:
+    """One term of the lease service: the calls that change its states.
+
+    `app` is the aiohttp application; the journal is closed when that is cleaned up. `lost` is set
+    once another process leads, by whoever finds out first.
+    """
+
+    def __init__(self, journal: Journal, config: Config, secret: bytes, lost: asyncio.Event) -> None:
+        """Read the journal of the term before; this may take long.
+
+        Raises:
+            DamageError: That journal is damaged.
+        """
+        self.secret = secret
+        self.committer = Committer(journal, config, lost)
+        self.stream_count = 0
+        self.app = web.Application(middlewares=[errors_as_responses], client_max_size=MAX_RENEW_BYTES)
+        self.app.add_routes(
+            [
+                web.post(RENEW_PATH, self.on_renew),
+                web.post(WORK_PATH, self.on_work_stream),
+                web.get("/status", self.on_status),
+                web.get("/parked", self.on_parked),
+            ]
+        )
+        self.app.cleanup_ctx.append(self.background_tasks)
+
+    async def background_tasks(self, _: web.Application) -> AsyncIterator[None]:
+        """Run the committer from the application's start to its cleanup."""
+        async with self.committer.running():
+            yield
+
+    # --- calls ---
+
+    def check_signature(self, request: web.Request, body: bytes) -> None:
+        """Answer 403 unless a body is signed by the shared secret."""
+        if not hmac.compare_digest(request.headers.get(SIGNATURE_HEADER, ""), sign(self.secret, body)):
+            raise web.HTTPForbidden(text="not signed by the shared secret\n")
+
+    async def on_renew(self, request: web.Request) -> web.Response:
+        """Renew the leases of a holder's budgets."""
+        body = await request.read()
+        self.check_signature(request, body)
+        try:
+            renewal = msgspec.msgpack.decode(body, type=RenewRequest)
+        except msgspec.MsgspecError as error:
+            raise RequestRejectedError(f"not a renewal request: {error}") from error
+        if self.committer.is_overloaded:
+            return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text="too many requests wait\n")
+        encoded = msgspec.msgpack.encode(await self.committer.submit(renewal))
+        return web.Response(
+            body=encoded,
+            content_type="application/msgpack",
+            headers={SIGNATURE_HEADER: sign(self.secret, encoded)},
+        )
+
+    async def on_work_stream(self, request: web.Request) -> web.StreamResponse:
+        """Answer a gateway's long call: a response for each frame. One that is not signed ends it."""
+        if self.stream_count >= MAX_STREAMS:
+            return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text="too many calls\n")
+        response = web.StreamResponse()
+        self.stream_count += 1
+        try:
+            await self.answer_frames(request, response)
+        except FrameError as error:
+            log.warning("a work call ends: %s", error)
+            if not response.prepared:
+                raise web.HTTPForbidden(text="not signed by the shared secret\n") from error
+        except (EOFError, ConnectionError):
+            pass  # its gateway has disconnected
+        finally:
+            self.stream_count -= 1
+        return response
+
+    async def answer_frames(self, request: web.Request, response: web.StreamResponse) -> None:
+        """Answer frames until the call ends, by an error; nothing is sent before the first valid frame."""
+        frames = FrameReader(self.secret, MAX_WORK_BYTES)
+        frame = await self.next_frame(request, frames)
+        await response.prepare(request)
+        while True:
+            await response.write(await self.answer_frame(frame))
+            frame = await self.next_frame(request, frames)
+
+    async def next_frame(self, request: web.Request, frames: FrameReader) -> Frame:
+        """Read until a frame is complete; an EOFError at the end of the call."""
+        while (frame := frames.next()) is None:
+            data = await request.content.readany()
+            if not data:
+                raise EOFError
+            frames.feed(data)
+        return frame
+
+    async def answer_frame(self, frame: Frame) -> bytes:
+        """Return the frame that answers one work request."""
+        if self.committer.is_overloaded:
+            return encode_frame(self.secret, b"too many requests wait", STATUS_REJECTED)
+        try:
+            request = msgspec.msgpack.decode(frame.body, type=WorkRequest)
+            response = await self.committer.submit(request)
+        except msgspec.MsgspecError as error:
+            return encode_frame(self.secret, f"not a work request: {error}".encode(), STATUS_REJECTED)
+        except RequestRejectedError as error:
+            return encode_frame(self.secret, str(error).encode(), STATUS_REJECTED)
+        except LeadershipLostError as error:
+            raise EOFError from error  # its gateway goes to whoever has taken over
+        except WriteFailedError as error:
+            return encode_frame(self.secret, str(error).encode(), STATUS_FULL)
+        return encode_frame(self.secret, msgspec.msgpack.encode(response))
+
+    # --- status ---
+
+    async def on_status(self, request: web.Request) -> web.Response:
+        """Answer what is held of each budget, and counts of work items, as JSON."""
+        self.check_signature(request, request.path.encode())
+        budgets = self.committer.states.budgets
+        reserved = {
+            name: {"whole": budget.limits.total, "held": budget.reserved, "holders": len(budget.holdings)}
+            for name, budget in budgets.budgets.items()
+        }
+        return web.json_response(
+            {
+                "work": self.work_status(),
+                "fence": budgets.fence,
+                "quiet_ms": max(0, budgets.quiet_until_ms - now_ms()),
+                "asks": self.committer.request_count,
+                "commits": self.committer.commit_count,
+                "budgets": reserved,
+            }
+        )
+
+    def work_status(self) -> dict[str, int]:
+        """Return counts of work items, by the names that `/status` has for them."""
+        work = self.committer.states.work
+        counters = work.counters
+        return {
+            "intents": len(work.store.items),
+            "bytes": work.store.total_bytes,
+            "doors": len(work.membership.members),
+            "kept": counters.begun,
+            "full": counters.rejected_full,
+            "handed": counters.transferred,
+            "served": counters.ended[WorkOutcome.SERVED],
+            "unknown": counters.ended[WorkOutcome.UNKNOWN],
+            "parked": counters.ended[WorkOutcome.PARKED],
+            "evicted": counters.evicted,
+        }
+
+    async def on_parked(self, request: web.Request) -> web.Response:
+        """Answer the items that were given up, as their owners may have died of them."""
+        self.check_signature(request, request.path.encode())
+        return web.json_response(
+            [
+                {
+                    "name": item.name,
+                    "customer": item.customer,
+                    "deaths": item.deaths,
+                    "at_ms": item.ended_ms,
+                    "request": item.request.decode(errors="replace"),
+                }
+                for item in self.committer.states.work.store.parked
+            ]
+        )
