--- a/tests/test_model_fidelity.py
+++ b/tests/test_simulation_fidelity.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.test_model_experiment import model
+from tests.test_simulation_experiment import model
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.fidelity import Figure, changes, fitting, ranks, read, render, spearman, table
 
