--- a/thistletrail/simulation/servers.py
+++ b/thistletrail/simulation/servers.py
@@ -2,7 +2,7 @@
 
 Sources: the bench page's account of the world (slots, waiting room, loss of efficiency, cold ramp, falling
 over, connection caps) and the protocol page (what comes back when). Where they give no formula the one
-used is named here and listed in docs/model.md.
+used is named here and listed in docs/simulation.md.
 """
 
 import heapq
