--- a/tests/test_fault_injection_checks.py
+++ b/tests/test_fault_injection_checks.py
@@ -203,7 +203,7 @@
             {"at": 11 * S, "kind": "lost", "id": "x"},
             {**NONE, "how": "gone", "at": 10 * S},
             {"at": 9 * S, "kind": "stalled", "us": 600 * MS},
-        ],  # the rig itself was late
+        ],  # the fault injection itself was late
         [
             log(8 * S, "request x was left without an answer", "ERROR"),
             *fault("pause", 6 * S, 8 * S, "doors-0"),
--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -1,4 +1,4 @@
-"""Plans: what is read, what is refused, and that one means the same to the rig, the doors and the model."""
+"""Plans: what is read, what is refused, and that one means the same to fault injection, doors and model."""
 
 import random
 from dataclasses import replace
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import (
     Fault,
     Plan,
@@ -60,7 +60,7 @@
     ],
 )
 def test_what_is_wrong_with_a_plan_is_one_line(text: str, said: str) -> None:
-    with pytest.raises(RigError) as caught:
+    with pytest.raises(FaultInjectionError) as caught:
         parse(text.encode(), "x.toml")
     assert str(caught.value).startswith("x.toml") and said in str(caught.value)
     assert "\n" not in str(caught.value)
@@ -71,7 +71,7 @@
     for name in known():
         found = load(name)
         assert parse(dump(found).encode(), name) == found
-    with pytest.raises(RigError, match="there is no plan 'nothing'"):
+    with pytest.raises(FaultInjectionError, match="there is no plan 'nothing'"):
         load("nothing")
 
 
@@ -80,7 +80,7 @@
         found = drawn(random.Random(seed), "soak")
         try:
             verify(found, "soak")
-        except RigError:
+        except FaultInjectionError:
             continue
         assert parse(dump(found).encode(), "soak") == found
     big = Plan(
@@ -158,6 +158,6 @@
     path = tmp_path / "mine.toml"
     path.write_text(dump(plan(Fault(kind="limit", size=5000.0))))
     assert load(str(path)).faults[0].size == 5000.0
-    with pytest.raises(RigError, match="No such file"):
+    with pytest.raises(FaultInjectionError, match="No such file"):
         load(str(tmp_path / "none.toml"))
     assert msgspec.structs.replace(load(str(path)), faults=()) == plan()
--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT, Tree
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.report import write
 from thistletrail.fault_injection.runs import Run, keep, kept, play_once, run
@@ -19,7 +19,7 @@
 DOOR = f"exec {sys.executable} -m thistletrail.gateway"
 HERE = Tree(ROOT, DOOR, tells_costs=True)
 GONE_S = 20.0  # for processes to end: only a fault takes that long
-MARK = "RIG_TEST_MARK"
+MARK = "FAULT_INJECTION_TEST_MARK"
 
 
 def of_mark(mark: str) -> set[int]:
@@ -69,13 +69,13 @@
     write([("run", again)], tmp_path / "report.html")
     page = (tmp_path / "report.html").read_text()
     assert "Rules kept." in page and "data:image/png;base64," in page and 'src="http' not in page
-    with pytest.raises(RigError, match="holds no run"):
+    with pytest.raises(FaultInjectionError, match="holds no run"):
         kept(tmp_path)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_nothing_is_left_when_the_rig_is_ended(number: int) -> None:
-    """SIGKILL stands for a crash of the rig."""
+def test_nothing_is_left_when_the_fault_injection_is_ended(number: int) -> None:
+    """SIGKILL stands for a crash of the fault injection."""
     mark = f"{os.getpid()}-{number}"
     words = (
         "from thistletrail.command_line import end_on_signals\nend_on_signals()\n"
@@ -110,7 +110,7 @@
     mark = f"{os.getpid()}-failed"
     monkeypatch.setenv(MARK, mark)
     broken = Tree(ROOT, "echo 'it cannot be' >&2; exit 3", tells_costs=True)
-    with pytest.raises(RigError, match=r"doors-.: .*it cannot be") as caught:
+    with pytest.raises(FaultInjectionError, match=r"doors-.: .*it cannot be") as caught:
         play_once(load("short"), 1, broken, lambda text: None)
     assert "\n" not in str(caught.value)
     assert of_mark(mark) == set()
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -1,4 +1,4 @@
-"""The rig's commands: run, pairs, back, compare, deaths, soak, report and list."""
+"""The commands of fault injection: run, pairs, back, compare, deaths, soak, report and list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from thistletrail.benchmarks.process import ROOT, prepare, revision
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, deaths, table
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.leases import divided
 from thistletrail.fault_injection.plan import as_scenario, known, load
 from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
@@ -26,8 +26,8 @@
 MOST_SEED = 2**53
 
 
-class RigGroup(Group):
-    errors: ClassVar[tuple[type[Exception], ...]] = (RigError, ModelError, BenchError)
+class FaultInjectionGroup(Group):
+    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, ModelError, BenchError)
 
 
 def say(text: str) -> None:
@@ -35,7 +35,7 @@
     click.echo(text, err=True)
 
 
-@click.group("fault_injection", cls=RigGroup, context_settings=HELP)
+@click.group("fault_injection", cls=FaultInjectionGroup, context_settings=HELP)
 def cli() -> None:
     """Several real processes on loopback, relays and faults between them, and checked histories."""
     end_on_signals()
@@ -154,7 +154,7 @@
     shares = [share(word) for word in parts.split(",")]
     names = [word.strip() for word in states.split(",")]
     if unknown := [name for name in names if name not in STATES]:
-        raise RigError(f"unknown state '{unknown[0]}'; known are {', '.join(STATES)}")
+        raise FaultInjectionError(f"unknown state '{unknown[0]}'; known are {', '.join(STATES)}")
     with contextlib.ExitStack() as stack:
         ours = {"this tree": prepare(ROOT).root}
         numbers = range(first, first + seeds)
@@ -177,7 +177,7 @@
     except ValueError:
         found = 0.0
     if not 0 < found <= 1:
-        raise RigError(f"'{text}' is no share above 0 and up to 1")
+        raise FaultInjectionError(f"'{text}' is no share above 0 and up to 1")
     return found
 
 
@@ -190,7 +190,7 @@
     wanted = load(plan)
     scenario, missing = as_scenario(wanted)
     if missing:
-        raise RigError(f"{wanted.name}: the model has no {', nor '.join(dict.fromkeys(missing))}")
+        raise FaultInjectionError(f"{wanted.name}: the model has no {', nor '.join(dict.fromkeys(missing))}")
     tree, real, modelled = prepare(ROOT), [], []
     for seed in range(first, first + seeds):
         found = run(wanted, seed, tree, say)
@@ -198,11 +198,11 @@
         real.append(found.figures.as_json())
         modelled.append(in_model(scenario, seed))
         say(f"seed {seed}: full service {real[-1]['full_s']}, in the model {modelled[-1]['full_s']}")
-    click.echo(show(rows([("rig", real), ("model", modelled)])))
+    click.echo(show(rows([("fault injection", real), ("model", modelled)])))
 
 
 def in_model(scenario: Any, seed: int) -> dict[str, object]:  # noqa: ANN401 - a Scenario
-    """The figures of one play of the model, by the names of the rig's where both have them."""
+    """The figures of one play of the model, by the names of fault injection's where both have them."""
     day = days.play(scenario, seed)
     result = day.result()
     points = day.books.points
@@ -258,7 +258,7 @@
     door that has died is in use elsewhere. A line for each seed."""
     wanted = load(plan)
     if not wanted.steward:
-        raise RigError(f"{wanted.name}: no steward divides anything in it")
+        raise FaultInjectionError(f"{wanted.name}: no steward divides anything in it")
     tree, wrong = prepare(ROOT), False
     click.echo("seed  most held  regained s  not regained  renewals  stewards  served  broken")
     for seed in range(first, first + seeds):
@@ -292,7 +292,7 @@
     """Kill doors at chosen points of a piece of work: is it run once, and does its client get its outcome?"""
     wanted = tuple(points.split(","))
     if strange := set(wanted) - set(POINTS):
-        raise RigError(f"there is no point '{min(strange)}' (one of: {', '.join(POINTS)})")
+        raise FaultInjectionError(f"there is no point '{min(strange)}' (one of: {', '.join(POINTS)})")
     tree, found = prepare(ROOT), []
     for seed in range(first, first + seeds):
         with TemporaryDirectory(prefix="deaths-") as folder:
@@ -325,7 +325,7 @@
 
 @cli.command("list")
 def list_() -> None:
-    """The plans that come with the rig."""
+    """The plans that come with fault injection."""
     for name in known():
         plan = load(name)
         kinds = ", ".join(dict.fromkeys(fault.kind for fault in plan.faults)) or "no fault"
--- a/thistletrail/fault_injection/back.py
+++ b/thistletrail/fault_injection/back.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from thistletrail.benchmarks.process import ROOT
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import Figures, figures
 from thistletrail.fault_injection.plan import Plan, dump
 from thistletrail.fault_injection.runs import Run, kept, median, text
@@ -66,7 +66,7 @@
 def plan_of(plan: Plan, case: Case) -> Plan:
     """The plan with its first fault on that share of the doors, which come back with that state."""
     if not plan.faults or plan.faults[0].kind not in ("kill", "term") or plan.faults[0].on != "doors":
-        raise RigError(f"{plan.name}: its first fault does not restart doors")
+        raise FaultInjectionError(f"{plan.name}: its first fault does not restart doors")
     state, kept_ = STATES[case.state]
     replace = msgspec.structs.replace
     first = replace(plan.faults[0], part=case.part, numbers=(), state=state)
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -59,7 +59,7 @@
         for record in records:
             self.by[record["kind"]].append(record)
         self.down, self.paused, self.links, self.stalled = Spans(), Spans(), Spans(), Spans()
-        for record in self.by["stalled"]:  # the rig or its clients were late: nobody else is to blame
+        for record in self.by["stalled"]:  # fault injection or its clients were late: nobody else is to blame
             self.stalled.add("", record["at"] - record["us"] - SWEEP_US, record["at"] + SWEEP_US)
         self.read_faults()
         self.read_downs()
@@ -91,7 +91,7 @@
             self.down.add(name, at, NEVER)
 
     def struck(self, door: int, begin: int, end: int) -> bool:
-        """Whether a door was down or paused then, its links to clients at fault, or the rig itself late."""
+        """Whether a door was down or paused then, its links to clients at fault, or fault injection late."""
         name = f"doors-{door}"
         return (
             self.down.meet(name, begin, end)
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -23,7 +23,7 @@
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door
 from thistletrail.benchmarks.standins import HOST, Address, text
 from thistletrail.benchmarks.work import start_steward
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.leasing.wire import SIGNATURE, sign
 
@@ -442,7 +442,7 @@
     except (BenchError, ExceptionGroup) as error:
         inner = error.exceptions[0] if isinstance(error, ExceptionGroup) else error
         if isinstance(inner, BenchError):
-            raise RigError(str(inner)) from error
+            raise FaultInjectionError(str(inner)) from error
         raise
     return found
 
--- a/thistletrail/fault_injection/errors.py
+++ b/thistletrail/fault_injection/errors.py
@@ -1,5 +1,5 @@
-"""What ends a command of the rig with one plain line."""
+"""What ends a command of fault injection with one plain line."""
 
 
-class RigError(Exception):
+class FaultInjectionError(Exception):
     """Bad input, or processes that cannot be started; the text is one plain line."""
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -35,7 +35,7 @@
     refused: int
     failed: int
     gone: int
-    rig_late_s: float  # at most, of the rig's own loop and its clients': the machine was too busy
+    fault_injection_late_s: float  # at most, of the own loop and its clients': the machine was too busy
 
     def as_json(self) -> dict[str, object]:
         return asdict(self)
@@ -87,7 +87,7 @@
 
 
 def last_pong(seen: Seen, fault_at: int) -> int | None:
-    """When the last door that was down answered PING again, by the rig's own look."""
+    """When the last door that was down answered PING again, by `Fleet`'s own look."""
     came = [
         record["at"]
         for record in seen.by["started"]
@@ -129,7 +129,7 @@
         refused=ends["refused"],
         failed=ends["failed"],
         gone=ends["gone"],
-        rig_late_s=max((record["us"] / S for record in seen.by["stalled"]), default=0.0),
+        fault_injection_late_s=max((record["us"] / S for record in seen.by["stalled"]), default=0.0),
     )
 
 
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -21,7 +21,7 @@
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
 from thistletrail.benchmarks.standins import text
 from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.leases import Renewals
 from thistletrail.fault_injection.plan import Fault, Plan
@@ -127,7 +127,7 @@
         self.plan, self.seed, self.tree, self.folder, self.more = plan, seed, tree, folder, more
         self.loop = asyncio.get_running_loop()
         (folder / "history").mkdir(parents=True, exist_ok=True)
-        self.writer = Writer(folder / "history" / "rig.jsonl")
+        self.writer = Writer(folder / "history" / "fault_injection.jsonl")
         self.world = World(plan.fleet, seed, Clock())
         self.members: dict[str, Member] = {}
         self.relays: dict[tuple[str, str, str], Relay] = {}
@@ -339,7 +339,7 @@
         return config
 
     async def start_own(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
-        """One of the rig's own programs."""
+        """One of fault injection's own programs."""
         told = Told(
             plan=self.plan,
             seed=self.seed,
@@ -408,7 +408,7 @@
         try:
             process = await member.begin(member)
         except BenchError as error:
-            raise RigError(f"{member.name}: {error}") from error
+            raise FaultInjectionError(f"{member.name}: {error}") from error
         member.process, member.meant = process, False
         self.writer.note("started", who=member.name, cold=member.cold)
         if member.kind == "doors":
--- a/thistletrail/fault_injection/history.py
+++ b/thistletrail/fault_injection/history.py
@@ -8,7 +8,7 @@
 | `try`, `end` | clients | a request as it was written, and how it ended, with when to come again |
 | `late`, `lost` | clients | an answer after its client's time; none within half a second after it |
 | `extra` | clients | an answer that nobody had asked for |
-| `pong` | clients, rig | a front door that was down answers PING |
+| `pong` | clients, fault injection | a front door that was down answers PING |
 | `came`, `left` | scan servers | an attempt has come whole, and how it ended there |
 | `fell` | scan servers | sent too much while cold, it has fallen over |
 | `open` | relays | a connection, by link and sides |
@@ -16,10 +16,10 @@
 | `asked`, `granted` | relays | a door's ask for parts of budgets, and a steward's answer, as they go by |
 | `told` | relays | a change of the list, as it was written to a door |
 | `words` | relays | datagrams between doors in a tenth of a second |
-| `go` | rig | when the load begins and ends |
-| `fault`, `undone`, `woke` | rig | a fault and whom it strikes; its end; the end of a pause |
-| `started`, `died` | rig | a process, and whether the rig meant it to end |
-| `stalled` | rig, clients | the own loop was late by so much: the machine was too busy |
+| `go` | fault injection | when the load begins and ends |
+| `fault`, `undone`, `woke` | fault injection | a fault and whom it strikes; its end; the end of a pause |
+| `started`, `died` | fault injection | a process, and whether it was meant to end |
+| `stalled` | fault injection, clients | the own loop was late by so much: the machine was too busy |
 | `door` | a door's log | a line of it, at its time |
 """
 
@@ -34,7 +34,7 @@
 
 import msgspec
 
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.realtime import now_us
 
 Record = dict[str, Any]
@@ -61,14 +61,19 @@
     try:
         lines = path.read_bytes().split(b"\n")
     except OSError as error:
-        raise RigError(f"{path}: {error.strerror}") from error
+        raise FaultInjectionError(f"{path}: {error.strerror}") from error
     for number, line in enumerate(lines):
         try:
             if line:
                 yield msgspec.json.decode(line, type=Record)
         except msgspec.DecodeError as error:
             if number < len(lines) - 1:
-                raise RigError(f"{path}, line {number + 1}: {error}") from error
+                raise FaultInjectionError(f"{path}, line {number + 1}: {error}") from error
+
+
+def read_folder(folder: Path) -> list[Iterator[Record]]:
+    """The records of each file of a run's folder, whatever the files are called: their names have changed."""
+    return [read(path) for path in sorted(folder.glob("*.jsonl"))]
 
 
 def of_log(path: Path, door: int, offset_us: int) -> Iterator[Record]:
@@ -101,4 +106,4 @@
     try:
         path.write_bytes(b"".join(encode(record) + b"\n" for record in records))
     except OSError as error:
-        raise RigError(f"{path}: {error.strerror}") from error
+        raise FaultInjectionError(f"{path}: {error.strerror}") from error
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -2,8 +2,8 @@
 
 `[fleet]` is a scenario of the simulation's (`simulation/scenario.py`): doors, servers, zones, customers,
 classes, plans of quota. What befalls it stands in `[[faults]]`, which the simulation plays too where it has
-the like. An unknown key, a wrong type or a figure out of its range is a RigError of one line that names the
-key.
+the like. An unknown key, a wrong type or a figure out of its range is a FaultInjectionError of
+one line that names the key.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import msgspec
 import tomli_w
 
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.scenario import (
     Amount,
@@ -148,14 +148,14 @@
 
 
 def parse(data: bytes, name: str) -> Plan:
-    """A plan from TOML; what is wrong with it is a RigError of one line that begins with `name`."""
+    """A plan from TOML; what is wrong with it is one line, a FaultInjectionError, that begins with `name`."""
     try:
         plan = msgspec.toml.decode(data, type=Plan)
         verify(plan, name)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise RigError(f"{name}: {' '.join(str(error).split())}") from error
+        raise FaultInjectionError(f"{name}: {' '.join(str(error).split())}") from error
     except ModelError as error:
-        raise RigError(str(error)) from error
+        raise FaultInjectionError(str(error)) from error
     return plan
 
 
@@ -164,15 +164,17 @@
     fleet = plan.fleet
     check(fleet, name)
     if fleet.troubles:
-        raise RigError(f"{name}: what befalls the fleet stands in faults, not in fleet.troubles")
+        raise FaultInjectionError(f"{name}: what befalls the fleet stands in faults, not in fleet.troubles")
     if strange := set(plan.takeover) - {rule.name for rule in fleet.classes}:
-        raise RigError(f"{name}: takeover names a class '{min(strange)}' that is none")
+        raise FaultInjectionError(f"{name}: takeover names a class '{min(strange)}' that is none")
     if plan.further and not (plan.steward and plan.further[0] and plan.further[1] >= 1):
-        raise RigError(f"{name}: further takes a rate and a burst, and a steward that divides budgets")
+        raise FaultInjectionError(
+            f"{name}: further takes a rate and a burst, and a steward that divides budgets"
+        )
     if plan.quotas and not plan.steward:
-        raise RigError(f"{name}: quotas by leases take a steward that divides budgets")
+        raise FaultInjectionError(f"{name}: quotas by leases take a steward that divides budgets")
     if fleet.doors > MOST_DOORS or fleet.length_s > MOST_LENGTH_S:
-        raise RigError(f"{name}: at most {MOST_DOORS} doors for {MOST_LENGTH_S} s")
+        raise FaultInjectionError(f"{name}: at most {MOST_DOORS} doors for {MOST_LENGTH_S} s")
     counts: dict[str, Count] = {
         "doors": fleet.doors,
         "servers": fleet.servers.count,
@@ -183,29 +185,31 @@
     }
     for fault in plan.faults:
         if fault.at_s > fleet.length_s:
-            raise RigError(f"{name}: {fault.kind} begins after the end")
+            raise FaultInjectionError(f"{name}: {fault.kind} begins after the end")
         if fault.zone is not None and fault.zone >= fleet.net.zones:
-            raise RigError(f"{name}: {fault.kind} strikes zone {fault.zone} of {fleet.net.zones}")
+            raise FaultInjectionError(f"{name}: {fault.kind} strikes zone {fault.zone} of {fleet.net.zones}")
         if fault.numbers and max(fault.numbers) >= counts[fault.on]:
-            raise RigError(
+            raise FaultInjectionError(
                 f"{name}: {fault.kind} strikes {fault.on} {max(fault.numbers)} of {counts[fault.on]}"
             )
         if fault.kind in ON_PROCESSES and not counts[fault.on]:
-            raise RigError(f"{name}: {fault.kind} strikes the {fault.on}, and there is none")
+            raise FaultInjectionError(f"{name}: {fault.kind} strikes the {fault.on}, and there is none")
         if fault.kind in ("lose", "repeat", "reorder", "break", "bad", "errors_fast") and fault.size > 1:
-            raise RigError(f"{name}: the size of {fault.kind} is a share, not {fault.size:g}")
+            raise FaultInjectionError(f"{name}: the size of {fault.kind} is a share, not {fault.size:g}")
         if fault.kind in ("repeat", "reorder") and fault.link != "doors-doors":
-            raise RigError(f"{name}: {fault.kind} is for datagrams, on the link doors-doors")
+            raise FaultInjectionError(f"{name}: {fault.kind} is for datagrams, on the link doors-doors")
         if fault.state == "stale" and fault.on != "doors":
-            raise RigError(f"{name}: a stale snapshot is for doors, not for the {fault.on}")
+            raise FaultInjectionError(f"{name}: a stale snapshot is for doors, not for the {fault.on}")
         if fault.clock_s and fault.on not in ("doors", "servers"):
-            raise RigError(f"{name}: clock_s is for doors and servers, not for the {fault.on}")
+            raise FaultInjectionError(f"{name}: clock_s is for doors and servers, not for the {fault.on}")
         if fault.back_s[0] > fault.back_s[1]:
-            raise RigError(f"{name}: back_s goes from {fault.back_s[0]:g} down to {fault.back_s[1]:g}")
+            raise FaultInjectionError(
+                f"{name}: back_s goes from {fault.back_s[0]:g} down to {fault.back_s[1]:g}"
+            )
 
 
 def known() -> list[str]:
-    """The names of the plans that come with the rig."""
+    """The names of the plans that come with fault injection."""
     return sorted(path.stem for path in PLANS.glob("*.toml"))
 
 
@@ -213,11 +217,11 @@
     """A plan by its name, or from a file."""
     path = Path(name) if name.endswith(".toml") else PLANS / f"{name}.toml"
     if not name.endswith(".toml") and name not in known():
-        raise RigError(f"there is no plan '{name}' (a .toml file, or one of {', '.join(known())})")
+        raise FaultInjectionError(f"there is no plan '{name}' (a .toml file, or one of {', '.join(known())})")
     try:
         data = path.read_bytes()
     except OSError as error:
-        raise RigError(f"{name}: {error.strerror}") from error
+        raise FaultInjectionError(f"{name}: {error.strerror}") from error
     return parse(data, name)
 
 
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from thistletrail.benchmarks.process import Tree
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.fleet import Fleet, Member
-from thistletrail.fault_injection.history import Record, merge, of_log, offset_us, read
+from thistletrail.fault_injection.history import Record, merge, of_log, offset_us, read_folder
 from thistletrail.fault_injection.plan import ON_LINKS, ON_PROCESSES, TAIL_S, Fault, Plan
 from thistletrail.fault_injection.realtime import now_us, watch_lag
 from thistletrail.simulation.clock import S
@@ -68,9 +68,9 @@
                     while member.running and not self.failed:
                         await asyncio.sleep(0.05)
                     if member.process.process.returncode:
-                        raise RigError(f"{member.name} has failed: {member.process.last_line()}")
+                        raise FaultInjectionError(f"{member.name} has failed: {member.process.last_line()}")
         except TimeoutError:
-            raise RigError("the clients do not end") from None
+            raise FaultInjectionError("the clients do not end") from None
 
     def spawn(self, job: Any) -> None:  # noqa: ANN401 - a coroutine
         self.tasks.add(task := asyncio.get_running_loop().create_task(job))
@@ -227,7 +227,7 @@
 async def play(
     plan: Plan, seed: int, tree: Tree, folder: Path, say: Say, more: dict[str, Any] | None = None
 ) -> list[Record]:
-    """Run a plan once, in `folder`: its history. What keeps it from being played is a RigError."""
+    """Run a plan once, in `folder`: its history. What keeps it from being played is a FaultInjectionError."""
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     for number in (signal.SIGTERM, signal.SIGINT):  # as an exception it could be lost in a callback
         loop.add_signal_handler(number, task.cancel)
@@ -236,7 +236,7 @@
     try:
         await Play(fleet, say).run()
     except TimeoutError:
-        raise RigError("the processes do not all start") from None
+        raise FaultInjectionError("the processes do not all start") from None
     except BaseExceptionGroup as group:
         raise first(group) from None
     finally:
@@ -244,7 +244,7 @@
             await asyncio.shield(fleet.close())
     if fleet.crashed:
         say(fleet.crashed[0])
-    parts = [read(path) for path in sorted((folder / "history").glob("*.jsonl"))]
+    parts = read_folder(folder / "history")
     logs = [of_log(member.folder / "log", member.number, offset) for member in fleet.of("doors")]
     return merge([*parts, *logs])
 
--- a/thistletrail/fault_injection/program.py
+++ b/thistletrail/fault_injection/program.py
@@ -1,4 +1,4 @@
-"""What the rig's own programs have in common: a configuration, a line once they serve, orders on stdin."""
+"""What the programs of fault injection share: a configuration, a line once they serve, orders on stdin."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Told(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration of a stand-in scan server or of clients, as the rig writes it."""
+    """The configuration of a stand-in scan server or of clients, as `Fleet` writes it."""
 
     plan: Plan
     seed: int
@@ -32,7 +32,7 @@
 
 
 async def orders(take: Callable[[Order], Awaitable[None] | None]) -> None:
-    """Hand on each JSON line of standard input until it ends, as it does when the rig has gone."""
+    """Hand on each JSON line of standard input until it ends, as it does when the parent process has gone."""
     reader = asyncio.StreamReader(limit=1 << 20)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -49,7 +49,7 @@
     async def act() -> None:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
-        loop.add_signal_handler(signal.SIGINT, lambda: None)  # Ctrl-C is for the rig, which ends all
+        loop.add_signal_handler(signal.SIGINT, lambda: None)  # Ctrl-C is for the parent, which ends all
         try:
             await program(told)
         except asyncio.CancelledError:
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from thistletrail.fault_injection.checks import Seen
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import by_second, points, start_us
 from thistletrail.fault_injection.runs import Run, rows
 from thistletrail.simulation.clock import S
@@ -133,4 +133,4 @@
     try:
         out.write_text(page)
     except OSError as error:
-        raise RigError(f"{out}: {error.strerror}") from error
+        raise FaultInjectionError(f"{out}: {error.strerror}") from error
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -13,7 +13,7 @@
 
 from thistletrail.benchmarks.process import Tree
 from thistletrail.fault_injection.checks import Seen, Violation, check
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import Figures, figures
 from thistletrail.fault_injection.history import read, write
 from thistletrail.fault_injection.plan import Plan, dump, load
@@ -37,7 +37,7 @@
 def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> Seen:
     """Play a plan in a folder that is gone afterwards. Ctrl-C ends all processes first."""
     with (
-        tempfile.TemporaryDirectory(prefix="rig-") as folder,
+        tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         try:
@@ -67,7 +67,7 @@
         }
         (folder / RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
     except OSError as error:
-        raise RigError(f"{folder}: {error.strerror}") from error
+        raise FaultInjectionError(f"{folder}: {error.strerror}") from error
     for seen, name in ((found.seen, HISTORY), (found.calm, CALM)):
         if seen is not None:
             write((record for kind in seen.by.values() for record in kind), folder / name)
@@ -76,12 +76,12 @@
 def kept(folder: Path) -> Run:
     """A run that was kept; its figures and violations are taken from its histories anew."""
     if not (folder / PLAN).exists():
-        raise RigError(f"{folder} holds no run")
+        raise FaultInjectionError(f"{folder} holds no run")
     plan = load(str(folder / PLAN))
     try:
         seed = int(msgspec.json.decode((folder / RESULT).read_bytes())["seed"])
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError):
-        raise RigError(f"{folder / RESULT} tells no seed") from None
+        raise FaultInjectionError(f"{folder / RESULT} tells no seed") from None
     seen = Seen(read(folder / HISTORY), plan, seed)
     calm = Seen(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
     return Run(plan, seed, seen, calm, figures(seen, calm), check(seen))
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -12,7 +12,7 @@
 
 from thistletrail.benchmarks.process import Tree
 from thistletrail.fault_injection.checks import Violation, check
-from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import Fault, Plan, dump, verify
 from thistletrail.fault_injection.play import Say
 from thistletrail.fault_injection.runs import play_once
@@ -143,7 +143,7 @@
         for less in smaller(plan):
             try:
                 verify(less, less.name)
-            except RigError:
+            except FaultInjectionError:
                 continue
             if breaks(less):
                 plan = less
@@ -163,7 +163,7 @@
         plan = drawn(chance, f"soak-{seed}-{found.played}")
         try:
             verify(plan, plan.name)
-        except RigError:
+        except FaultInjectionError:
             continue  # a fault that this fleet has no place for
         violations = broken(plan)
         found.played += 1
