--- a/thistletrail/fault_injection/realtime.py
+++ b/thistletrail/fault_injection/realtime.py
@@ -23,7 +23,7 @@
 
 
 class RealClock:
-    """`model.clock.Clock` on an event loop: `now` goes on by itself."""
+    """`simulation.clock.Clock` on an event loop: `now` goes on by itself."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
