--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -11,7 +11,7 @@
 
 from tests.sockets import CONFIG, HOST, Backend, Client, query, run
 from thistletrail.gateway.config import Address
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.events import ServerState
 from thistletrail.registry.follower import Follower
 from thistletrail.registry.http_service import ReadService, RegistryService
@@ -56,8 +56,8 @@
             await registration.aclose()
 
 
-async def gateway_at(discovery: Address) -> FrontDoor:
-    gateway = FrontDoor(replace(CONFIG, discovery=(discovery,)))
+async def gateway_at(discovery: Address) -> GatewayServer:
+    gateway = GatewayServer(replace(CONFIG, discovery=(discovery,)))
     await gateway.start()
     return gateway
 
@@ -68,11 +68,11 @@
         assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
-async def wait_until_known(gateway: FrontDoor, *names: str, state: ServerState = ServerState.UP) -> None:
+async def wait_until_known(gateway: GatewayServer, *names: str, state: ServerState = ServerState.UP) -> None:
     """Wait until the gateway knows just these in that state."""
 
     def found() -> set[str]:
-        return {name for name, server in gateway.gateway.servers.items() if server.entry.state is state}
+        return {name for name, server in gateway.policy.servers.items() if server.entry.state is state}
 
     while found() != set(names):
         await asyncio.sleep(0.01)
