--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,74 +12,80 @@
     PeerMessageReceived,
     ServerObservation,
 )
-from thistletrail.policy.health_gossip import DIGEST_US, FRESH_US, Fleet, by_mark, mark
+from thistletrail.policy.health_gossip import DIGEST_US, FRESH_US, HealthGossip, by_fingerprint, fingerprint
 from thistletrail.policy.settings import Plan
 
 MANY = replace(SETTINGS, gateway_count=40, plans=(Plan(),))
 
 
 def test_digest_holds_what_was_seen_since_the_last_and_goes_once_to_each() -> None:
-    fleet = Fleet(39, 255)
-    fleet.add_answer("s0", 0.2)
-    fleet.add_answer("s0", 0.4)
-    fleet.add_failure("s1", 0, False)
-    fleet.add_signal(0.5)
-    fleet.close(DIGEST_US, [("s0", 0), ("s1", 0), ("s2", 3)])
-    digest = fleet.news_for(7)
+    fleet = HealthGossip(39, 255)
+    fleet.record_answer("s0", 0.2)
+    fleet.record_answer("s0", 0.4)
+    fleet.record_failure("s1", 0, False)
+    fleet.record_occupancy(0.5)
+    fleet.close_digest(DIGEST_US, [("s0", 0), ("s1", 0), ("s2", 3)])
+    digest = fleet.digest_for(7)
     assert digest and (digest.serial, digest.occupancy, digest.samples) == (0, 0.5, 1)
     first, *others = digest.observations
-    assert first == ServerObservation(mark("s1"), 0.0, 0, 1)  # the bad news first
+    assert first == ServerObservation(fingerprint("s1"), 0.0, 0, 1)  # the bad news first
     assert {
         (note.server, round(note.latency_ratio, 3), note.successes, note.in_flight) for note in others
     } == {
-        (mark("s0"), 0.3, 2, 0),
-        (mark("s2"), 0.0, 0, 3),
+        (fingerprint("s0"), 0.3, 2, 0),
+        (fingerprint("s2"), 0.0, 0, 3),
     }
-    assert fleet.news_for(7) is None and fleet.news_for(8) == digest
-    fleet.close(2 * DIGEST_US - 1, [])
+    assert fleet.digest_for(7) is None and fleet.digest_for(8) == digest
+    fleet.close_digest(2 * DIGEST_US - 1, [])
     assert fleet.digest is digest  # not yet
-    fleet.close(2 * DIGEST_US, [])
-    assert fleet.news_for(7) is None  # there was nothing
+    fleet.close_digest(2 * DIGEST_US, [])
+    assert fleet.digest_for(7) is None  # there was nothing
 
 
 def test_a_server_where_nobody_is_stays_in_digests_until_it_answers_or_for_a_while() -> None:
-    fleet = Fleet(39, 0)
-    fleet.add_failure("gone", 0, True)
-    fleet.add_failure("back", 0, True)
-    fleet.add_failure("once", 0, False)
+    fleet = HealthGossip(39, 0)
+    fleet.record_failure("gone", 0, True)
+    fleet.record_failure("back", 0, True)
+    fleet.record_failure("once", 0, False)
     told_of = []
     for number in range(1, 6):
-        fleet.close(number * DIGEST_US, [])
+        fleet.close_digest(number * DIGEST_US, [])
         told_of.append(
             {note.server for note in fleet.digest.observations if note.failures} if fleet.digest else set()
         )
-        fleet.add_answer("back", 0.1)
-    both = {mark("gone"), mark("back")}
-    assert told_of == [both | {mark("once")}, {mark("gone")}, {mark("gone")}, set(), set()]
+        fleet.record_answer("back", 0.1)
+    both = {fingerprint("gone"), fingerprint("back")}
+    assert told_of == [
+        both | {fingerprint("once")},
+        {fingerprint("gone")},
+        {fingerprint("gone")},
+        set(),
+        set(),
+    ]
 
 
 def test_a_digest_that_comes_twice_counts_once_until_serials_come_round() -> None:
-    fleet, digest = Fleet(39, 0), HealthDigest(9, 0.5, 1, (ServerObservation(5, in_flight=2),))
-    assert fleet.is_new(3, digest, S)
-    assert not fleet.is_new(3, digest, S + 10 * MS)
-    assert fleet.is_new(4, digest, S)
-    assert fleet.out_at(5) == 4 * 39 / 2  # those not heard of are taken for alike
-    assert fleet.is_new(3, digest, S + FRESH_US)
+    fleet, digest = HealthGossip(39, 0), HealthDigest(9, 0.5, 1, (ServerObservation(5, in_flight=2),))
+    assert fleet.accept(3, digest, S)
+    assert not fleet.accept(3, digest, S + 10 * MS)
+    assert fleet.accept(4, digest, S)
+    assert fleet.in_flight_at(5) == 4 * 39 / 2  # those not heard of are taken for alike
+    assert fleet.accept(3, digest, S + FRESH_US)
 
 
 def test_what_was_out_is_replaced_and_forgotten_with_its_sender() -> None:
-    fleet = Fleet(2, 0)
-    fleet.is_new(
+    fleet = HealthGossip(2, 0)
+    fleet.accept(
         1,
         HealthDigest(1, observations=(ServerObservation(5, in_flight=2), ServerObservation(6, in_flight=1))),
         S,
     )
-    fleet.is_new(1, HealthDigest(2, observations=(ServerObservation(6, in_flight=4),)), S)
-    assert (fleet.out_at(5), fleet.out_at(6)) == (0.0, 8.0)
-    fleet.forget(S + FRESH_US)
-    assert fleet.out_at(6) == 8.0
-    fleet.forget(S + FRESH_US + 1)  # its sender may have gone: a restart tells anew
-    assert fleet.out_at(6) == 0.0 and not fleet.load and not fleet.outs
+    fleet.accept(1, HealthDigest(2, observations=(ServerObservation(6, in_flight=4),)), S)
+    assert (fleet.in_flight_at(5), fleet.in_flight_at(6)) == (0.0, 8.0)
+    fleet.forget_stale(S + FRESH_US)
+    assert fleet.in_flight_at(6) == 8.0
+    fleet.forget_stale(S + FRESH_US + 1)  # its sender may have gone: a restart tells anew
+    assert fleet.in_flight_at(6) == 0.0 and not fleet.load and not fleet.outs
 
 
 def test_what_nobody_is_told_does_not_pile_up() -> None:
@@ -88,7 +94,7 @@
     for number in range(100):
         entry = replace(servers(1)[0], name=f"x{number}")
         world.tell(EndpointUpdate(EndpointUpdateKind.FULL, number, (entry,)))
-        world.gateway.fleet.add_failure(entry.name, world.now, True)
+        world.gateway.fleet.record_failure(entry.name, world.now, True)
         world.ask(f"a{number}")
         world.answer(f"a{number}")
         world.run(500 * MS)
@@ -98,10 +104,10 @@
 
 def test_names_with_one_mark_are_told_of_by_nobody() -> None:
     names = [f"s{number}" for number in range(70_000)]
-    known = by_mark(names)
-    assert all(mark(name) == number for number, name in known.items())
-    alike = [name for name in names if mark(name) not in known]
-    assert len(alike) >= 2 and not by_mark(alike)
+    known = by_fingerprint(names)
+    assert all(fingerprint(name) == number for number, name in known.items())
+    alike = [name for name in names if fingerprint(name) not in known]
+    assert len(alike) >= 2 and not by_fingerprint(alike)
 
 
 def told(world: World, sender: int, *notes: ServerObservation, serial: int = 1) -> None:
@@ -119,10 +125,10 @@
 def test_server_that_fails_at_peers_is_left_alone_here() -> None:
     world = World(MANY, servers(20))
     for sender in range(1, 5):
-        told(world, sender, ServerObservation(mark("s3"), failures=1))
+        told(world, sender, ServerObservation(fingerprint("s3"), failures=1))
     assert "s3" not in sends(world)
     lost = World(MANY, servers(20))  # one word alone is no reason
-    told(lost, 1, ServerObservation(mark("s3"), failures=1))
+    told(lost, 1, ServerObservation(fingerprint("s3"), failures=1))
     assert "s3" in sends(lost)
 
 
@@ -136,10 +142,10 @@
     assert server.on_trial
     world.gateway.note_result(server, True, world.now - 1)
     assert server.on_trial
-    told(world, 1, ServerObservation(mark("s3"), latency_ratio=0.1, successes=2))
+    told(world, 1, ServerObservation(fingerprint("s3"), latency_ratio=0.1, successes=2))
     assert server.on_trial
     world.run(1100 * MS)
-    told(world, 2, ServerObservation(mark("s3"), latency_ratio=0.1, successes=1))  # a peer's trial
+    told(world, 2, ServerObservation(fingerprint("s3"), latency_ratio=0.1, successes=1))  # a peer's trial
     assert not server.on_trial
 
 
@@ -147,7 +153,9 @@
     """A trial goes first; were each suspect server tried as it is due, all that is sent would go there."""
     world = World(MANY, servers(40))
     for sender in range(1, 6):
-        told(world, sender, *(ServerObservation(mark(f"s{number}"), failures=1) for number in range(30)))
+        told(
+            world, sender, *(ServerObservation(fingerprint(f"s{number}"), failures=1) for number in range(30))
+        )
     world.run(1100 * MS)
     world.log.clear()
     for number in range(400):
@@ -167,9 +175,9 @@
     world.ask("a")
     (server,) = {server for server, _, _ in world.out.values()}
     world.answer("a", AttemptResult.AT_CAPACITY)
-    world.gateway.fleet.close(world.now, ())
+    world.gateway.fleet.close_digest(world.now, ())
     (note,) = world.gateway.fleet.digest.observations
-    assert (note.server, note.failures) == (mark(server), 1)
+    assert (note.server, note.failures) == (fingerprint(server), 1)
 
 
 def test_warming_server_is_sent_its_part_by_many_gateways() -> None:
@@ -193,7 +201,9 @@
 def test_what_peers_have_out_sends_attempts_elsewhere() -> None:
     world = World(MANY, servers(10))
     for sender in range(1, 20):
-        told(world, sender, *(ServerObservation(mark(f"s{number}"), in_flight=2) for number in range(5)))
+        told(
+            world, sender, *(ServerObservation(fingerprint(f"s{number}"), in_flight=2) for number in range(5))
+        )
     names = sends(world)
     assert sum(name in {"s0", "s1", "s2", "s3", "s4"} for name in names) < 0.35 * len(names)
 
@@ -204,7 +214,10 @@
         told(
             world,
             sender,
-            *(ServerObservation(mark(f"s{number}"), latency_ratio=2.0, successes=1) for number in range(5)),
+            *(
+                ServerObservation(fingerprint(f"s{number}"), latency_ratio=2.0, successes=1)
+                for number in range(5)
+            ),
         )
     names = sends(world, 100)
     assert sum(name in {"s0", "s1", "s2", "s3", "s4"} for name in names) < 0.35 * len(names)
@@ -213,12 +226,14 @@
 def test_note_of_a_server_that_is_not_listed_says_nothing() -> None:
     world = World(MANY, servers(2))
     told(
-        world, 1, ServerObservation(mark("unheard"), latency_ratio=9.0, successes=3, failures=4, in_flight=9)
+        world,
+        1,
+        ServerObservation(fingerprint("unheard"), latency_ratio=9.0, successes=3, failures=4, in_flight=9),
     )
     assert set(world.gateway.servers) == {"s0", "s1"}
     assert set(sends(world, 20)) <= {"s0", "s1"}
     empty = World(MANY, ())
-    told(empty, 1, ServerObservation(mark("s0"), latency_ratio=9.0, successes=3))
+    told(empty, 1, ServerObservation(fingerprint("s0"), latency_ratio=9.0, successes=3))
     assert not of(StartAttempt, empty.ask("a"))
 
 
@@ -286,7 +301,7 @@
     world = World(replace(MANY, handshake_price=0.1), servers(60))
     met = set(sends(world, 50))
     for sender in range(1, 30):
-        told(world, sender, *(ServerObservation(mark(name), in_flight=3) for name in met))
+        told(world, sender, *(ServerObservation(fingerprint(name), in_flight=3) for name in met))
     world.log.clear()
     assert set(sends(world, 100)) - met
 
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -126,7 +126,7 @@
     assert again.part <= customer.part + 1e-9 and again.level <= customer.level + 1e-9
     assert successor.gateway.servers["s1"].on_trial
     assert successor.gateway.servers["s1"].avoid_until == successor.now + S // 2
-    assert successor.gateway.n_past == 12 and successor.gateway.starts.restarted
+    assert successor.gateway.n_past == 12 and successor.gateway.starts.has_restarted
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
             assert list(successor.gateway.servers) == ["s0"]
             assert successor.gateway.servers["s0"].entry == door.gateway.servers["s0"].entry
             assert successor.gateway.customers.keys() == door.gateway.customers.keys()
-            assert successor.gateway.starts.restarted
+            assert successor.gateway.starts.has_restarted
             successor.close()
             second.close()
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -36,7 +36,7 @@
     TimerFired,
 )
 from thistletrail.policy.overload_control import TARGETS, next_exact
-from thistletrail.policy.retry_detection import Patience
+from thistletrail.policy.retry_detection import RetryDetector
 from thistletrail.policy.rules import Gateway
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
@@ -879,7 +879,7 @@
 def test_advice_is_short_only_while_an_answer_is_still_of_use() -> None:
     rule = replace(SAFE, latency_objective_us=1500 * MS)
     world = World(with_class(rule, max_retry_after_us=2 * S), ())
-    world.gateway.starts.asked(0)  # long ago: on the way back from a start, advice is spread
+    world.gateway.starts.note_first_request(0)  # long ago: on the way back from a start, advice is spread
     (early,) = of(RejectRequest, world.ask("early", remaining_us=100 * MS) + world.run(100 * MS))
     assert early.retry_after_us == 2 * S  # its client's time is nearly over
     world.gateway.mean_us = [500.0 * MS]
@@ -1008,13 +1008,13 @@
 
 
 def test_what_is_known_of_patience_stays_small_and_follows_change() -> None:
-    waits = Patience()
+    waits = RetryDetector()
     for number in range(5000):
-        waits.note(number * 7919 % 6_000_000)
+        waits.record(number * 7919 % 6_000_000)
     assert len(waits.counts) <= 121 and waits.seen <= 400
     for _ in range(400):
-        waits.note(2 * S)
+        waits.record(2 * S)
     assert waits.is_common(2 * S) and not waits.is_common(4 * S)
     for _ in range(1200):
-        waits.note(4 * S)
+        waits.record(4 * S)
     assert waits.is_common(4 * S) and not waits.is_common(2 * S)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -9,7 +9,14 @@
 from thistletrail.policy.actions import Action, RejectRequest, SendPeerMessage
 from thistletrail.policy.codec import pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
-from thistletrail.policy.incarnations import BACK_US, MOST_SERVED_S, OLDER_US, TIMES_TOLD, YOUNG_US, Starts
+from thistletrail.policy.incarnations import (
+    BACK_US,
+    MOST_SERVED_S,
+    OLDER_US,
+    TIMES_TOLD,
+    YOUNG_US,
+    Incarnations,
+)
 from thistletrail.policy.settings import Plan
 
 CUSTOMER = (1, 0, 0, 3)
@@ -19,34 +26,35 @@
     return QuotaMessage(mark, 0, 0, 0, knows, demand=served_s)
 
 
-def starts(first_us: int) -> Starts:
-    found = Starts(random.Random(1))
-    found.asked(first_us)
+def starts(first_us: int) -> Incarnations:
+    found = Incarnations(random.Random(1))
+    found.note_first_request(first_us)
     return found
 
 
 def test_a_start_is_told_while_young_and_to_peers_that_are_new() -> None:
     mine = starts(100 * S)
-    assert [word.demand for word in mine.told_to(1, 101 * S)] == [1.0]
-    assert mine.told_to(1, 100 * S + YOUNG_US) == ()
-    mine.heard(1, start(), 110 * S)
-    assert [bool(mine.told_to(1, 110 * S)) for _ in range(TIMES_TOLD + 1)] == [True] * TIMES_TOLD + [False]
-    mine.heard(1, start(), 111 * S)  # the same start once more is nothing new
-    assert mine.told_to(1, 111 * S) == ()
-    assert mine.told_to(2, 10_000 * S) == () and not mine.restarted
-    mine.heard(2, start(6), 10_000 * S)
-    assert mine.told_to(2, 10_000 * S)[0].demand == MOST_SERVED_S
+    assert [word.demand for word in mine.announcements_for(1, 101 * S)] == [1.0]
+    assert mine.announcements_for(1, 100 * S + YOUNG_US) == ()
+    mine.receive(1, start(), 110 * S)
+    has_announcement = [bool(mine.announcements_for(1, 110 * S)) for _ in range(TIMES_TOLD + 1)]
+    assert has_announcement == [True] * TIMES_TOLD + [False]
+    mine.receive(1, start(), 111 * S)  # the same start once more is nothing new
+    assert mine.announcements_for(1, 111 * S) == ()
+    assert mine.announcements_for(2, 10_000 * S) == () and not mine.has_restarted
+    mine.receive(2, start(6), 10_000 * S)
+    assert mine.announcements_for(2, 10_000 * S)[0].demand == MOST_SERVED_S
 
 
 @pytest.mark.parametrize("older_us, restarted", [(0, False), (OLDER_US, False), (OLDER_US + S, True)])
 def test_who_is_asked_for_a_shorter_time_than_a_peer_has_restarted(older_us: int, restarted: bool) -> None:
     mine, now = starts(100 * S), 101 * S
-    mine.heard(1, start(served_s=1.0 + older_us / S), now)
-    assert mine.restarted is restarted
+    mine.receive(1, start(served_s=1.0 + older_us / S), now)
+    assert mine.has_restarted is restarted
     theirs = starts(100 * S - older_us)
-    assert theirs.heard(0, start(served_s=1.0), now) is restarted  # and is told at once that it has
-    assert theirs.is_younger(0) is restarted and not theirs.restarted
-    assert theirs.on_way_back(now + BACK_US - 1) is restarted
+    assert theirs.receive(0, start(served_s=1.0), now) is restarted  # and is told at once that it has
+    assert theirs.is_younger(0) is restarted and not theirs.has_restarted
+    assert theirs.is_recovering(now + BACK_US - 1) is restarted
 
 
 def test_who_knows_that_it_has_restarted_is_not_told_again() -> None:
@@ -55,15 +63,15 @@
         ask(world, "a")
         world.run(OLDER_US + 2 * S)
         world.log.clear()
-    (word,) = mine.told_to(1, 100 * S + MS)
+    (word,) = mine.announcements_for(1, 100 * S + MS)
     assert not word.is_answer
     (told_back,) = of(SendPeerMessage, told(older[0], 0, word))
     (answer,) = [word for word in told_back.quota_messages if not word.set_size]
-    mine.heard(1, answer, 100 * S + 2 * MS)
-    (word,) = mine.told_to(2, 100 * S + 3 * MS)
-    assert mine.restarted and word.is_answer
+    mine.receive(1, answer, 100 * S + 2 * MS)
+    (word,) = mine.announcements_for(2, 100 * S + 3 * MS)
+    assert mine.has_restarted and word.is_answer
     assert of(SendPeerMessage, told(older[1], 0, word)) == []
-    assert older[1].gateway.starts.is_younger(0) and older[1].gateway.starts.on_way_back(older[1].now)
+    assert older[1].gateway.starts.is_younger(0) and older[1].gateway.starts.is_recovering(older[1].now)
 
 
 def test_marks_survive_the_wire_and_are_no_words_to_who_knows_them_not() -> None:
@@ -175,8 +183,8 @@
     gateway_count.worlds[1] = fresh
     gateway_count.ask(1, "first")
     gateway_count.run(300 * MS)
-    assert fresh.gateway.starts.restarted
-    assert not any(gateway_count.worlds[n].gateway.starts.restarted for n in (0, 2))
+    assert fresh.gateway.starts.has_restarted
+    assert not any(gateway_count.worlds[n].gateway.starts.has_restarted for n in (0, 2))
 
 
 def test_gateways_that_start_together_have_not_restarted_and_say_so_no_longer() -> None:
@@ -184,7 +192,7 @@
     for number in range(60):
         gateway_count.ask(number % 3, f"r{number}")
         gateway_count.run(100 * MS)
-    assert not any(world.gateway.starts.restarted for world in gateway_count.worlds)
+    assert not any(world.gateway.starts.has_restarted for world in gateway_count.worlds)
     late = [
         action
         for world in gateway_count.worlds
--- a/thistletrail/policy/health_gossip.py
+++ b/thistletrail/policy/health_gossip.py
@@ -19,7 +19,7 @@
 FAILURE_US = 2_400_000
 
 
-def mark(name: str) -> int:
+def fingerprint(name: str) -> int:
     """The checksum by which servers are told of: short, as it is most of a digest."""
     return zlib.crc32(name.encode()) & 0xFFFF
 
@@ -33,7 +33,7 @@
     failures: int = 0
 
 
-class Fleet:
+class HealthGossip:
     """Collects the own digest, and knows whom it has been told and whose have been heard."""
 
     def __init__(self, peers: int, first_serial: int) -> None:
@@ -50,21 +50,21 @@
         self.failed: dict[str, int] = {}  # when it last failed here, with no answer since
         self.occupancy, self.samples, self.closed_us = 0.0, 0, 0
 
-    def add_answer(self, name: str, latency_ratio: float) -> None:
+    def record_answer(self, name: str, latency_ratio: float) -> None:
         seen = self.seen.setdefault(name, Seen())
         self.failed.pop(name, None)
         seen.lags, seen.successes = seen.lags + latency_ratio, seen.successes + 1
 
-    def add_failure(self, name: str, now: int, lasts: bool) -> None:
+    def record_failure(self, name: str, now: int, lasts: bool) -> None:
         """`lasts` where it is turned away or nobody is there, which is not a matter of one attempt."""
         self.seen.setdefault(name, Seen()).failures += 1
         if lasts:
             self.failed[name] = now
 
-    def add_signal(self, occupancy: float) -> None:
+    def record_occupancy(self, occupancy: float) -> None:
         self.occupancy, self.samples = self.occupancy + occupancy, self.samples + 1
 
-    def close(self, now: int, outs: Iterable[tuple[str, int]]) -> None:
+    def close_digest(self, now: int, outs: Iterable[tuple[str, int]]) -> None:
         """Make what was seen so far the present digest, with the attempts out by server; the bad news first,
         should not all find room."""
         if now - self.closed_us < DIGEST_US:
@@ -80,7 +80,7 @@
             self.serial = (self.serial + 1) % SERIALS
             seen = [(name, self.seen.get(name, Seen()), out.get(name, 0)) for name in {**self.seen, **out}]
             notes = [
-                ServerObservation(mark(name), s.lags / max(1, s.successes), s.successes, s.failures, n)
+                ServerObservation(fingerprint(name), s.lags / max(1, s.successes), s.successes, s.failures, n)
                 for name, s, n in seen
             ]
             notes.sort(key=lambda note: -note.failures)
@@ -89,14 +89,14 @@
             )
         self.seen, self.occupancy, self.samples = {}, 0.0, 0
 
-    def news_for(self, peer: int) -> HealthDigest | None:
+    def digest_for(self, peer: int) -> HealthDigest | None:
         """The present digest, once."""
         if peer in self.told:
             return None
         self.told.add(peer)
         return self.digest
 
-    def is_new(self, sender: int, digest: HealthDigest, now: int) -> bool:
+    def accept(self, sender: int, digest: HealthDigest, now: int) -> bool:
         """Whether it has not come before."""
         serial, at = self.heard.get(sender, (-1, 0))
         if serial == digest.serial and now - at < FRESH_US:
@@ -117,7 +117,7 @@
             self.load[note.server] = self.load.get(note.server, 0) + note.in_flight
         self.outs[sender] = now, notes
 
-    def forget(self, now: int) -> None:
+    def forget_stale(self, now: int) -> None:
         """What was told long ago is not out any more, or its sender has gone; what was seen here long ago,
         with no word to send in all that time, is no news, and would grow with every server that comes."""
         for sender in [sender for sender, (at, _) in self.outs.items() if now - at > FRESH_US]:
@@ -127,15 +127,15 @@
             self.closed_us, self.digest, self.seen, self.failed = now, None, {}, {}
             self.occupancy, self.samples = 0.0, 0
 
-    def out_at(self, server: int) -> float:
+    def in_flight_at(self, server: int) -> float:
         """Attempts that peers have out at a server, by its mark; those not heard of are taken for alike."""
         heard = len(self.outs)
         return self.load.get(server, 0) * self.peers / heard if heard else 0.0
 
 
-def by_mark(names: Iterable[str]) -> dict[int, str]:
+def by_fingerprint(names: Iterable[str]) -> dict[int, str]:
     """Names by their marks, without those whose mark is not theirs alone."""
     found: dict[int, list[str]] = {}
     for name in names:
-        found.setdefault(mark(name), []).append(name)
+        found.setdefault(fingerprint(name), []).append(name)
     return {number: same[0] for number, same in found.items() if len(same) == 1}
--- a/thistletrail/policy/memory.py
+++ b/thistletrail/policy/memory.py
@@ -21,7 +21,7 @@
     had not asked for long; as little is known of it here as after a restart with no memory.
     """
     now, memory, age = gateway.now, event.snapshot, max(0, event.age_us)
-    gateway.starts.restart(now)
+    gateway.starts.note_restart(now)
     taken = []
     if age < gateway.forget_us:
         for kept in memory.customers:
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -6,7 +6,7 @@
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.base import NEVER, TICK_US, Job, S
 from thistletrail.policy.events import BudgetKind, QuotaMessage
-from thistletrail.policy.incarnations import Starts
+from thistletrail.policy.incarnations import Incarnations
 from thistletrail.policy.leased_budgets import stores_of
 from thistletrail.policy.overload_control import Cap
 from thistletrail.policy.settings import Plan, Settings
@@ -134,7 +134,7 @@
         self.unanswered, self.asked_us = {}, {}  # by peer: the first ask without a word since; the last ask
         self.waits, self.words, self.told_us = [], {}, {}  # who waits for word; peers' words, when they left
         self.wanted = 0  # requests let through by their quotas in this period
-        self.starts = Starts(self.random)
+        self.starts = Incarnations(self.random)
 
     def forget_customers(self) -> None:
         """One whose stores are full again is as good as new; those that came only once would never end."""
@@ -150,8 +150,8 @@
         known = self.customers.pop(key, None)
         if known is None:
             known = Customer(self.set.plans[key[1]], key, self.set, self.now, self.since_us)
-            if self.starts.restarted:
-                known.forget(self.starts.first_us)
+            if self.starts.has_restarted:
+                known.forget(self.starts.first_request_us)
             if self.sets.setdefault(key[:2], key) != key:  # a name of another set must not open a fresh burst
                 known.part = known.level = known.ceiling = 0.0
         self.customers[key] = known
@@ -267,9 +267,11 @@
         space = min(SPACE_US, 2 * S * (self.set.gateway_count - 1) / max(1, self.set.peer_messages_per_s))
         for peer in [peer for peer in self.words if self.now - self.told_us.get(peer, -S) >= space]:
             self.told_us[peer] = self.now
-            self.fleet.close(self.now, ((name, len(known.out)) for name, known in self.servers.items()))
-            words = (*self.starts.told_to(peer, self.now), *self.words.pop(peer))
-            self.actions.append(SendPeerMessage(peer, words, self.fleet.news_for(peer)))
+            self.fleet.close_digest(
+                self.now, ((name, len(known.out)) for name, known in self.servers.items())
+            )
+            words = (*self.starts.announcements_for(peer, self.now), *self.words.pop(peer))
+            self.actions.append(SendPeerMessage(peer, words, self.fleet.digest_for(peer)))
 
 
 def full_again_us(plan: Plan) -> int:
--- a/thistletrail/policy/retry_detection.py
+++ b/thistletrail/policy/retry_detection.py
@@ -10,7 +10,7 @@
 LEAST_SEEN, MOST_SEEN = 20, 400  # tries before anything is made of them; as many count, older ones by half
 
 
-class Patience:
+class RetryDetector:
     """The times that tries of one class say their clients will wait; a bounded table of counts."""
 
     __slots__ = ("counts", "seen")
@@ -19,7 +19,7 @@
         self.counts: dict[int, float] = {}
         self.seen = 0.0
 
-    def note(self, remaining_us: int) -> None:
+    def record(self, remaining_us: int) -> None:
         """A try whose client says that it waits for so long."""
         bucket = remaining_us // BUCKET_US
         self.counts[bucket] = self.counts.get(bucket, 0.0) + 1
--- a/thistletrail/policy/rules.py
+++ b/thistletrail/policy/rules.py
@@ -40,7 +40,7 @@
 from thistletrail.policy.memory import recall
 from thistletrail.policy.overload_control import FAIR_N, MOST_PERIODS
 from thistletrail.policy.quota import Quota
-from thistletrail.policy.retry_detection import Patience
+from thistletrail.policy.retry_detection import RetryDetector
 from thistletrail.policy.server_selection import FEW_GATEWAYS, SMOOTH, Backend
 from thistletrail.policy.settings import Effect, Settings
 
@@ -71,7 +71,7 @@
         self.alarm_us = NEVER
         self.last_us = NEVER  # until when requests may last
         self.patience_us = [0] * len(settings.classes)  # how long clients wait for their first tries
-        self.waits_of = [Patience() for _ in settings.classes]  # what all their tries say
+        self.waits_of = [RetryDetector() for _ in settings.classes]  # what all their tries say
         self.retries = RETRY_STORE / 2
         # All gateways' further attempts, divided by leases; none: a share of the first ones here.
         further = Store(settings.retry_rate, settings.retry_burst, FLOOR / settings.gateway_count, 0)
@@ -122,7 +122,7 @@
 
     def on_request(self, req: RequestArrived) -> None:
         key = (zlib.crc32(req.customer.encode()), req.plan_index, req.set_first, req.set_size)
-        self.starts.asked(self.now)
+        self.starts.note_first_request(self.now)
         customer = self.customer(key)
         rule = self.set.classes[req.class_index]
         gone = 0 if req.is_taken_over else self.gone_us(req)
@@ -172,7 +172,7 @@
             return 0 if rule.late_value else max(0, known - req.remaining_us)
         if self.last_us == NEVER:
             waits = self.waits_of[req.class_index]
-            waits.note(req.remaining_us)
+            waits.record(req.remaining_us)
             if not waits.is_common(req.remaining_us):
                 return max(0, rule.deadline_us - req.remaining_us)
         if rule.late_value:
@@ -196,7 +196,7 @@
             text = f"further attempts are spent: {self.not_again} not begun in a period"
             self.actions.append(WriteLog(text))
             self.not_again = 0
-        self.fleet.forget(self.now)
+        self.fleet.forget_stale(self.now)
         self.forget_customers()
         self.update_cap(self.accepted)
         was, most = self.cc_us, min(MOST_PERIODS, round(FAIR_N / max(1.0, self.rate * self.second / S)))
@@ -229,16 +229,17 @@
         if not job.over and (late or self.now + 2 * TICK_US >= job.end_us):
             soon = job.rule.latency_objective_us // SOON_PART
             useful = self.now + soon + self.mean_us[job.req.class_index] < job.latency_objective_us
-            if useful and self.starts.on_way_back(self.now):  # refused together, they must not come together
+            # Refused together, they must not come together.
+            if useful and self.starts.is_recovering(self.now):
                 soon = round(soon * (1 + SPREAD * (self.random.random() - 0.5)))
             self.end(job, soon if useful else self.set.max_retry_after_us)
         return job.over
 
     def on_peer(self, message: PeerMessageReceived) -> None:
         """The home adds up what its set asks and spends, or takes over at its start, and answers."""
-        self.starts.asked(self.now)
+        self.starts.note_first_request(self.now)
         self.unanswered.pop(message.sender, None)
-        if message.digest and self.fleet.is_new(message.sender, message.digest, self.now):
+        if message.digest and self.fleet.accept(message.sender, message.digest, self.now):
             self.hear(message.digest)
         for word in message.quota_messages:
             if not word.set_size:
@@ -252,7 +253,7 @@
             new, customer = key not in self.customers, self.customer(key)
             if word.is_answer:
                 # A home that has lost its memory knows less than what it told before.
-                kept = customer.level if self.starts.has_lost(message.sender, self.now) else word.level
+                kept = customer.level if self.starts.has_lost_state(message.sender, self.now) else word.level
                 customer.heard_us, customer.level = self.now, min(kept, word.level)
                 customer.others = max(0.0, word.demand - customer.own)
                 customer.part = min(customer.part, max(0.0, word.level / customer.size))
@@ -273,13 +274,13 @@
     def on_start(self, sender: int, word: QuotaMessage) -> None:
         """A peer tells of its start: it is told of this one, and where that is the later one, what is held
         of customers here is not to be trusted."""
-        before = self.starts.restarted
-        if self.starts.heard(sender, word, self.now):
+        before = self.starts.has_restarted
+        if self.starts.receive(sender, word, self.now):
             self.words.setdefault(sender, [])
-        if self.starts.restarted and not before:
+        if self.starts.has_restarted and not before:
             for customer in self.customers.values():
                 if customer.heard_us < 0:
-                    customer.refill(self.now).forget(self.starts.first_us)
+                    customer.refill(self.now).forget(self.starts.first_request_us)
 
     def send(self, job: Job, server: Backend) -> None:
         if not (number := len(job.servers)):
@@ -352,7 +353,7 @@
             result is AttemptResult.TIMEOUT and server.heard_us >= self.now - took
         )  # but it answered others
         if result is AttemptResult.OK or long:
-            self.fleet.add_answer(server.entry.name, took / job.rule.latency_objective_us)
+            self.fleet.record_answer(server.entry.name, took / job.rule.latency_objective_us)
             self.note_lag(server, took / job.rule.latency_objective_us, 1)
         if result is AttemptResult.OK:
             server.heard_us = self.now
@@ -363,11 +364,11 @@
                 job.customer.take(event.true_units - job.req.units)
         if result in (AttemptResult.OK, AttemptResult.TIMEOUT):
             self.signals["latency"].append(min(1.0, took / job.rule.latency_objective_us))
-            self.fleet.add_signal(min(1.0, took / job.rule.latency_objective_us))
+            self.fleet.record_occupancy(min(1.0, took / job.rule.latency_objective_us))
         if result is AttemptResult.AT_CAPACITY:
             server.avoid_until = max(server.avoid_until, self.now + AVOID_US)
             if self.set.gateway_count > FEW_GATEWAYS:  # as one that drains, and the list is late
-                self.fleet.add_failure(server.entry.name, self.now, True)
+                self.fleet.record_failure(server.entry.name, self.now, True)
         elif result in (AttemptResult.MALFORMED, AttemptResult.RESET):
             self.note_broken(server)
         elif not long and result not in (
@@ -377,7 +378,7 @@
         ):
             if result is not AttemptResult.OK:
                 nobody = result is AttemptResult.CONNECT_FAILED
-                self.fleet.add_failure(server.entry.name, self.now, nobody)
+                self.fleet.record_failure(server.entry.name, self.now, nobody)
             self.note_result(server, result is AttemptResult.OK, self.now - took)
 
     def end(self, job: Job, wait_us: int = NEVER) -> None:
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -3,7 +3,7 @@
 from thistletrail.policy.actions import WatchEndpoints
 from thistletrail.policy.base import NEVER, Base, Job, S
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, HealthDigest, Server, ServerState
-from thistletrail.policy.health_gossip import Fleet, by_mark, mark
+from thistletrail.policy.health_gossip import HealthGossip, by_fingerprint, fingerprint
 from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
 
 SMOOTH = 0.1  # weight of a new latency in a running mean
@@ -24,7 +24,7 @@
 
 class Backend:
     def __init__(self, entry: Server) -> None:
-        self.entry, self.mark = entry, mark(entry.name)
+        self.entry, self.mark = entry, fingerprint(entry.name)
         self.out: dict[tuple[str, int], int] = {}  # attempts out and when each was sent
         self.heard_us = self.avoid_until = self.next_us = self.backoff_us = self.suspect_us = 0
         self.slowness, self.failures = 1.0, 0.0  # latency over the mean of its class; failures of late
@@ -40,7 +40,7 @@
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
         self.servers, self.up = {}, []  # by name; those that may be sent new work
-        self.fleet = Fleet(settings.gateway_count - 1, self.random.getrandbits(8))
+        self.fleet = HealthGossip(settings.gateway_count - 1, self.random.getrandbits(8))
         self.marks: dict[int, str] = {}  # the servers' names by their checksums
         self.mean_lag = USUAL_LAG  # of all servers: what one that nobody has met is taken for
         self.rate, self.mean_load = 0.0, 0.0  # first attempts a second; load of the servers, as they say
@@ -63,7 +63,7 @@
             if entry.state is ServerState.GONE:  # its id does not come again
                 del self.servers[entry.name]
         self.up = [server for server in self.servers.values() if server.entry.state is ServerState.UP]
-        self.marks, self.capacity = by_mark(self.servers), self.measure_capacity()
+        self.marks, self.capacity = by_fingerprint(self.servers), self.measure_capacity()
 
     def hear(self, digest: HealthDigest) -> None:
         """What a peer saw counts as if it had been seen here, its failures in part."""
@@ -139,7 +139,11 @@
         waits = 0 if server.on_trial else len(server.out) + 1  # a trial that is due goes first
         if self.set.gateway_count > FEW_GATEWAYS and waits:
             new = HANDSHAKE_WEIGHT * self.set.handshake_price * (len(server.out) >= server.connections)
-            return (waits + new + self.fleet.out_at(server.mark)) * max(LEAST_LAG, server.latency_ratio) * far
+            return (
+                (waits + new + self.fleet.in_flight_at(server.mark))
+                * max(LEAST_LAG, server.latency_ratio)
+                * far
+            )
         return waits * server.slowness * pressure * far
 
     def warmth(self, server: Backend) -> float:
