--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,6 +8,7 @@
 
 from thistletrail.leasing.tenure import latest, place
 from thistletrail.policy.actions import Action, SendPeerMessage, SetTimer, StartAttempt
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -21,7 +22,6 @@
     ServerState,
     TimerFired,
 )
-from thistletrail.policy.rules import Gateway
 from thistletrail.policy.settings import Plan, RequestClass, Settings
 
 MS, S = 1_000, 1_000_000
@@ -55,7 +55,7 @@
 
     def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Server] = servers(4)) -> None:
         self.now = 100 * S
-        self.gateway = Gateway(settings)
+        self.gateway = PolicyEngine(settings)
         self.timers: list[tuple[int, int]] = []
         self.log: list[tuple[int, Action]] = []
         self.out: dict[tuple[str, int], tuple[str, int, int]] = {}
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -116,9 +116,9 @@
         name, *parts = line.split(" ")
         if name != "M":
             host.event(name, parts, iter(SHEET.splitlines()[1:]))
-    server = host.gateway_count[0].jobs["rq_a"].servers[0].entry.name
+    server = host.gateway_count[0].requests_by_id["rq_a"].attempted_servers[0].entry.name
     host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.gateway_count[0].signals["util"] == [0.4]
+    assert host.gateway_count[0].overload.utilization_samples == [0.4]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -12,8 +12,9 @@
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.gateway.config import ConfigError, read_steward
 from thistletrail.policy.actions import Action, RejectRequest, StartAttempt
+from thistletrail.policy.budget_leases import DEMAND_KEPT_US
 from thistletrail.policy.events import AttemptResult, BudgetGranted, BudgetKey, BudgetKind, ClientDisconnected
-from thistletrail.policy.leased_budgets import FLOOR, WANTED_US, wanted
+from thistletrail.policy.leased_budgets import FLOOR
 from thistletrail.policy.settings import Plan
 
 PLAN = Plan(rate=100.0, burst=100.0, ceiling_rate=20.0, ceiling_burst=40.0)
@@ -28,14 +29,14 @@
 
 
 def allow(world: World, share: float, units: float = 0.0, lasts_us: int = 3 * S) -> None:
-    ((key, _),) = world.gateway.customers.items()
+    ((key, _),) = world.gateway.customers.by_key.items()
     world.tell(BudgetGranted(BudgetKey(BudgetKind.CEILING, *key), share, units, world.now + lasts_us))
 
 
 def ceiling(world: World) -> float:
-    ((_, customer),) = world.gateway.customers.items()
+    ((_, customer),) = world.gateway.customers.by_key.items()
     customer.refill(world.now)
-    return customer.leased["ceiling"].level if customer.leased else customer.ceiling
+    return customer.leased["ceiling"].level if customer.leased else customer.ceiling_bucket.level
 
 
 def test_a_ceiling_is_the_floor_until_a_part_is_granted_and_after_its_lease() -> None:
@@ -53,8 +54,8 @@
 def test_units_come_at_the_granted_rate_up_to_the_leases_end_and_no_longer() -> None:
     world = gateway()
     allow(world, 0.25, lasts_us=S)
-    ((_, customer),) = world.gateway.customers.items()
-    customer.leased["ceiling"].until_us = world.now + S
+    ((_, customer),) = world.gateway.customers.by_key.items()
+    customer.leased["ceiling"].expires_us = world.now + S
     world.now += S - 1
     assert ceiling(world) == pytest.approx(20.0 * (0.25 + FLOOR / 2), rel=0.01)
     world.now += 1
@@ -66,13 +67,13 @@
     allow(world, 0.8, units=30.0)
     assert ceiling(world) == 30.0
     allow(world, 0.2)
-    ((_, customer),) = world.gateway.customers.items()
+    ((_, customer),) = world.gateway.customers.by_key.items()
     most = 40.0 * (0.2 + FLOOR / 2)
-    assert customer.leased["ceiling"].back == int(30.0 - most) and ceiling(world) <= most
-    (want,) = wanted(world.gateway, world.now)
-    assert want.returned == customer.leased["ceiling"].back
+    assert customer.leased["ceiling"].returned == int(30.0 - most) and ceiling(world) <= most
+    (want,) = world.gateway.budget_demands(world.now)
+    assert want.returned == customer.leased["ceiling"].returned
     allow(world, 0.2)
-    assert wanted(world.gateway, world.now)[0].returned == 0  # told with one grant, and not again
+    assert world.gateway.budget_demands(world.now)[0].returned == 0  # told with one grant, and not again
 
 
 def test_no_more_is_taken_than_leases_can_grant() -> None:
@@ -81,7 +82,7 @@
     assert ceiling(world) <= 40.0 * (1 - FLOOR + FLOOR / 2) + 1e-9
     stranger = BudgetGranted(BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2), 0.5, 1.0, world.now + S)
     world.tell(stranger)  # of a customer that is not known here
-    assert len(world.gateway.customers) == 1
+    assert len(world.gateway.customers.by_key) == 1
     plain = World(replace(LEASED, leases_ceilings=False))
     plain.ask("first", set_size=2)
     before = ceiling(plain)
@@ -94,7 +95,7 @@
 
 
 def grant(world: World, kind: str, share: float, units: float = 0.0, lasts_us: int = 3 * S) -> list[Action]:
-    ((key, _),) = world.gateway.customers.items()
+    ((key, _),) = world.gateway.customers.by_key.items()
     return world.tell(BudgetGranted(BudgetKey(kind, *key), share, units, world.now + lasts_us))
 
 
@@ -105,7 +106,7 @@
 def test_a_leased_quota_lets_nothing_through_but_units_that_were_granted() -> None:
     world = World(QUOTAS)
     assert sent(world.ask("a", set_size=2)) == []
-    (want,) = wanted(world.gateway, world.now)
+    (want,) = world.gateway.budget_demands(world.now)
     assert want.key.kind == "quota" and want.needed == 1.0 and want.demand > 0
     assert sent(grant(world, "quota", 0.0, units=2.0)) == ["a"]  # and one is left
     assert sent(world.ask("b", set_size=2)) == ["b"]
@@ -121,9 +122,9 @@
     names = [f"a{n}" for n in range(5)]
     for name in names:
         world.ask(name, set_size=2)
-    assert wanted(world.gateway, world.now)[0].needed == 5.0
+    assert world.gateway.budget_demands(world.now)[0].needed == 5.0
     assert sent(grant(world, "quota", 0.0, units=3.0)) == names[:3]
-    assert wanted(world.gateway, world.now)[0].needed == 2.0
+    assert world.gateway.budget_demands(world.now)[0].needed == 2.0
     assert sent(grant(world, "quota", 0.0, units=2.0)) == names[3:]
 
 
@@ -131,7 +132,7 @@
     world = World(QUOTAS, ())  # nobody to send to
     world.ask("a", set_size=2)
     grant(world, "quota", 0.9, units=1.0)
-    ((_, customer),) = world.gateway.customers.items()
+    ((_, customer),) = world.gateway.customers.by_key.items()
     level = customer.leased["quota"].level
     world.tell(ClientDisconnected("a"))
     assert customer.leased["quota"].level == pytest.approx(level + 1.0)
@@ -140,23 +141,25 @@
 def test_no_more_is_open_at_once_than_the_leases_allow() -> None:
     world = World(OPEN)
     world.ask("a", set_size=2)
-    (want,) = [want for want in wanted(world.gateway, world.now) if want.key.kind == "open"]
+    (want,) = [want for want in world.gateway.budget_demands(world.now) if want.key.kind == "open"]
     assert want.needed == 1.0 and want.in_use == 0  # the floor of ten over two is half of one
     assert sent(grant(world, "open", 0.3)) == []  # its home's word is still waited for
     world.run(S)
     for number in range(5):
         world.ask(f"b{number}", set_size=2)
         world.run(S)
-    ((_, customer),) = world.gateway.customers.items()
-    assert customer.out == 3
-    (want,) = [want for want in wanted(world.gateway, world.now) if want.key.kind == "open"]
+    ((_, customer),) = world.gateway.customers.by_key.items()
+    assert customer.in_flight == 3
+    (want,) = [want for want in world.gateway.budget_demands(world.now) if want.key.kind == "open"]
     assert want.in_use == 3 and want.demand >= 3
     world.now += 10 * S
-    assert not customer.refill(world.now).may_open()  # the lease is over; what is out ends by itself
+    assert not customer.refill(
+        world.now
+    ).has_in_flight_room()  # its lease is over; what is out ends by itself
     both = World(replace(OPEN, leases_in_flight=False))
     both.ask("a", set_size=17)  # without leases one is let out at each of 17 doors, of 10
-    ((_, alone),) = both.gateway.customers.items()
-    assert alone.may_open()
+    ((_, alone),) = both.gateway.customers.by_key.items()
+    assert alone.has_in_flight_room()
 
 
 def test_a_lease_that_ends_while_a_request_waits_lets_nothing_be_opened() -> None:
@@ -176,32 +179,32 @@
     for number in range(60):
         world.now += S // 10
         world.ask(f"r{number}", set_size=2)
-    (want,) = wanted(world.gateway, world.now)
+    (want,) = world.gateway.budget_demands(world.now)
     assert want.demand == pytest.approx(10.0, rel=0.15)
-    assert wanted(world.gateway, world.now + WANTED_US) == []
+    assert world.gateway.budget_demands(world.now + DEMAND_KEPT_US) == []
 
 
 def test_requests_leave_by_the_granted_part() -> None:
     world = World(LEASED)
     for number in range(10):
         world.ask(f"r{number}")
-    assert world.gateway.accepted == 0  # the floor's store starts empty
+    assert world.gateway.overload.accepted_in_period == 0  # the floor's store starts empty
     allow(world, 0.9, units=4.0)
-    assert world.gateway.accepted == 4
+    assert world.gateway.overload.accepted_in_period == 4
 
 
 def test_units_that_requests_wait_for_are_told_and_go_to_them_before_any_goes_back() -> None:
     world = World(LEASED)
     for number in range(20):
         world.ask(f"r{number}")
-    (want,) = wanted(world.gateway, world.now)
-    held = len(world.gateway.held)
+    (want,) = world.gateway.budget_demands(world.now)
+    held = len(world.gateway.queue)
     assert held > 10 and want.needed == held  # its store starts empty
     allow(world, 0.01, units=10.0)  # there is room for four of them; but more wait
-    assert world.gateway.accepted == 10 and ceiling(world) == 0
-    ((_, customer),) = world.gateway.customers.items()
-    assert customer.leased["ceiling"].back == 0
-    (want,) = wanted(world.gateway, world.now)
+    assert world.gateway.overload.accepted_in_period == 10 and ceiling(world) == 0
+    ((_, customer),) = world.gateway.customers.by_key.items()
+    assert customer.leased["ceiling"].returned == 0
+    (want,) = world.gateway.budget_demands(world.now)
     assert want.needed == held - 10
 
 
@@ -217,7 +220,7 @@
 def test_further_attempts_of_all_gateways_live_on_what_was_granted_and_on_the_floor() -> None:
     world = World(FURTHER)
     assert not failed(world, "a")  # its store starts empty
-    (want,) = wanted(world.gateway, world.now)
+    (want,) = world.gateway.budget_demands(world.now)
     assert want.key is None and want.demand > 0 and want.needed == 1
     world.tell(BudgetGranted(None, 0.25, 2.0, world.now + 3 * S))
     assert failed(world, "b") and failed(world, "c") and not failed(world, "d")
@@ -225,7 +228,7 @@
     assert failed(world, "e") and not failed(world, "f")
     world.now += 100 * S  # the lease is over: the floor's share of the burst, one of forty
     assert failed(world, "g") and not failed(world, "h")
-    assert wanted(world.gateway, world.now + WANTED_US) == []
+    assert world.gateway.budget_demands(world.now + DEMAND_KEPT_US) == []
     world.tell(
         BudgetGranted(BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2), 0.5, 9.0, world.now + S)
     )  # of another budget
@@ -234,9 +237,9 @@
 
 def test_without_a_budget_further_attempts_live_on_a_share_of_first_ones() -> None:
     world = World(replace(FURTHER, retry_rate=0.0))
-    assert failed(world, "a") and wanted(world.gateway, world.now) == []
+    assert failed(world, "a") and world.gateway.budget_demands(world.now) == []
     world.tell(BudgetGranted(None, 0.25, 2.0, world.now + 3 * S))
-    assert world.gateway.further is None
+    assert world.gateway.retry_budget.leased is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -18,8 +18,8 @@
 from thistletrail.gateway.backends import Attempt
 from thistletrail.gateway.server import Exchange
 from thistletrail.policy.actions import SetTimer
-from thistletrail.policy.base import Job
 from thistletrail.policy.events import Event, TimerFired
+from thistletrail.policy.pending_request import PendingRequest
 
 ROOT = Path(__file__).parent.parent
 # Bytes in the program's own lines for a connection that has gone quiet, the transport included. As measured:
@@ -91,11 +91,16 @@
         customers(world, start, 100)
         world.run(S)
         world.log.clear()
-        most = max(most, len(gateway.customers))
-    assert most <= 100 * (gateway.forget_us // S + 2)
-    world.run(gateway.forget_us + 3 * S)
-    assert not gateway.customers and not gateway.sets
-    assert not gateway.jobs and not gateway.held and not gateway.waits and not gateway.words
+        most = max(most, len(gateway.customers.by_key))
+    assert most <= 100 * (gateway.customers.kept_us // S + 2)
+    world.run(gateway.customers.kept_us + 3 * S)
+    assert not gateway.customers.by_key and not gateway.customers.first_keys
+    assert (
+        not gateway.requests_by_id
+        and not gateway.queue
+        and not gateway.admission.waiting
+        and not gateway.exchange.outgoing
+    )
 
 
 def living(*kinds: type) -> list[object]:
@@ -123,7 +128,7 @@
             leaving.send(query("z1"))
             await backend.received(1, b"z1")
             leaving.writer.close()
-            while door.open or door.ended or door.gateway.jobs:
+            while door.open or door.ended or door.gateway.requests_by_id:
                 await asyncio.sleep(0.001)
             ours = {
                 task
@@ -131,7 +136,7 @@
                 if "thistletrail/gateway" in repr(task.get_coro())
             }
             assert not ours
-            assert not living(Exchange, Attempt, Job)
+            assert not living(Exchange, Attempt, PendingRequest)
 
     run(job())
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -25,7 +25,7 @@
 from thistletrail.gateway import clients
 from thistletrail.gateway.clients import CommandError, CommandParser
 from thistletrail.gateway.resp import CommandReader, ProtocolError
-from thistletrail.policy.overload_control import OUT_PER_SERVER
+from thistletrail.policy.overload_control import IN_FLIGHT_PER_SERVER
 
 PARSER = CommandParser(CONFIG)
 
@@ -315,7 +315,7 @@
 
 def test_open_requests_are_bounded_by_the_memory() -> None:
     async def job() -> None:
-        backends = [Backend(lambda words: None) for _ in range(64 // OUT_PER_SERVER + 1)]
+        backends = [Backend(lambda words: None) for _ in range(64 // IN_FLIGHT_PER_SERVER + 1)]
         async with front_door(*backends, memory_mb=1, settings=PATIENT) as (door, address):
             for number in range(4):
                 client = await Client.open(address)
@@ -340,7 +340,7 @@
             most = max(most, len(door.open))
             return value(words[2])
 
-        backends = [Backend(answer) for _ in range(clients.MOST_PIPELINED // OUT_PER_SERVER + 1)]
+        backends = [Backend(answer) for _ in range(clients.MOST_PIPELINED // IN_FLIGHT_PER_SERVER + 1)]
         async with front_door(*backends, settings=PATIENT) as (door, address):
             client = await Client.open(address)
             names = [f"a{number}" for number in range(300)]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -192,15 +192,15 @@
             for words, writer in out:
                 if words[2] != b"a0":  # whose answer is the first: none is written, which would tell the loop
                     writer.write(value(b"ok"))
-            while len(door.gateway.jobs) > 1:
+            while len(door.gateway.requests_by_id) > 1:
                 await asyncio.sleep(0.001)
             assert len(backend.commands) == len(out)
             for writer in backend.writers:
                 writer.write(value(b"ok"))
             view = door.gateway
-            while door.ended or view.jobs or view.held:
+            while door.ended or view.requests_by_id or view.queue:
                 await asyncio.sleep(0.001)
-            assert view.out == 0
+            assert view.overload.in_flight == 0
 
     run(job())
 
@@ -213,7 +213,7 @@
         async with front_door(backend, settings=PATIENT) as (door, address):
             with raw_client(address) as client:
                 await fill(door, client, backend)
-            while door.open or door.clients.sockets or door.gateway.jobs:
+            while door.open or door.clients.sockets or door.gateway.requests_by_id:
                 await asyncio.sleep(0.001)
             assert door.costs.gone == clients.MOST_PIPELINED
 
@@ -246,7 +246,7 @@
             other = await Client.open(address)
             assert await other.ask(submit("b1", wait_ms=PATIENT_MS)) == b"ok"
             assert [words[2] for words in backend.commands] == [b"b1"]
-            while door.ended or door.gateway.jobs:
+            while door.ended or door.gateway.requests_by_id:
                 await asyncio.sleep(0.001)
 
     run(job())
@@ -272,10 +272,12 @@
             view = door.gateway
             while not door.costs.gone or door.inbox:
                 await asyncio.sleep(0.001)
-            while door.ended or view.jobs:
+            while door.ended or view.requests_by_id:
                 await asyncio.sleep(0.001)
-            assert view.out == 0 and not any(server.out for server in view.servers.values())
-            assert all(customer.out == 0 for customer in view.customers.values())
+            assert view.overload.in_flight == 0 and not any(
+                server.in_flight for server in view.servers_by_name.values()
+            )
+            assert all(customer.in_flight == 0 for customer in view.customers.by_key.values())
 
     run(job())
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -260,7 +260,7 @@
             while not door.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
-            while not door.costs.gone or door.ended or door.gateway.jobs:
+            while not door.costs.gone or door.ended or door.gateway.requests_by_id:
                 await asyncio.sleep(0.001)
             other = await Client.open(address)  # by then the first connection has come up
             assert await other.ask(submit("b1")) == b"ok"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -94,11 +94,11 @@
     for number in range(100):
         entry = replace(servers(1)[0], name=f"x{number}")
         world.tell(EndpointUpdate(EndpointUpdateKind.FULL, number, (entry,)))
-        world.gateway.fleet.record_failure(entry.name, world.now, True)
+        world.gateway.gossip.record_failure(entry.name, world.now, True)
         world.ask(f"a{number}")
         world.answer(f"a{number}")
         world.run(500 * MS)
-    fleet = world.gateway.fleet
+    fleet = world.gateway.gossip
     assert len(fleet.seen) < 12 and len(fleet.failed) < 12
 
 
@@ -135,18 +135,18 @@
 def test_answers_to_what_was_sent_before_end_no_suspicion() -> None:
     """A server that drains turns new work away, and goes on answering the old."""
     world = World(MANY, servers(4))
-    server = world.gateway.servers["s3"]
+    server = world.gateway.servers_by_name["s3"]
     world.run(S)
     server.failures = 5.0
-    world.gateway.note_result(server, False)
-    assert server.on_trial
-    world.gateway.note_result(server, True, world.now - 1)
-    assert server.on_trial
+    world.gateway.outliers.record_failure(server)
+    assert server.is_ejected
+    world.gateway.outliers.record_success(server, world.now - 1)
+    assert server.is_ejected
     told(world, 1, ServerObservation(fingerprint("s3"), latency_ratio=0.1, successes=2))
-    assert server.on_trial
+    assert server.is_ejected
     world.run(1100 * MS)
     told(world, 2, ServerObservation(fingerprint("s3"), latency_ratio=0.1, successes=1))  # a peer's trial
-    assert not server.on_trial
+    assert not server.is_ejected
 
 
 def test_many_gateways_make_a_few_trials_however_many_servers_are_suspect() -> None:
@@ -175,8 +175,8 @@
     world.ask("a")
     (server,) = {server for server, _, _ in world.out.values()}
     world.answer("a", AttemptResult.AT_CAPACITY)
-    world.gateway.fleet.close_digest(world.now, ())
-    (note,) = world.gateway.fleet.digest.observations
+    world.gateway.gossip.close_digest(world.now, ())
+    (note,) = world.gateway.gossip.digest.observations
     assert (note.server, note.failures) == (fingerprint(server), 1)
 
 
@@ -230,7 +230,7 @@
         1,
         ServerObservation(fingerprint("unheard"), latency_ratio=9.0, successes=3, failures=4, in_flight=9),
     )
-    assert set(world.gateway.servers) == {"s0", "s1"}
+    assert set(world.gateway.servers_by_name) == {"s0", "s1"}
     assert set(sends(world, 20)) <= {"s0", "s1"}
     empty = World(MANY, ())
     told(empty, 1, ServerObservation(fingerprint("s0"), latency_ratio=9.0, successes=3))
@@ -244,12 +244,12 @@
     for sender in range(1, 30):
         world.tell(PeerMessageReceived(sender, (), HealthDigest(1, 0.9, 5)))
     world.run(1100 * MS)
-    assert world.gateway.n_past is not None
+    assert world.gateway.overload.admission_limit is not None
     alone = World(MANY, servers(60))
     alone.ask("a")
     alone.answer("a")
     alone.run(1100 * MS)
-    assert alone.gateway.n_past is None
+    assert alone.gateway.overload.admission_limit is None
 
 
 def test_a_gateway_that_restarts_hears_and_tells_anew() -> None:
@@ -258,33 +258,33 @@
     for number in range(60):
         gates.ask(number % 3, f"r{number}")
         gates.run(30 * MS)
-    heard = [len(world.gateway.fleet.heard) for world in gates.worlds]
+    heard = [len(world.gateway.gossip.heard) for world in gates.worlds]
     assert sum(heard) >= 3
-    again = World(replace(gates.worlds[0].gateway.set, seed=99))
-    assert not again.gateway.fleet.heard and not again.gateway.fleet.load
+    again = World(replace(gates.worlds[0].gateway.settings, seed=99))
+    assert not again.gateway.gossip.heard and not again.gateway.gossip.load
 
 
 def test_n_of_many_gateways_is_not_rounded_away() -> None:
     """At 2.5 a period, rounding down alone would take a fifth from the servers."""
     gateway = World(MANY, servers(60)).gateway
-    gateway.n_past = 2
+    gateway.overload.admission_limit = 2
     total = 0
     for _ in range(20):
-        gateway.set_n(2.5)
-        total += gateway.n_past
+        gateway.overload.set_limit(2.5)
+        total += gateway.overload.admission_limit
     assert 49 <= total <= 50
 
 
 def test_n_follows_the_servers_that_are_well() -> None:
     world = World(MANY, servers(60))
     gateway = world.gateway
-    gateway.counted = gateway.capacity
-    gateway.n_past, gateway.n_exact = 12, 12.0
-    for server in list(gateway.servers.values())[:30]:
-        server.on_trial = True
-    gateway.signals["latency"] = [0.5]
-    gateway.update_cap(6)
-    assert 5 <= gateway.n_exact <= 6.5
+    gateway.overload.capacity_at_update = gateway.overload.capacity
+    gateway.overload.admission_limit, gateway.overload.exact_limit = 12, 12.0
+    for server in list(gateway.servers_by_name.values())[:30]:
+        server.is_ejected = True
+    gateway.overload.latency_samples = [0.5]
+    gateway.overload.update_limit(6)
+    assert 5 <= gateway.overload.exact_limit <= 6.5
 
 
 def test_gateways_of_many_keep_to_the_connections_that_they_have() -> None:
@@ -308,13 +308,13 @@
 
 def test_a_connection_that_broke_is_not_counted_on() -> None:
     world = World(replace(MANY, gateway_count=1), servers(1))
-    server = world.gateway.servers["s0"]
+    server = world.gateway.servers_by_name["s0"]
     for name in ("a", "b", "c"):
         world.ask(name)
     assert server.connections == 3
     world.answer("a")
     assert server.connections == 3  # an answer leaves it open
-    world.gateway.retries = 0.0
+    world.gateway.retry_budget.saved_retries = 0.0
     world.answer("b", AttemptResult.ERROR)
     assert server.connections == 3
     world.answer("c", AttemptResult.RESET)
--- a/tests/test_frontdoor.py
+++ b/tests/test_frontdoor.py
@@ -125,7 +125,7 @@
             await backend.came.wait()
             client.writer.close()
             await backend.left.wait()
-            assert not door.open and not door.gateway.jobs
+            assert not door.open and not door.gateway.requests_by_id
 
     run(job())
 
@@ -317,11 +317,13 @@
                 for _ in range(10):
                     assert await client.answer() is not None
             view = door.gateway
-            while door.open or door.ended or view.jobs:
+            while door.open or door.ended or view.requests_by_id:
                 await asyncio.sleep(0.01)
-            assert view.out == 0 and not any(server.out for server in view.servers.values())
-            assert not view.held and not view.waits and door.held_bytes == 0
-            assert all(customer.out == 0 for customer in view.customers.values())
+            assert view.overload.in_flight == 0 and not any(
+                server.in_flight for server in view.servers_by_name.values()
+            )
+            assert not view.queue and not view.admission.waiting and door.held_bytes == 0
+            assert all(customer.in_flight == 0 for customer in view.customers.by_key.values())
             pools = door.backends.pools.values()
             while door.backends.count() > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -28,11 +28,10 @@
     unpack,
     wait_s,
 )
-from thistletrail.policy import memory
 from thistletrail.policy.actions import WriteLog
 from thistletrail.policy.events import CustomerSnapshot, EjectedServerSnapshot, PolicySnapshot, SnapshotFound
 from thistletrail.policy.settings import Plan
-from thistletrail.policy.snapshot import collect
+from thistletrail.policy.snapshot import ADMISSION_RATE_MAX_AGE_US, SERVER_HEALTH_MAX_AGE_US
 
 NOW_MS = 1_800_000_000_000
 KEY = (7, 0, 0, 2)
@@ -109,50 +108,55 @@
     world = World(replace(SET, plans=(replace(PLAN, ceiling_rate=0.0),)))  # a ceiling's store starts empty
     for number in range(8):
         world.ask(f"r{number}", set_size=2)
-    world.gateway.set_n(12.0)
-    suspect = world.gateway.servers["s1"]
-    suspect.on_trial, suspect.avoid_until, suspect.backoff_us = True, world.now + S, 2 * S
-    found = collect(world.gateway)
-    ((key, customer),) = world.gateway.customers.items()
+    world.gateway.overload.set_limit(12.0)
+    suspect = world.gateway.servers_by_name["s1"]
+    suspect.is_ejected, suspect.avoid_until_us, suspect.backoff_us = True, world.now + S, 2 * S
+    found = world.gateway.snapshot()
+    ((key, customer),) = world.gateway.customers.by_key.items()
     (kept,) = found.customers
     assert (kept.customer, kept.plan_index, kept.set_first, kept.set_size) == key
-    assert kept.share == customer.part < 10.0 and kept.level == customer.level < 20.0
+    assert kept.share == customer.local_bucket.level < 10.0 and kept.level == customer.set_level < 20.0
     assert found.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, suspect.latency_ratio),)
     assert found.admission_rate_per_s == pytest.approx(12.0)
 
     successor = World(SET)
     successor.tell(SnapshotFound(found, 500_000))
-    again = successor.gateway.customers[key]
-    assert again.part <= customer.part + 1e-9 and again.level <= customer.level + 1e-9
-    assert successor.gateway.servers["s1"].on_trial
-    assert successor.gateway.servers["s1"].avoid_until == successor.now + S // 2
-    assert successor.gateway.n_past == 12 and successor.gateway.starts.has_restarted
+    again = successor.gateway.customers.by_key[key]
+    assert (
+        again.local_bucket.level <= customer.local_bucket.level + 1e-9
+        and again.set_level <= customer.set_level + 1e-9
+    )
+    assert successor.gateway.servers_by_name["s1"].is_ejected
+    assert successor.gateway.servers_by_name["s1"].avoid_until_us == successor.now + S // 2
+    assert successor.gateway.overload.admission_limit == 12 and successor.gateway.incarnations.has_restarted
 
 
 @pytest.mark.parametrize(
     "age_us, customers, ejected_servers, n",
     [
         (0, 1, True, 7),
-        (memory.CAP_US - 1, 1, True, 7),
-        (memory.CAP_US, 1, True, None),
-        (memory.HEALTH_US - 1, 1, True, None),
-        (memory.HEALTH_US, 1, False, None),
+        (ADMISSION_RATE_MAX_AGE_US - 1, 1, True, 7),
+        (ADMISSION_RATE_MAX_AGE_US, 1, True, None),
+        (SERVER_HEALTH_MAX_AGE_US - 1, 1, True, None),
+        (SERVER_HEALTH_MAX_AGE_US, 1, False, None),
     ],
 )
 def test_what_is_past_its_bound_is_not_used(
     age_us: int, customers: int, ejected_servers: bool, n: int | None
 ) -> None:
     world = recalled(age_us)
-    assert len(world.gateway.customers) == customers
-    assert world.gateway.servers["s1"].on_trial is ejected_servers
-    assert world.gateway.n_past == n
+    assert len(world.gateway.customers.by_key) == customers
+    assert world.gateway.servers_by_name["s1"].is_ejected is ejected_servers
+    assert world.gateway.overload.admission_limit == n
 
 
 def test_customers_are_forgotten_when_their_stores_are_full_again() -> None:
     world = World(SET)
-    forget_us = world.gateway.forget_us
+    forget_us = world.gateway.customers.kept_us
     assert forget_us >= 10 * S
-    assert recalled(forget_us - 1).gateway.customers and not recalled(forget_us).gateway.customers
+    assert (
+        recalled(forget_us - 1).gateway.customers.by_key and not recalled(forget_us).gateway.customers.by_key
+    )
 
 
 @pytest.mark.parametrize(
@@ -163,14 +167,17 @@
     ],
 )
 def test_a_customer_that_cannot_be_is_passed_over(odd: CustomerSnapshot) -> None:
-    assert not recalled(0, customers=(odd,)).gateway.customers
+    assert not recalled(0, customers=(odd,)).gateway.customers.by_key
 
 
 def test_what_is_recalled_is_never_more_than_a_store_holds() -> None:
     world = recalled(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
-    customer = world.gateway.customers[KEY]
-    assert (customer.part, customer.level) == (10.0, 20.0)
-    assert customer.ceiling <= 40.0 * customer.ceiling_part and customer.grants <= 40.0
+    customer = world.gateway.customers.by_key[KEY]
+    assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
+    assert (
+        customer.ceiling_bucket.level <= 40.0 * customer.ceiling_bucket.share
+        and customer.ceiling_grants.level <= 40.0
+    )
 
 
 def test_what_is_recalled_is_told() -> None:
@@ -202,10 +209,10 @@
             second.recall(successor)
             await asyncio.sleep(0)
             successor.run_batch()
-            assert list(successor.gateway.servers) == ["s0"]
-            assert successor.gateway.servers["s0"].entry == door.gateway.servers["s0"].entry
-            assert successor.gateway.customers.keys() == door.gateway.customers.keys()
-            assert successor.gateway.starts.has_restarted
+            assert list(successor.gateway.servers_by_name) == ["s0"]
+            assert successor.gateway.servers_by_name["s0"].entry == door.gateway.servers_by_name["s0"].entry
+            assert successor.gateway.customers.by_key.keys() == door.gateway.customers.by_key.keys()
+            assert successor.gateway.incarnations.has_restarted
             successor.close()
             second.close()
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -17,6 +17,7 @@
     SetTimer,
     StartAttempt,
 )
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import Event, RequestArrived
 from thistletrail.simulation import scenario as scenarios
 from thistletrail.simulation.books import Books
@@ -28,7 +29,6 @@
 from thistletrail.simulation.search import draw
 from thistletrail.simulation.servers import ScanServer, Traits, Work
 from thistletrail.simulation.streams import Stream
-from thistletrail.simulation.watched import Watched
 
 SMALL = Scenario(name="small", doors=3, length_s=4, servers=Servers(count=4), demand=Demand(load=(0.6, 0.6)))
 
@@ -278,11 +278,11 @@
 def broken_by(monkeypatch: pytest.MonkeyPatch, change: object, scenario: Scenario = SMALL) -> set[str]:
     """The rules that a module whose actions are changed so is found to break."""
 
-    class Changed(Watched):
+    class Changed(PolicyEngine):
         def handle(self, now_us: int, event: Event) -> list[Action]:
             return change(event, super().handle(now_us, event))
 
-    monkeypatch.setattr("thistletrail.simulation.doors.Watched", Changed)
+    monkeypatch.setattr("thistletrail.simulation.doors.PolicyEngine", Changed)
     return set(play(scenario, 1).books.breaks)
 
 
--- a/tests/test_model_experiment.py
+++ b/tests/test_model_experiment.py
@@ -56,9 +56,9 @@
         (["run"], "SCENARIO"),
         (["run", "calm", "--seed", "x"], "--seed"),
         (["run", "calm", "--set", "NOPE=1"], "no constant 'NOPE'"),
-        (["run", "calm", "--set", "CHOICES"], "not NAME=NUMBER"),
+        (["run", "calm", "--set", "CANDIDATES_OF_SMALL_FLEET"], "not NAME=NUMBER"),
         (["compare", "no-such-revision", "calm"], "no-such-revision"),
-        (["sweep", "CHOICES", "calm", "--values", "3"], "two or more"),
+        (["sweep", "CANDIDATES_OF_SMALL_FLEET", "calm", "--values", "3"], "two or more"),
         (["sweep", "NOPE", "calm", "--values", "3,4"], "no constant"),
         (["bogus"], "bogus"),
     ],
@@ -80,7 +80,17 @@
 def test_a_sweep_pairs_by_seed_and_keeps_its_totals(tiny: str, tmp_path: Path) -> None:
     out = tmp_path / "totals.jsonl"
     done = model(
-        "sweep", "OUT_PER_SERVER", tiny, "--values", "5,1", "--seeds", "2", "--jobs", "2", "--out", str(out)
+        "sweep",
+        "IN_FLIGHT_PER_SERVER",
+        tiny,
+        "--values",
+        "5,1",
+        "--seeds",
+        "2",
+        "--jobs",
+        "2",
+        "--out",
+        str(out),
     )
     assert done.returncode == 0, done.stderr
     kept = [msgspec.json.decode(line) for line in out.read_bytes().splitlines()]
@@ -90,7 +100,7 @@
         ("5", 1),
         ("5", 2),
     ]
-    assert "OUT_PER_SERVER = 5 against 1" in done.stdout and "in 2 pairs" in done.stdout
+    assert "IN_FLIGHT_PER_SERVER = 5 against 1" in done.stdout and "in 2 pairs" in done.stdout
     assert "4 of 4" in done.stderr
 
 
@@ -103,7 +113,7 @@
             "-m",
             "thistletrail.simulation",
             "sweep",
-            "OUT_PER_SERVER",
+            "IN_FLIGHT_PER_SERVER",
             str(path),
             "--values",
             "5,4",
@@ -228,7 +238,7 @@
     def fault(self: object, now_us: int, event: object) -> list:
         raise ZeroDivisionError("as the test wants")
 
-    monkeypatch.setattr(doors.Watched, "handle", fault, raising=False)
+    monkeypatch.setattr(doors.PolicyEngine, "handle", fault, raising=False)
     assert search.breaks(TINY, 1) == "fault: ZeroDivisionError: as the test wants"
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,6 +30,7 @@
 )
 from thistletrail.gateway.__main__ import LINES_AT_ONCE, LINES_SPAN_S, RateLimit
 from thistletrail.gateway.config import ConfigError, load
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import (
     EndpointUpdate,
     EndpointUpdateKind,
@@ -38,7 +39,6 @@
     ServerState,
     TimerFired,
 )
-from thistletrail.policy.rules import Gateway
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = {
@@ -322,7 +322,7 @@
         except ConfigError as error:
             assert "\n" not in str(error) and len(str(error)) < 300
             return
-    gateway = Gateway(found.settings)
+    gateway = PolicyEngine(found.settings)
     server = Server("s1", 0, 0, 0, ServerState.UP)
     gateway.handle(1_000_000, EndpointUpdate(EndpointUpdateKind.CACHED, 1, (server,)))
     for number in range(3):
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -81,7 +81,7 @@
         assert action.id not in self.over
         assert self.states[action.server].state is ServerState.UP
         outs = [key for key in self.out if key[0] == action.id]
-        assert len(outs) == 1 or (self.gateway.set.may_hedge and len(outs) == 2)
+        assert len(outs) == 1 or (self.gateway.settings.may_hedge and len(outs) == 2)
         if before and rule.effect is not Effect.IDEMPOTENT:
             assert rule.effect is Effect.IDEMPOTENT_BY_KEY
             first, place = self.states[before[0][0]], self.states[action.server]
@@ -129,7 +129,7 @@
         self.over.update(self.requests)
         self.out.clear()
         self.timers.clear()
-        self.gateway = type(self.gateway)(self.gateway.set)
+        self.gateway = type(self.gateway)(self.gateway.settings)
         self.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(self.states.values())))
 
     def change_server(self, number: int) -> None:
@@ -168,4 +168,4 @@
 def test_rules_hold_whatever_comes(parallel: bool, steps: list[tuple[int, int, int]]) -> None:
     world = play(parallel, steps)
     assert set(world.requests) == world.over
-    assert not world.gateway.jobs and not world.gateway.held
+    assert not world.gateway.requests_by_id and not world.gateway.queue
--- a/tests/test_roster_end_to_end.py
+++ b/tests/test_roster_end_to_end.py
@@ -72,7 +72,7 @@
     """Wait until the door knows just these in that state."""
 
     def found() -> set[str]:
-        return {name for name, server in door.gateway.servers.items() if server.entry.state is state}
+        return {name for name, server in door.gateway.servers_by_name.items() if server.entry.state is state}
 
     while found() != set(names):
         await asyncio.sleep(0.01)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,6 +19,7 @@
     WatchEndpoints,
     WriteLog,
 )
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -35,12 +36,12 @@
     StreamStarted,
     TimerFired,
 )
-from thistletrail.policy.overload_control import TARGETS, next_exact
+from thistletrail.policy.overload_control import UTILIZATION_TARGETS, next_limit
 from thistletrail.policy.retry_detection import RetryDetector
-from thistletrail.policy.rules import Gateway
+from thistletrail.policy.server_selection import ServerSelector
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
+from thistletrail.policy.slow_start import SlowStart
 
-UTIL = TARGETS["util"]
 KEYED = RequestClass(
     2 * S,
     6 * S,
@@ -60,7 +61,9 @@
 
 def next_n(n_past: int, na_past: float, occupancy: float, overhead: float, seconds: float = 1.0) -> int:
     """N as a gateway that keeps no remainder would round it down."""
-    return max(1, math.floor(next_exact(n_past, na_past, occupancy, overhead, UTIL, seconds) + 1e-9))
+    return max(
+        1, math.floor(next_limit(n_past, na_past, occupancy, overhead, UTILIZATION_TARGETS, seconds) + 1e-9)
+    )
 
 
 @pytest.mark.parametrize(
@@ -97,11 +100,13 @@
 
 def test_cap_engages_spreads_and_is_lifted() -> None:
     world = loaded_world(0.9)
-    assert world.gateway.n_past == 16  # 8 for each of 4 ready servers, halved over two gateways
+    assert (
+        world.gateway.overload.admission_limit == 16
+    )  # 8 for each of 4 ready servers, halved over two gateways
     for n in range(150):
         world.ask(f"r{n}", customer=f"c{n}")
-    world.run(world.gateway.period_us + S - world.now)
-    start, allowed = world.now, world.gateway.n_past
+    world.run(world.gateway.overload.period_start_us + S - world.now)
+    start, allowed = world.now, world.gateway.overload.admission_limit
     for _ in range(99):
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
@@ -110,8 +115,8 @@
     assert len(sends) == allowed
     assert sends[-1] - sends[0] > 0.8 * S
     idle = loaded_world(0.3)
-    assert idle.gateway.n_past is None
-    assert idle.gateway.overhead == pytest.approx(0.3)
+    assert idle.gateway.overload.admission_limit is None
+    assert idle.gateway.overload.idle_occupancy == pytest.approx(0.3)
 
 
 def test_period_follows_the_rate() -> None:
@@ -122,8 +127,8 @@
         world.run(500 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt, report=LoadReport(util=0.9))
-    assert world.gateway.cc_us == 2 * S
-    assert 4 <= world.gateway.n_past <= 12
+    assert world.gateway.overload.control_period_us == 2 * S
+    assert 4 <= world.gateway.overload.admission_limit <= 12
     assert next_n(10, 1, 0.99, 0.1, 4.0) == 4  # steps by the second: 10 * 0.9 ** 8
     assert next_n(10, 10, 0.2, 0.3, 4.0) == 20
 
@@ -136,7 +141,7 @@
         world.run(10 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt, report=LoadReport(util=0.3))
-    assert world.gateway.n_past == 19  # the largest step from 16
+    assert world.gateway.overload.admission_limit == 19  # the largest step from 16
 
 
 def test_held_leave_by_worth_then_arrival() -> None:
@@ -170,7 +175,7 @@
     for world in worlds:
         for n in range(200):
             world.ask(f"r{n}")
-        assert world.gateway.n_past is None
+        assert world.gateway.overload.admission_limit is None
     assert sum(len(world.out) for world in worlds) == 50  # 5 for each of 10
     worlds[0].answer("r0")
     worlds[0].run(20 * MS)
@@ -183,7 +188,7 @@
     for n in range(20):
         world.ask(f"r{n}")
     world.run(1100 * MS)
-    assert world.gateway.n_past is not None
+    assert world.gateway.overload.admission_limit is not None
 
 
 # --- quota ---
@@ -215,10 +220,10 @@
         homes = [
             world.gateway
             for world in gates.worlds
-            for customer in world.gateway.customers.values()
-            if customer.home == world.gateway.set.gateway_index
+            for customer in world.gateway.customers.by_key.values()
+            if customer.owner == world.gateway.settings.gateway_index
         ]
-    level = next(iter(homes[0].customers.values())).level
+    level = next(iter(homes[0].customers.by_key.values())).set_level
     assert level > 6  # of 10, at nine tenths of the rate
 
 
@@ -231,10 +236,10 @@
             gates.ask(n, f"r{gates.worlds[n].now}")
         gates.run(4 * S)
     levels = [
-        customer.level
+        customer.set_level
         for world in gates.worlds
-        for customer in world.gateway.customers.values()
-        if customer.home == world.gateway.set.gateway_index
+        for customer in world.gateway.customers.by_key.values()
+        if customer.owner == world.gateway.settings.gateway_index
     ]
     assert levels == [pytest.approx(20, abs=0.5)]
 
@@ -272,7 +277,7 @@
     huge = QuotaMessage(1, 0, 0, 2, demand=1e9, requested=1e9, level=-1e9)
     for word in (QuotaMessage(1, 9, 0, 2), QuotaMessage(1, 0, 5, 1), QuotaMessage(1, 0, 0, 0), huge):
         world.tell(PeerMessageReceived(1, (word,)))
-    assert len(world.gateway.customers) == 1
+    assert len(world.gateway.customers.by_key) == 1
 
 
 def test_idle_gateway_wakes_up_once_a_period() -> None:
@@ -287,14 +292,14 @@
         world.ask(f"r{n}", customer=f"c{n}")
         world.answer(f"r{n}")
     world.run(90 * S)
-    assert not world.gateway.customers
+    assert not world.gateway.customers.by_key
 
 
 def test_no_time_left_costs_no_quota() -> None:
     world = World()
     for n in range(30):
         world.ask(f"r{n}", remaining_us=100 * MS)
-    assert next(iter(world.gateway.customers.values())).level == 20
+    assert next(iter(world.gateway.customers.by_key.values())).set_level == 20
 
 
 def test_max_out_plan() -> None:
@@ -310,7 +315,7 @@
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
     world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, true_units=4.0))
-    assert next(iter(world.gateway.customers.values())).level == pytest.approx(16)
+    assert next(iter(world.gateway.customers.by_key.values())).set_level == pytest.approx(16)
 
 
 # --- the five rules ---
@@ -352,12 +357,12 @@
     world, word = peer_with_ceiling(HOME)
     actions = world.tell(PeerMessageReceived((HOME + 1) % 20, (word,)))
     assert granted(actions) == [1.0]
-    (customer,) = world.gateway.customers.values()
-    assert customer.grants == pytest.approx(0.4 * 20 - 1)
+    (customer,) = world.gateway.customers.by_key.values()
+    assert customer.ceiling_grants.level == pytest.approx(0.4 * 20 - 1)
     for _ in range(300):
         world.tell(PeerMessageReceived((HOME + 1) % 20, (word,)))
-    assert customer.grants >= 0
-    customer.at, customer.grants = world.now, 0.0
+    assert customer.ceiling_grants.level >= 0
+    customer.refilled_at_us, customer.ceiling_grants.level = world.now, 0.0
     actions = world.tell(PeerMessageReceived((HOME + 2) % 20, (word,)))
     assert granted(actions) == [0.0]
 
@@ -367,18 +372,18 @@
     answer = QuotaMessage(zlib.crc32(b"c"), 0, 0, 20, True, requested=1.0, level=10.0)
     for number in range(8):  # the own part has room for none of them
         world.ask(f"a{number}", set_size=20)
-    (customer,) = world.gateway.customers.values()
-    customer.ceiling = 0.0
+    (customer,) = world.gateway.customers.by_key.values()
+    customer.ceiling_bucket.level = 0.0
     world.tell(PeerMessageReceived(HOME, (answer,)))
     assert not world.out  # nothing was granted
     world.tell(PeerMessageReceived(HOME, (replace(answer, spent=1.0),)))
-    assert len(world.out) == 1 and customer.ceiling == 0.0
-    up = world.gateway.up
-    world.gateway.up = []
+    assert len(world.out) == 1 and customer.ceiling_bucket.level == 0.0
+    up = world.gateway.servers.available
+    world.gateway.servers.available = []
     world.tell(PeerMessageReceived(HOME, (replace(answer, spent=1.0),)))
-    assert len(world.gateway.held) == 2
+    assert len(world.gateway.queue) == 2
     world.run(520 * MS)
-    customer.ceiling, world.gateway.up = -9.0, up
+    customer.ceiling_bucket.level, world.gateway.servers.available = -9.0, up
     world.run(100 * MS)
     assert len(world.out) == 1  # what was granted long ago may be on its way from another by now
 
@@ -387,7 +392,7 @@
     world, _ = peer_with_ceiling((HOME + 1) % 20)
     world.ask("a", set_size=20)
     world.run(2 * S)
-    assert next(iter(world.gateway.customers.values())).grants == 0.0
+    assert next(iter(world.gateway.customers.by_key.values())).ceiling_grants.level == 0.0
 
 
 def test_no_time_left_is_answered_at_once() -> None:
@@ -404,7 +409,7 @@
     for gateway_index, world in enumerate(gates.worlds):
         gates.down = gateway_index
         world.tell(EndpointUpdate(EndpointUpdateKind.FULL, 2, ()))
-        world.gateway.mean_us = [20 * MS]
+        world.gateway.traffic.mean_latency_us = [20 * MS]
         world.ask("a", remaining_us=left * MS, set_size=20)
         start = world.now
         world.run(S)
@@ -495,7 +500,7 @@
     gates = Set(100, replace(SETTINGS, plans=(Plan(),), cold_capacity=0.2), fleet)
     cold = replace(fleet[0], started_us=gates.worlds[0].now)
     for world in gates.worlds:
-        world.gateway.mean_us = [10 * MS]
+        world.gateway.traffic.mean_latency_us = [10 * MS]
         world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
     for n in range(1000):
         gates.ask(n * 7 % 100, f"r{n}", customer=f"c{n}")
@@ -521,7 +526,7 @@
             for world in gates.worlds[::2]:
                 world.out.clear()
                 world.timers.clear()
-                world.gateway = Gateway(replace(world.gateway.set, seed=n))
+                world.gateway = PolicyEngine(replace(world.gateway.settings, seed=n))
                 world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 1, servers(4)))
     times = sorted(
         at for world in gates.worlds for at, action in world.log if isinstance(action, StartAttempt)
@@ -571,7 +576,7 @@
     world.run(10 * MS)
     for n in range(4):
         world.answer(f"r{n}", AttemptResult.TIMEOUT)
-    assert world.gateway.servers["s0"].on_trial is False
+    assert world.gateway.servers_by_name["s0"].is_ejected is False
 
 
 def test_further_attempts_are_few() -> None:
@@ -598,7 +603,7 @@
 
 
 def test_list_must_be_asked_for() -> None:
-    gateway = Gateway(replace(SETTINGS, must_subscribe=True))
+    gateway = PolicyEngine(replace(SETTINGS, must_subscribe=True))
     assert WatchEndpoints(True) in gateway.handle(5, EndpointUpdate(EndpointUpdateKind.CACHED, 1, servers(2)))
     assert gateway.handle(9, EndpointUpdate(EndpointUpdateKind.FAILED, 0)) == [WatchEndpoints(True)]
     assert of(StartAttempt, gateway.handle(10, RequestArrived("a", 0, 0, "c", S)))
@@ -618,16 +623,36 @@
     root = Path(__file__).parent.parent
     policy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
     decisions = {
-        "leased_budgets.py",
-        "base.py",
+        "engine.py",
+        "request_lifecycle.py",
+        "pending_request.py",
+        "pending_requests.py",
+        "request_expiry.py",
+        "dispatcher.py",
+        "admission_queue.py",
+        "attempt_outcomes.py",
         "overload_control.py",
+        "traffic_estimates.py",
+        "token_bucket.py",
+        "quota.py",
+        "quota_admission.py",
+        "quota_exchange.py",
+        "quota_receiver.py",
+        "leased_budgets.py",
+        "budget_leases.py",
+        "server_set.py",
+        "upstream_server.py",
         "server_selection.py",
-        "health_gossip.py",
-        "memory.py",
+        "outlier_detection.py",
+        "slow_start.py",
+        "retry_policy.py",
         "retry_detection.py",
-        "quota.py",
-        "rules.py",
+        "health_gossip.py",
         "incarnations.py",
+        "snapshot.py",
+        "observer.py",
+        "event_context.py",
+        "timing.py",
     }
     assert set(policy) == {f"thistletrail/policy/{name}" for name in decisions}
     files = [(root / name).read_text().splitlines() for name in policy]
@@ -638,11 +663,13 @@
 def test_request_of_which_nothing_was_sent_is_refused_before_half_of_its_time() -> None:
     for fleet in ((), servers(1)):
         world = World(fleet=fleet)
-        world.gateway.mean_us = [50.0 * MS]  # so that the aim alone would let it wait for longer
+        world.gateway.traffic.mean_latency_us = [
+            50.0 * MS
+        ]  # so that the aim alone would let it wait for longer
         start = world.now
         world.ask("a", remaining_us=S)
         if fleet:  # a failed connect has sent nothing
-            world.gateway.up.clear()
+            world.gateway.servers.available.clear()
             world.answer("a", AttemptResult.CONNECT_FAILED)
         world.run(S)
         refused = [at for at, action in world.log if isinstance(action, RejectRequest)]
@@ -662,25 +689,27 @@
     for scale in (1, 3):
         rule = replace(SAFE, latency_objective_us=round(1.5 * S) // scale)
         gateway = World(replace(SETTINGS, classes=(rule,), gateway_count=2)).gateway
-        assert gateway.cc_us == S // scale
-        gateway.signals["util"] = [0.9]
-        gateway.update_cap(100)
-        assert gateway.n_past == 16  # 8 for each of 4 ready servers, halved over two gateways
-        gateway.signals["util"] = [0.1]
-        gateway.update_cap(16)
-        assert gateway.n_exact == pytest.approx(16 * 1.2)  # the largest step of a second
+        assert gateway.overload.control_period_us == S // scale
+        gateway.overload.utilization_samples = [0.9]
+        gateway.overload.update_limit(100)
+        assert (
+            gateway.overload.admission_limit == 16
+        )  # 8 for each of 4 ready servers, halved over two gateways
+        gateway.overload.utilization_samples = [0.1]
+        gateway.overload.update_limit(16)
+        assert gateway.overload.exact_limit == pytest.approx(16 * 1.2)  # the largest step of a second
 
 
 def test_spoilt_answers_and_resets_leave_a_server_in_that_answers_otherwise() -> None:
     gateway = World(fleet=servers(1)).gateway
-    server = gateway.servers["s0"]
+    server = gateway.servers_by_name["s0"]
     for _ in range(40):
-        gateway.note_broken(server)
-        gateway.note_result(server, True)
-    assert not server.on_trial and not server.avoid_until
+        gateway.outliers.record_broken_answer(server)
+        gateway.outliers.record_success(server)
+    assert not server.is_ejected and not server.avoid_until_us
     for _ in range(4):
-        gateway.note_broken(server)
-    assert server.on_trial  # one that does nothing else is suspect
+        gateway.outliers.record_broken_answer(server)
+    assert server.is_ejected  # one that does nothing else is suspect
 
 
 def test_retry_that_comes_after_the_aim_of_its_first_try_is_refused_at_once() -> None:
@@ -716,8 +745,8 @@
     ]
     asked = [word for word in words if word.requested]
     assert len(asked) == 2
-    (customer,) = world.gateway.customers.values()
-    told = sum(word.spent for word in words) + customer.spent
+    (customer,) = world.gateway.customers.by_key.values()
+    told = sum(word.spent for word in words) + customer.unreported_spending
     assert told == 11 - 2 * 1.0  # twice a chance of 1
 
 
@@ -731,10 +760,14 @@
         )
         world.ask(f"a{number}", customer=f"once{number}")
         world.answer(f"a{number}")
-    assert set(world.gateway.servers) == {"s0", "s1"}
-    assert len(world.gateway.customers) == 200
+    assert set(world.gateway.servers_by_name) == {"s0", "s1"}
+    assert len(world.gateway.customers.by_key) == 200
     world.run(12 * S)
-    assert not world.gateway.customers and not world.gateway.sets and not world.gateway.jobs
+    assert (
+        not world.gateway.customers.by_key
+        and not world.gateway.customers.first_keys
+        and not world.gateway.requests_by_id
+    )
 
 
 def test_customer_is_kept_until_its_stores_are_full() -> None:
@@ -743,10 +776,10 @@
         world.ask(f"a{number}")
         world.answer(f"a{number}")
     world.run(29 * S)
-    (customer,) = world.gateway.customers.values()
-    assert customer.part == 0.0  # as it was when it was last looked at
+    (customer,) = world.gateway.customers.by_key.values()
+    assert customer.local_bucket.level == 0.0  # as it was when it was last looked at
     world.run(4 * S)
-    assert not world.gateway.customers
+    assert not world.gateway.customers.by_key
 
 
 def test_ceiling_starts_empty_with_the_gateway_only() -> None:
@@ -772,17 +805,17 @@
     world.tell(
         PeerMessageReceived(1, (QuotaMessage(7, 0, first, size, demand=1.0, spent=1.0, requested=1.0),))
     )
-    assert not world.gateway.customers
+    assert not world.gateway.customers.by_key
     world.tell(PeerMessageReceived(1, (QuotaMessage(7, 0, 0, 2, demand=1.0),)))
-    assert len(world.gateway.customers) == 1
+    assert len(world.gateway.customers.by_key) == 1
 
 
 def test_fleet_that_is_all_cold_is_sent_what_comes() -> None:
     """Spaced by the rate of what was sent, it would never be sent more than it was."""
     world = World(replace(SETTINGS, plans=(Plan(rate=1e4, burst=1e4),), cold_capacity=0.9), servers(4))
-    for server in world.gateway.servers.values():
-        server.warm_from = world.now  # as after a suspicion
-    world.gateway.rate = 1.0
+    for server in world.gateway.servers_by_name.values():
+        server.warm_up_start_us = world.now  # as after a suspicion
+    world.gateway.traffic.first_attempts_per_s = 1.0
     for number in range(400):
         world.ask(f"a{number}", remaining_us=6 * S)
         world.run(20 * MS)
@@ -794,7 +827,7 @@
 
 def test_wait_for_word_ends_before_half_of_the_time() -> None:
     world = World(replace(SETTINGS, gateway_count=2), servers(8))
-    world.gateway.mean_us = [10.0 * MS]
+    world.gateway.traffic.mean_latency_us = [10.0 * MS]
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # the other one is its home
     for number in range(10):
         world.ask(f"a{number}", customer=name, set_size=2)
@@ -818,7 +851,7 @@
     name = peer_customer(world)
     key = zlib.crc32(name.encode()), 0, 0, 2
     world.tell(PeerMessageReceived(1, (QuotaMessage(*key, True, demand=40.0, level=-5.0),)))
-    customer = world.gateway.customers[key]
+    customer = world.gateway.customers.by_key[key]
     for number in range(30):
         world.ask(f"a{number}", customer=name, set_size=2, remaining_us=S)
         world.run(100 * MS)
@@ -847,18 +880,18 @@
     for plan in (free, dear):
         world = World(replace(SETTINGS, plans=(plan,)))
         world.ask("a")
-        (customer,) = world.gateway.customers.values()
-        assert customer.chance(1.0) == 1.0  # a full store lets all pass
-        customer.level, customer.own = 1.0, 12.0
-        chances[plan.over_quota_cost] = customer.chance(1.0)
+        (customer,) = world.gateway.customers.by_key.values()
+        assert customer.admission_chance(1.0) == 1.0  # a full store lets all pass
+        customer.set_level, customer.local_demand = 1.0, 12.0
+        chances[plan.over_quota_cost] = customer.admission_chance(1.0)
     assert chances == {0.0: pytest.approx(6 / 12), 1.0: pytest.approx(5 / 12)}
 
 
 def capped(n_exact: float, held: int) -> World:
     """A world whose cap lets `n_exact` leave a second, with so many requests held."""
     world = loaded_world(0.9)
-    world.gateway.set_n(n_exact)
-    world.gateway.accepted = 99
+    world.gateway.overload.set_limit(n_exact)
+    world.gateway.overload.accepted_in_period = 99
     world.log.clear()
     for number in range(held):
         world.ask(f"h{number}", customer=f"c{number}")
@@ -879,28 +912,32 @@
 def test_advice_is_short_only_while_an_answer_is_still_of_use() -> None:
     rule = replace(SAFE, latency_objective_us=1500 * MS)
     world = World(with_class(rule, max_retry_after_us=2 * S), ())
-    world.gateway.starts.note_first_request(0)  # long ago: on the way back from a start, advice is spread
+    world.gateway.incarnations.note_first_request(
+        0
+    )  # long ago: on the way back from a start, advice is spread
     (early,) = of(RejectRequest, world.ask("early", remaining_us=100 * MS) + world.run(100 * MS))
     assert early.retry_after_us == 2 * S  # its client's time is nearly over
-    world.gateway.mean_us = [500.0 * MS]
+    world.gateway.traffic.mean_latency_us = [500.0 * MS]
     job_refused = []
     world.ask("held")
-    job = world.gateway.jobs["held"]
-    assert not world.gateway.expire(job, 2.0)
-    world.gateway.actions = job_refused
-    assert world.gateway.expire(job, 2.0, 5.0 * S)
+    job = world.gateway.requests_by_id["held"]
+    assert not world.gateway.expiry.give_up_if_late(job, 2.0)
+    world.gateway.context.actions = job_refused
+    assert world.gateway.expiry.give_up_if_late(job, 2.0, 5.0 * S)
     assert of(RejectRequest, job_refused) == [RejectRequest("held", 300 * MS)]
 
 
 def test_warm_servers_are_looked_through_without_a_call_each(monkeypatch: pytest.MonkeyPatch) -> None:
     """With 200 scan servers, such calls were the most of what an attempt cost."""
     asked: list[str] = []
-    part = Gateway.part
+    traffic_fraction = SlowStart.traffic_fraction
     monkeypatch.setattr(
-        Gateway, "part", lambda gateway_index, one: asked.append(one.entry.name) or part(gateway_index, one)
+        SlowStart,
+        "traffic_fraction",
+        lambda self, one: asked.append(one.entry.name) or traffic_fraction(self, one),
     )
     monkeypatch.setattr(
-        Gateway, "in_group", lambda gateway_index, job, one: asked.append(one.entry.name) or True
+        ServerSelector, "drops_repeats", lambda self, job, first, one: asked.append(one.entry.name) or True
     )
     fleet = [*servers(200, started_us=80 * S), *[replace(servers(1)[0], name="cold", started_us=99 * S)]]
     world = World(fleet=fleet)
@@ -990,9 +1027,9 @@
         world.ask(f"p{number}", remaining_us=6 * S, customer="poor")
     refused = world.ask("poor-late", remaining_us=3 * S, customer="poor")
     assert [action.id for action in of(RejectRequest, refused)] == ["poor-late"]
-    before = world.gateway.customers[next(reversed(world.gateway.customers))].own
+    before = world.gateway.customers.by_key[next(reversed(world.gateway.customers.by_key))].local_demand
     world.ask("poor-late-2", remaining_us=3 * S, customer="poor")
-    after = world.gateway.customers[next(reversed(world.gateway.customers))].own
+    after = world.gateway.customers.by_key[next(reversed(world.gateway.customers.by_key))].local_demand
     assert after <= before  # it is no demand: what comes in time keeps its chance
 
 
@@ -1000,10 +1037,10 @@
     rule = replace(SAFE, late_value=0.2)
     world = World(replace(SETTINGS, classes=(rule,)))
     asked(world, 30, 6 * S)
-    world.gateway.up.clear()
+    world.gateway.servers.available.clear()
     world.ask("late", remaining_us=3 * S, customer="a")
     world.ask("fresh", remaining_us=6 * S, customer="b")
-    held = [job.req.id for _, _, job in world.gateway.held]
+    held = [request.arrival.id for request in world.gateway.queue]
     assert held.index("fresh") < held.index("late")
 
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -17,6 +17,7 @@
     YOUNG_US,
     Incarnations,
 )
+from thistletrail.policy.quota import CustomerKey
 from thistletrail.policy.settings import Plan
 
 CUSTOMER = (1, 0, 0, 3)
@@ -71,7 +72,9 @@
     (word,) = mine.announcements_for(2, 100 * S + 3 * MS)
     assert mine.has_restarted and word.is_answer
     assert of(SendPeerMessage, told(older[1], 0, word)) == []
-    assert older[1].gateway.starts.is_younger(0) and older[1].gateway.starts.is_recovering(older[1].now)
+    assert older[1].gateway.incarnations.is_younger(0) and older[1].gateway.incarnations.is_recovering(
+        older[1].now
+    )
 
 
 def test_marks_survive_the_wire_and_are_no_words_to_who_knows_them_not() -> None:
@@ -111,29 +114,31 @@
         world.run(200 * MS)
     told(restarted, 1, start(served_s=60.0))
     burst = {
-        name: next(iter(world.gateway.customers.values()))
+        name: next(iter(world.gateway.customers.by_key.values()))
         for name, world in (("fresh", fresh), ("restarted", restarted))
     }
-    assert burst["fresh"].part > 5 and burst["fresh"].level > 18
-    assert burst["restarted"].level <= 10 * 0.2 + 1e-9  # what has come since it was first asked
-    assert burst["restarted"].part <= burst["restarted"].level / 3 + 1e-9
+    assert burst["fresh"].local_bucket.level > 5 and burst["fresh"].set_level > 18
+    assert burst["restarted"].set_level <= 10 * 0.2 + 1e-9  # what has come since it was first asked
+    assert burst["restarted"].local_bucket.level <= burst["restarted"].set_level / 3 + 1e-9
     ask(restarted, "b", customer="another")
-    assert max(known.level for known in restarted.gateway.customers.values()) <= 10 * 0.2 + 1e-9
+    assert max(known.set_level for known in restarted.gateway.customers.by_key.values()) <= 10 * 0.2 + 1e-9
 
 
 def test_what_was_told_by_a_home_after_the_start_is_kept() -> None:
     world = gateway()
     ask(world, "a")
-    ((key, customer),) = world.gateway.customers.items()
-    home = customer.home if customer.home else 1
+    ((key, customer),) = world.gateway.customers.by_key.items()
+    home = customer.owner if customer.owner else 1
     told(world, home, QuotaMessage(*key, True, demand=3.0, level=15.0))
     told(world, 2, start(served_s=60.0))
-    assert customer.level == 15.0
+    assert customer.set_level == 15.0
 
 
 def test_a_home_that_lost_its_memory_goes_by_what_can_have_come_in() -> None:
     """What one of its set last knew is no measure: others spent meanwhile, and what is silent fills here."""
-    gateway_index = next(n for n in range(3) if gateway(n).gateway.customer((7, 0, 0, 3)).home == n)
+    gateway_index = next(
+        n for n in range(3) if gateway(n).gateway.customers.get(CustomerKey(7, 0, 0, 3)).owner == n
+    )
     others = [n for n in range(3) if n != gateway_index]
     home = gateway(gateway_index)
     ask(home, "a", customer="another")
@@ -142,9 +147,9 @@
     key = (7, 0, 0, 3)
     for sender, level in ((others[1], 20.0), (others[0], 12.0), (others[0], 18.0)):
         told(home, sender, QuotaMessage(*key, demand=1.0, requested=1.0, level=level))
-        assert home.gateway.customers[key].level <= 10 * 0.1 + 1e-9
+        assert home.gateway.customers.by_key[key].set_level <= 10 * 0.1 + 1e-9
     home.run(S)
-    assert home.gateway.customer(key).level <= 10 * 1.1 + 1e-9
+    assert home.gateway.customers.get(CustomerKey(*key)).set_level <= 10 * 1.1 + 1e-9
 
 
 def test_answers_of_a_home_that_lost_its_memory_raise_nothing() -> None:
@@ -152,18 +157,18 @@
     ask(world, "a")
     world.run(10 * S)
     ask(world, "b")
-    ((key, customer),) = world.gateway.customers.items()
-    customer.level = 2.0
+    ((key, customer),) = world.gateway.customers.by_key.items()
+    customer.set_level = 2.0
     home = 1
     told(world, home, start(9, 0.0), QuotaMessage(*key, True, demand=1.0, level=20.0))
-    assert customer.level == 2.0
+    assert customer.set_level == 2.0
     told(world, 2, QuotaMessage(*key, True, demand=1.0, level=19.0))  # one that was there all the time
-    assert customer.level == 19.0
+    assert customer.set_level == 19.0
     # Once it has been back for a while, it is a home like any other: its word holds, also where it is more.
-    customer.level = 2.0
+    customer.set_level = 2.0
     world.run(BACK_US)
     told(world, home, QuotaMessage(*key, True, demand=1.0, level=15.0))
-    assert customer.level == 15.0
+    assert customer.set_level == 15.0
 
 
 def test_a_restarted_gateway_learns_of_it_from_its_first_words() -> None:
@@ -183,8 +188,8 @@
     gateway_count.worlds[1] = fresh
     gateway_count.ask(1, "first")
     gateway_count.run(300 * MS)
-    assert fresh.gateway.starts.has_restarted
-    assert not any(gateway_count.worlds[n].gateway.starts.has_restarted for n in (0, 2))
+    assert fresh.gateway.incarnations.has_restarted
+    assert not any(gateway_count.worlds[n].gateway.incarnations.has_restarted for n in (0, 2))
 
 
 def test_gateways_that_start_together_have_not_restarted_and_say_so_no_longer() -> None:
@@ -192,7 +197,7 @@
     for number in range(60):
         gateway_count.ask(number % 3, f"r{number}")
         gateway_count.run(100 * MS)
-    assert not any(world.gateway.starts.has_restarted for world in gateway_count.worlds)
+    assert not any(world.gateway.incarnations.has_restarted for world in gateway_count.worlds)
     late = [
         action
         for world in gateway_count.worlds
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -535,7 +535,7 @@
     assert of(StartAttempt, world.ask("a"))
     server, sent, _ = world.out.pop(("a", 0))
     world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OWNED_ELSEWHERE, world.now - sent))
-    assert "a" not in world.gateway.jobs and not world.gateway.servers[server].failures
+    assert "a" not in world.gateway.requests_by_id and not world.gateway.servers_by_name[server].failures
     assert of(StartAttempt, world.ask("b"))  # the quota is as it was
     assert not of(StartAttempt, world.ask("c"))
 
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -18,7 +18,7 @@
 from thistletrail.leasing.state import Terms
 from thistletrail.leasing.wire import now_ms
 from thistletrail.policy.events import BudgetGranted, BudgetKey
-from thistletrail.policy.leased_budgets import wanted, whole_of
+from thistletrail.policy.leased_budgets import total_budget
 
 if TYPE_CHECKING:
     from thistletrail.gateway.server import FrontDoor
@@ -63,7 +63,7 @@
         try:
             while True:
                 await asyncio.sleep(LOOK_S)
-                wants = wanted(self.door.gateway, now_us())
+                wants = self.door.gateway.budget_demands(now_us())
                 waited = loop.time() >= self.asked_at + self.patience_s
                 if any(
                     self.name(want.key) not in self.keys or (waited and want.needed > 0) for want in wants
@@ -83,12 +83,12 @@
         if key is None:
             settings = self.door.settings
             return Terms.of(settings.retry_rate, settings.retry_burst)
-        return Terms.of(*whole_of(key[0], self.door.settings.plans[key[2]]))
+        return Terms.of(*total_budget(key[0], self.door.settings.plans[key[2]]))
 
     def prepare(self) -> None:
         """Tell the holder of all budgets that a part is needed of; others are let go of by it."""
         now, self.needs, self.asked_at = now_ms(), 0, asyncio.get_running_loop().time()
-        for want in wanted(self.door.gateway, now_us())[:MOST_WANTED]:
+        for want in self.door.gateway.budget_demands(now_us())[:MOST_WANTED]:
             name = self.name(want.key)
             self.keys[name] = want.key
             need, terms = math.ceil(want.needed), self.terms(want.key)
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -33,6 +33,7 @@
     WatchEndpoints,
     WriteLog,
 )
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import (
     NEVER_RAN_RESULTS,
     AttemptEnded,
@@ -44,7 +45,6 @@
     ShutdownStarted,
     TimerFired,
 )
-from thistletrail.policy.rules import Gateway
 from thistletrail.policy.settings import Effect
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         self.loop = asyncio.get_running_loop()
         self.costs = costs.Costs(config.time_stages)
         stages = self.costs.stages
-        self.gateway = Gateway(config.settings)
+        self.gateway = PolicyEngine(config.settings)
         self.gateway.handle = stages.call(costs.DECISIONS, self.gateway.handle)
         self.run_batch = stages.call(costs.ACTIONS, self.run_batch)
         self.inbox: list[Event | Exchange] = []  # an exchange: its request, which is new
@@ -180,7 +180,7 @@
         pools = self.backends.pools
         entries = [
             self.catalog.entry(server.entry, pools[name].address)
-            for name, server in self.gateway.servers.items()
+            for name, server in self.gateway.servers_by_name.items()
             if name in pools
         ]
         return {"generation": self.discovery.version or 0, "reset": True, "instances": entries}
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -28,7 +28,6 @@
 
 from thistletrail.gateway.config import Config, ConfigError
 from thistletrail.policy.events import PolicySnapshot, SnapshotFound
-from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
     from thistletrail.gateway.server import FrontDoor
@@ -193,7 +192,7 @@
             settings=settings_of(self.config),
             at_ms=self.unix_ms(),
             mark=self.mark,
-            memory=collect(door.gateway),
+            memory=door.gateway.snapshot(),
             known=door.known_list(),
         )
 
--- a/thistletrail/gateway/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -235,7 +235,7 @@
         """An attempt is to be sent: first it is told of, unless its work goes on without."""
         piece = self.pieces.get(attempt.request_id) or self.piece(exchange, attempt.request_id)
         attempt.may_write = lambda: piece.without or self.holds(piece)
-        entry = self.door.gateway.servers[attempt.server].entry
+        entry = self.door.gateway.servers_by_name[attempt.server].entry
         place = self.place(exchange.command.class_index, entry)
         piece.attempt = attempt
         if piece.without:
@@ -559,7 +559,7 @@
 
     def server_at(self, class_index: int, server: str, place: str) -> str:
         """That server, or another of its place, as the module knows them."""
-        servers = self.door.gateway.servers
+        servers = self.door.gateway.servers_by_name
         if server in servers:
             return server
         return next(
--- /dev/null
+++ b/thistletrail/policy/dispatcher.py
@@ -0,0 +1,95 @@
+"""Sends requests on: those of the queue that may leave, and the attempts of each."""
+
+from thistletrail.policy.actions import StartAttempt
+from thistletrail.policy.admission_queue import AdmissionQueue
+from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.overload_control import OverloadController
+from thistletrail.policy.pending_request import PendingRequest
+from thistletrail.policy.retry_policy import RetryBudget
+from thistletrail.policy.server_selection import ServerSelector
+from thistletrail.policy.settings import Effect, Settings
+from thistletrail.policy.slow_start import SlowStart
+from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.upstream_server import UpstreamServer
+
+
+class Dispatcher:
+    """Starts attempts, as far as overload control, ceilings and servers allow."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        context: EventContext,
+        queue: AdmissionQueue,
+        overload: OverloadController,
+        selector: ServerSelector,
+        slow_start: SlowStart,
+        retry_budget: RetryBudget,
+        traffic: TrafficEstimates,
+    ) -> None:
+        self.context = context
+        self.queue = queue
+        self.overload = overload
+        self.selector = selector
+        self.slow_start = slow_start
+        self.retry_budget = retry_budget
+        self.traffic = traffic
+        self.max_attempts = settings.max_attempts
+
+    def dispatch_queued(self) -> None:
+        """Send what may leave the queue now, by priority; the rest stays queued."""
+        if not self.overload.may_send() or not self.queue:
+            return
+        is_blocked = False  # for all first attempts that follow
+        for entry in self.queue.take_all():
+            request = entry.request
+            can_leave = not request.is_finished and (
+                bool(request.attempted_servers)
+                or (not is_blocked and request.is_under_ceiling(self.context.now_us))
+            )
+            server = self.selector.choose(request) if can_leave else None
+            if server:
+                self.start_attempt(request, server)
+            elif not request.is_finished:
+                self.queue.put_back(entry)
+            # Where no server takes one request there is no need to look on.
+            is_blocked = is_blocked or not self.overload.may_send() or (can_leave and server is None)
+
+    def start_attempt(self, request: PendingRequest, server: UpstreamServer) -> None:
+        """Send the request's next attempt to a server."""
+        now_us = self.context.now_us
+        number = len(request.attempted_servers)
+        if number == 0:
+            self.count_first_attempt(request)
+        request.attempted_servers.append(server)
+        request.in_flight[number] = now_us
+        server.in_flight[(request.arrival.id, number)] = now_us
+        server.connections = max(server.connections, len(server.in_flight))
+        request.customer.in_flight += 1
+        self.overload.in_flight += 1
+        server.next_attempt_us = now_us + self.slow_start.spacing_us(server)
+        if request.may_have_run_on is None:
+            request.may_have_run_on = server
+            request.may_have_run_since_us = now_us
+        timeout_us = self.attempt_timeout_us(request)
+        self.context.emit(StartAttempt(request.arrival.id, server.entry.name, timeout_us))
+
+    def count_first_attempt(self, request: PendingRequest) -> None:
+        """A request leaves: it counts in N and in its customer's ceiling, and earns a part of a retry."""
+        self.overload.accepted_in_period += 1
+        self.retry_budget.record_first_attempt()
+        if self.context.now_us >= request.ceiling_granted_until_us:
+            request.customer.use_ceiling(request.arrival.units)
+
+    def attempt_timeout_us(self, request: PendingRequest) -> int:
+        """How long to wait: a repeatable attempt ends while another can still meet the objective."""
+        remaining_us = request.deadline_at_us - self.context.now_us
+        mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
+        early_us = round(request.objective_at_us - self.context.now_us - 2 * mean_us)
+        is_last = (
+            request.request_class.effect is Effect.UNSAFE
+            or len(request.attempted_servers) >= self.max_attempts
+        )
+        if is_last or early_us < 2 * mean_us:
+            return max(1, remaining_us)
+        return max(1, min(remaining_us, early_us))
--- /dev/null
+++ b/thistletrail/policy/engine.py
@@ -0,0 +1,284 @@
+"""The decisions of one gateway: events in, actions out.
+
+Here they are wired, events are dispatched, and the wake-up timer is set; each rule is in the module of its
+concern. Events, actions and settings are in `events.py`, `actions.py` and `settings.py`.
+"""
+
+import random
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from thistletrail.policy.actions import Action, SetTimer, WriteLog
+from thistletrail.policy.admission_queue import AdmissionQueue
+from thistletrail.policy.attempt_outcomes import OutcomeRecorder
+from thistletrail.policy.budget_leases import BudgetLeases
+from thistletrail.policy.dispatcher import Dispatcher
+from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.events import (
+    AttemptEnded,
+    BudgetDemand,
+    BudgetGranted,
+    ClientDisconnected,
+    EndpointUpdate,
+    Event,
+    PeerMessageReceived,
+    PolicySnapshot,
+    RequestArrived,
+    ShutdownStarted,
+    SnapshotFound,
+    StreamStarted,
+    TimerFired,
+)
+from thistletrail.policy.health_gossip import HealthGossip
+from thistletrail.policy.incarnations import Incarnations
+from thistletrail.policy.observer import DecisionObserver, NoObserver
+from thistletrail.policy.outlier_detection import OutlierDetector
+from thistletrail.policy.overload_control import OverloadController
+from thistletrail.policy.pending_request import PendingRequest
+from thistletrail.policy.pending_requests import PendingRequests
+from thistletrail.policy.quota import CustomerQuotas
+from thistletrail.policy.quota_admission import QuotaAdmission
+from thistletrail.policy.quota_exchange import QuotaExchange
+from thistletrail.policy.quota_receiver import QuotaReceiver
+from thistletrail.policy.request_expiry import RequestExpiry
+from thistletrail.policy.request_lifecycle import RequestLifecycle
+from thistletrail.policy.retry_policy import RetryBudget
+from thistletrail.policy.server_selection import ServerSelector
+from thistletrail.policy.server_set import ServerSet
+from thistletrail.policy.settings import Settings
+from thistletrail.policy.slow_start import SlowStart
+from thistletrail.policy.snapshot import SnapshotKeeper
+from thistletrail.policy.timing import NEVER_US, TICK_US
+from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.upstream_server import UpstreamServer
+
+GOSSIP_SERIAL_BITS = 8
+WAKE_UP_TOKEN = 0  # of the one timer that the engine sets
+
+
+class PolicyEngine:
+    """One gateway: `handle` takes an event and gives the actions to carry out, in order.
+
+    It has no clock and does no I/O: the same events at the same times, with the same settings, give the same
+    actions. `observer` is told on what basis decisions are made.
+    """
+
+    def __init__(self, settings: Settings, observer: DecisionObserver | None = None) -> None:
+        self.settings = settings
+        self.observer = observer or NoObserver()
+        self.context = EventContext()
+        self.wake_up_us = NEVER_US
+        # All random draws come from this generator: the order of draws decides what a run does.
+        self.draws = random.Random(settings.seed)
+        first_serial = self.draws.getrandbits(GOSSIP_SERIAL_BITS)
+        self.gossip = HealthGossip(settings.gateway_count - 1, first_serial)
+        self.incarnations = Incarnations(self.draws)
+        self.wire_load()
+        self.wire_requests()
+        self.wire_peers()
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            RequestArrived: self.on_request,
+            AttemptEnded: self.lifecycle.on_attempt_ended,
+            TimerFired: self.on_timer,
+            EndpointUpdate: self.on_endpoint_update,
+            PeerMessageReceived: self.on_peer_message,
+            ClientDisconnected: self.lifecycle.on_client_left,
+            StreamStarted: self.lifecycle.on_client_left,
+            ShutdownStarted: self.lifecycle.on_shutdown,
+            SnapshotFound: self.on_snapshot,
+            BudgetGranted: self.leases.on_grant,
+        }
+
+    def wire_load(self) -> None:
+        """The servers, and how much may be sent to them."""
+        settings = self.settings
+        context = self.context
+        self.traffic = TrafficEstimates(settings)
+        self.servers = ServerSet(settings, context)
+        self.pending = PendingRequests(settings, context, self.observer)
+        self.outliers = OutlierDetector(settings, context, self.servers)
+        self.slow_start = SlowStart(settings, context, self.servers, self.traffic, self.draws)
+        self.selector = ServerSelector(
+            settings, context, self.servers, self.slow_start, self.gossip, self.draws
+        )
+        self.overload = OverloadController(settings, context, self.traffic, self.slow_start, self.pending)
+        self.outcomes = OutcomeRecorder(
+            settings, context, self.servers, self.outliers, self.overload, self.gossip, self.traffic
+        )
+
+    def wire_requests(self) -> None:
+        """The requests, and the quotas of those who send them."""
+        settings = self.settings
+        context = self.context
+        self.queue = AdmissionQueue()
+        self.retry_budget = RetryBudget(settings, context)
+        self.dispatcher = Dispatcher(
+            settings,
+            context,
+            self.queue,
+            self.overload,
+            self.selector,
+            self.slow_start,
+            self.retry_budget,
+            self.traffic,
+        )
+        self.customers = CustomerQuotas(settings, context, self.incarnations)
+        self.exchange = QuotaExchange(settings, context, self.servers, self.gossip, self.incarnations)
+        self.admission = QuotaAdmission(
+            settings,
+            context,
+            self.draws,
+            self.observer,
+            self.pending,
+            self.queue,
+            self.dispatcher,
+            self.overload,
+            self.exchange,
+            self.traffic,
+        )
+        self.wire_lifecycle()
+
+    def wire_lifecycle(self) -> None:
+        """A request's way through all of these."""
+        settings = self.settings
+        context = self.context
+        self.expiry = RequestExpiry(
+            settings,
+            context,
+            self.draws,
+            self.observer,
+            self.pending,
+            self.admission,
+            self.overload,
+            self.servers,
+            self.incarnations,
+            self.traffic,
+        )
+        self.lifecycle = RequestLifecycle(
+            settings,
+            context,
+            self.servers,
+            self.customers,
+            self.pending,
+            self.queue,
+            self.admission,
+            self.dispatcher,
+            self.expiry,
+            self.overload,
+            self.selector,
+            self.outcomes,
+            self.retry_budget,
+            self.traffic,
+        )
+
+    def wire_peers(self) -> None:
+        """What comes from peers, the lease service and predecessors."""
+        settings = self.settings
+        context = self.context
+        self.quota_receiver = QuotaReceiver(
+            settings, context, self.customers, self.admission, self.exchange, self.incarnations
+        )
+        self.leases = BudgetLeases(
+            context, self.customers, self.queue, self.admission, self.dispatcher, self.retry_budget
+        )
+        self.snapshots = SnapshotKeeper(
+            settings, context, self.servers, self.customers, self.overload, self.incarnations
+        )
+
+    # --- what hosts use ---
+
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """The actions to carry out, in order, for an event at `now_us`; times never go back."""
+        self.context.begin(now_us)
+        if not self.overload.has_started:
+            self.start()
+        if handler := self.handlers.get(type(event)):
+            handler(event)
+        self.exchange.send_due()
+        self.set_wake_up()
+        return self.context.actions
+
+    def snapshot(self) -> PolicySnapshot:
+        """What to store for the next start of this process."""
+        return self.snapshots.collect()
+
+    def budget_demands(self, now_us: int) -> list[BudgetDemand]:
+        """What this gateway needs of the budgets that the lease service divides."""
+        return self.leases.demands(now_us)
+
+    @property
+    def servers_by_name(self) -> Mapping[str, UpstreamServer]:
+        """The servers of the endpoint list that are known here."""
+        return self.servers.by_name
+
+    @property
+    def requests_by_id(self) -> Mapping[str, PendingRequest]:
+        """The requests that are not over: owed an answer, or with an attempt in flight."""
+        return self.pending.by_id
+
+    # --- events that concern several components ---
+
+    def start(self) -> None:
+        """The first event has come."""
+        self.overload.start()
+        self.customers.start()
+        self.retry_budget.start()
+
+    def on_request(self, arrival: RequestArrived) -> None:
+        """A client's request has come."""
+        self.incarnations.note_first_request(self.context.now_us)
+        self.lifecycle.on_arrival(arrival)
+
+    def on_endpoint_update(self, update: EndpointUpdate) -> None:
+        """The endpoint list has changed."""
+        self.servers.update(update)
+        self.overload.refresh_capacity()
+
+    def on_peer_message(self, message: PeerMessageReceived) -> None:
+        """A peer has sent what it observed of the servers, and messages on quotas."""
+        now_us = self.context.now_us
+        self.incarnations.note_first_request(now_us)
+        self.exchange.record_message_from(message.sender)
+        if message.digest and self.gossip.accept(message.sender, message.digest, now_us):
+            self.outcomes.record_digest(message.digest)
+        for quota_message in message.quota_messages:
+            self.quota_receiver.receive(message.sender, quota_message)
+
+    def on_snapshot(self, event: SnapshotFound) -> None:
+        """A predecessor has left a snapshot."""
+        self.context.emit(WriteLog(self.snapshots.restore(event)))
+
+    # --- the wake-up timer ---
+
+    def on_timer(self, _: TimerFired) -> None:
+        """End the control periods that are over, and look after what waits."""
+        if self.context.now_us < self.wake_up_us:
+            return
+        self.wake_up_us = NEVER_US
+        while self.overload.has_period_ended():
+            self.end_period()
+        self.lifecycle.on_tick()
+
+    def end_period(self) -> None:
+        """A control period is over: running means, idle state and N move on."""
+        overload = self.overload
+        overload.begin_next_period()
+        self.servers.drift_towards_mean()
+        self.traffic.end_period(
+            overload.accepted_in_period, overload.admission_limit, overload.control_period_us
+        )
+        self.retry_budget.report_refused()
+        self.gossip.forget_stale(self.context.now_us)
+        self.customers.forget_idle()
+        overload.end_period()
+
+    def set_wake_up(self) -> None:
+        """Wake up at the next tick; an idle gateway does so only to end its periods."""
+        now_us = self.context.now_us
+        is_busy = bool(self.queue or self.exchange.outgoing or self.pending.by_id)
+        due_us = now_us + TICK_US
+        if not is_busy:
+            due_us = max(due_us, self.overload.period_end_us)
+        if due_us < self.wake_up_us:
+            self.wake_up_us = due_us
+            self.context.emit(SetTimer(due_us - now_us, WAKE_UP_TOKEN))
--- a/thistletrail/policy/incarnations.py
+++ b/thistletrail/policy/incarnations.py
@@ -8,8 +8,8 @@
 
 import random
 
-from thistletrail.policy.base import S
 from thistletrail.policy.events import QuotaMessage
+from thistletrail.policy.timing import MICROSECONDS_PER_SECOND as S
 
 YOUNG_US = 2 * S  # for which a gateway tells of its start with every message: several words to each peer
 # By which a peer has to be older: a thin customer's first request may come so much later to one of the set.
--- /dev/null
+++ b/thistletrail/policy/pending_requests.py
@@ -0,0 +1,61 @@
+"""The requests that are owed a final answer, and that answer: each gets exactly one."""
+
+from collections.abc import Sequence
+
+from thistletrail.policy.actions import CancelAttempt, FailRequest, RejectRequest
+from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.observer import DecisionObserver, RejectReason
+from thistletrail.policy.pending_request import PendingRequest
+from thistletrail.policy.settings import Settings
+from thistletrail.policy.timing import NEVER_US
+
+
+class PendingRequests:
+    """Requests by id, from their arrival until they are answered and none of their attempts is in flight."""
+
+    def __init__(self, settings: Settings, context: EventContext, observer: DecisionObserver) -> None:
+        self.context = context
+        self.observer = observer
+        self.max_retry_after_us = settings.max_retry_after_us
+        self.may_cancel = settings.may_cancel
+        self.by_id: dict[str, PendingRequest] = {}
+
+    def add(self, request: PendingRequest) -> None:
+        """Take charge of a request that has arrived."""
+        self.by_id[request.arrival.id] = request
+
+    def reject(self, request: PendingRequest, reason: RejectReason, retry_after_us: int = NEVER_US) -> None:
+        """Answer a request that is not served: rejected where that is true, else failed.
+
+        Its client is told to come back after `retry_after_us`, or as late as it will.
+        """
+        self.observer.on_reject(request, reason)
+        if request.may_reject():
+            wait_us = min(retry_after_us, self.max_retry_after_us)
+            self.context.emit(RejectRequest(request.arrival.id, wait_us))
+        else:
+            self.context.emit(FailRequest(request.arrival.id))
+        self.finish(request)
+
+    def finish(self, request: PendingRequest) -> None:
+        """Nothing more is owed: give back what it did not use, and cancel its attempts."""
+        was_finished = request.is_finished
+        if request.is_in_quota and not request.attempted_servers and not was_finished:
+            request.customer.spend_locally(-request.arrival.units)
+        request.is_finished = True
+        if self.may_cancel and not was_finished and not request.request_class.streamed:
+            for attempt in request.in_flight:
+                self.context.emit(CancelAttempt(request.arrival.id, attempt))
+        if not request.in_flight:
+            self.by_id.pop(request.arrival.id, None)
+
+    def overdue_latency_ratios(self, mean_latency_us: Sequence[float]) -> list[float]:
+        """Of attempts in flight for longer than the mean of their class: their age over the objective."""
+        ratios: list[float] = []
+        for request in self.by_id.values():
+            mean_us = mean_latency_us[request.arrival.class_index]
+            for sent_us in request.in_flight.values():
+                age_us = self.context.now_us - sent_us
+                if age_us > mean_us:
+                    ratios.append(min(1.0, age_us / request.request_class.latency_objective_us))
+        return ratios
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -1,185 +1,125 @@
-"""Which scan server an attempt goes to, and which are well: own attempts, and what peers tell of theirs."""
+"""Which upstream server an attempt goes to: the one with the least expected wait among a few candidates."""
 
-from thistletrail.policy.actions import WatchEndpoints
-from thistletrail.policy.base import NEVER, Base, Job, S
-from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, HealthDigest, Server, ServerState
-from thistletrail.policy.health_gossip import HealthGossip, by_fingerprint, fingerprint
-from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
+import random
 
-SMOOTH = 0.1  # weight of a new latency in a running mean
-# Servers looked at for one attempt: many gateways that all take the emptiest would flood it. A few gateways
-# know what is out by their own attempts; many go by what is told late, and two keep what they pile up small.
-FEW_GATEWAYS, CHOICES, CHOICES_OF_MANY = 8, 8, 2
-LEAST_LAG, USUAL_LAG = 0.02, 0.2  # the second: latency over the aim, before anything is known
-# What a new connection weighs, in attempts out at a server, for each point that it costs of a first try.
+from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.health_gossip import HealthGossip
+from thistletrail.policy.pending_request import PendingRequest
+from thistletrail.policy.server_set import ServerSet, is_small_fleet
+from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
+from thistletrail.policy.slow_start import SlowStart
+from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.upstream_server import UpstreamServer
+
+# Candidates for one attempt. Many gateways that all took the emptiest server would flood it. A few gateways
+# know what is in flight by their own attempts; many go by late gossip, and two candidates keep herds small.
+CANDIDATES_OF_SMALL_FLEET = 8
+CANDIDATES_OF_LARGE_FLEET = 2
+MIN_LATENCY_RATIO = 0.02  # latency over the objective, below which servers count as equally fast
+# What a new connection weighs, in attempts in flight at a server, for each point that it costs of a first
+# attempt.
 HANDSHAKE_WEIGHT = 20.0
-LAG_SMOOTH = 0.15  # weight of one answer in a server's mean latency over the aim, whoever got it
-PEER_PART = 0.5  # of a failure: how much one that a peer tells of counts
-TRIAL_SHARE = 0.05  # of the attempts of many gateways may go to suspect servers: whoever makes a trial tells
-SUSPECT_AT = 1.7  # two failures running, or a mix with more failures than answers
-BROKEN_PART = 0.5  # of a failure: how much a spoilt answer or a reset counts
-SUSPECT_US, SUSPECT_MAX_US = S, 8 * S  # the first and the longest time without a trial
-REPORT_FRESH_US = 1.5 * S  # a load report older than this says nothing
-
-
-class Backend:
-    def __init__(self, entry: Server) -> None:
-        self.entry, self.mark = entry, fingerprint(entry.name)
-        self.out: dict[tuple[str, int], int] = {}  # attempts out and when each was sent
-        self.heard_us = self.avoid_until = self.next_us = self.backoff_us = self.suspect_us = 0
-        self.slowness, self.failures = 1.0, 0.0  # latency over the mean of its class; failures of late
-        self.connections = 0  # that should be open: as many as were out at once, less those that broke
-        self.latency_ratio = 0.0  # mean latency over the aim, for all gateways together
-        self.on_trial, self.load, self.load_at = False, None, 0
-        self.warm_from = entry.started_us  # start of its ramp: its start, or its return from suspicion
-
-
-class Choice(Base):
-    """Owns the servers, their health, and what the fleet has told of them."""
-
-    def __init__(self, settings: Settings) -> None:
-        super().__init__(settings)
-        self.servers, self.up = {}, []  # by name; those that may be sent new work
-        self.fleet = HealthGossip(settings.gateway_count - 1, self.random.getrandbits(8))
-        self.marks: dict[int, str] = {}  # the servers' names by their checksums
-        self.mean_lag = USUAL_LAG  # of all servers: what one that nobody has met is taken for
-        self.rate, self.mean_load = 0.0, 0.0  # first attempts a second; load of the servers, as they say
-
-    def on_list(self, news: EndpointUpdate) -> None:
-        if self.set.must_subscribe and news.kind in (EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED):
-            self.actions.append(WatchEndpoints(True))
-        named = {entry.name for entry in news.servers}
-        part = news.kind in (
-            EndpointUpdateKind.CHANGES,
-            EndpointUpdateKind.FAILED,
-        )  # after a failure the old list holds
-        self.servers = {name: known for name, known in self.servers.items() if part or name in named}
-        for entry in news.servers:
-            known = self.servers.get(entry.name)
-            if known is None or known.entry.started_us != entry.started_us:
-                known = self.servers[entry.name] = Backend(entry)
-                known.latency_ratio = self.mean_lag
-            known.entry = entry
-            if entry.state is ServerState.GONE:  # its id does not come again
-                del self.servers[entry.name]
-        self.up = [server for server in self.servers.values() if server.entry.state is ServerState.UP]
-        self.marks, self.capacity = by_fingerprint(self.servers), self.measure_capacity()
-
-    def hear(self, digest: HealthDigest) -> None:
-        """What a peer saw counts as if it had been seen here, its failures in part."""
-        self.told_occup += min(1.0, digest.occupancy) * digest.samples
-        self.told_samples += digest.samples
-        for note in digest.observations:
-            server = self.servers.get(self.marks.get(note.server, ""))
-            if server is None:
-                continue
-            if note.successes:
-                self.note_lag(server, note.latency_ratio, note.successes)
-            if note.failures and not note.successes:
-                server.failures += PEER_PART * note.failures - 1
-                self.note_result(server, False)
-            elif note.successes and not note.failures and self.now >= server.avoid_until:
-                self.note_result(server, True)
-
-    def note_lag(self, server: Backend, latency_ratio: float, answers: int) -> None:
-        server.latency_ratio += (1 - (1 - LAG_SMOOTH) ** answers) * (latency_ratio - server.latency_ratio)
-        self.mean_lag += (1 - (1 - LAG_SMOOTH / max(1, len(self.servers))) ** answers) * (
-            latency_ratio - self.mean_lag
+HALF_OPEN_FRACTION = (
+    0.05  # of a large fleet's attempts that may go to ejected servers: who makes one reports it
+)
+REPORT_FRESH_US = 1.5 * MICROSECONDS_PER_SECOND  # a load report older than this says nothing
+MIN_MEAN_LOAD = 0.01  # by which reported load is divided
+CROSS_ZONE_WEIGHT = 10  # by which the price of another zone lengthens the expected wait
+
+
+class ServerSelector:
+    """Chooses servers by health, by where a request may be repeated, and by expected wait."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        context: EventContext,
+        servers: ServerSet,
+        slow_start: SlowStart,
+        gossip: HealthGossip,
+        draws: random.Random,
+    ) -> None:
+        self.settings = settings
+        self.context = context
+        self.servers = servers
+        self.slow_start = slow_start
+        self.gossip = gossip
+        self.draws = draws
+        self.is_small_fleet = is_small_fleet(settings)
+
+    def choose(self, request: PendingRequest) -> UpstreamServer | None:
+        """The server for the request's next attempt, or None where it can go nowhere now."""
+        ready = self.ready_servers(request)
+        if self.is_small_fleet:
+            count = min(CANDIDATES_OF_SMALL_FLEET, len(ready))
+            return min(self.draws.sample(ready, count), key=self.expected_wait, default=None)
+        candidates = self.draws.sample(ready, min(CANDIDATES_OF_LARGE_FLEET, len(ready)))
+        if self.settings.handshake_price:  # each gateway keeps to the servers that it has connections to
+            connected = [server for server in ready if len(server.in_flight) < server.connections]
+            candidates += self.draws.sample(connected, min(CANDIDATES_OF_LARGE_FLEET, len(connected)))
+        return min(candidates, key=self.expected_wait, default=None)
+
+    def ready_servers(self, request: PendingRequest) -> list[UpstreamServer]:
+        """The servers that rules and health allow, without the cold ones that are passed over this time.
+
+        All servers are looked through for each attempt. What holds for nearly all of them is inlined, as a
+        call each would be most of an attempt's cost.
+        """
+        now_us = self.context.now_us
+        attempted = request.attempted_servers
+        may_be_half_open = request.request_class.effect is not Effect.UNSAFE and (
+            self.is_small_fleet or self.draws.random() < HALF_OPEN_FRACTION
         )
-
-    def choose(self, job: Job) -> Backend | None:
-        """The least expected wait among a few of those that the rules and their health allow."""
-        few, now, tried = self.set.gateway_count <= FEW_GATEWAYS, self.now, job.servers
-        trial = job.rule.effect is not Effect.UNSAFE and (few or self.random.random() < TRIAL_SHARE)
-        # The whole fleet is looked through for each attempt: what holds for nearly all of it makes no calls.
-        anywhere = job.ran_on is None or job.rule.effect is Effect.IDEMPOTENT
-        allowed = self.up if anywhere else [server for server in self.up if self.in_group(job, server)]
-        usable = [
+        permitted = self.permitted_servers(request)
+        healthy = [
             server
-            for server in allowed
-            if now >= server.avoid_until
-            and not (server.on_trial and (server.out or not trial))
-            and not (tried and server in tried)
-        ] or allowed
+            for server in permitted
+            if now_us >= server.avoid_until_us
+            and not (server.is_ejected and (server.in_flight or not may_be_half_open))
+            and not (attempted and server in attempted)
+        ] or permitted
+        warm_before_us = self.slow_start.warm_before_us()
+        has_turn = self.slow_start.has_turn
         # All gateways may see a cold server as the emptiest: each passes it over as often as it is cold.
-        warm_since = now - max(1, self.set.warm_up_us)
-        room = [server for server in usable if server.warm_from <= warm_since or self.has_turn(server)]
-        if few:
-            return min(self.random.sample(room, min(CHOICES, len(room))), key=self.cost, default=None)
-        looked_at = self.random.sample(room, min(CHOICES_OF_MANY, len(room)))
-        if self.set.handshake_price:  # each gateway keeps to the servers that it has connections to
-            met = [server for server in room if len(server.out) < server.connections]
-            looked_at += self.random.sample(met, min(CHOICES_OF_MANY, len(met)))
-        return min(looked_at, key=self.cost, default=None)
-
-    def has_turn(self, server: Backend) -> bool:
-        """Whether one that may be cold is not passed over this time."""
-        part = self.part(server)
-        return part >= 1 or (self.now >= server.next_us and self.random.random() < part)
-
-    def in_group(self, job: Job, server: Backend) -> bool:
-        """One that may have run and is not safe: if keyed, it stays where its repeats are dropped, while they
-        are."""
-        rule, first = job.rule, job.ran_on
-        place = "zone" if rule.idempotency_scope is IdempotencyScope.ZONE else "cell"
-        same = rule.idempotency_scope is IdempotencyScope.ALL or getattr(server.entry, place) == getattr(
-            first.entry, place
-        )
-        return (
-            same
-            and rule.effect is Effect.IDEMPOTENT_BY_KEY
-            and self.now < job.ran_us + rule.idempotency_window_us
-        )
-
-    def cost(self, server: Backend) -> float:
-        """Expected wait: work out there, how slow it is, how loaded it says it is."""
-        fresh = server.load is not None and self.now - server.load_at < REPORT_FRESH_US
-        pressure = 0.5 + server.load / max(0.01, self.mean_load) / 2 if fresh else 1.0
-        far = 1 + 10 * self.set.cross_zone_price * (server.entry.zone != self.set.zone)
-        waits = 0 if server.on_trial else len(server.out) + 1  # a trial that is due goes first
-        if self.set.gateway_count > FEW_GATEWAYS and waits:
-            new = HANDSHAKE_WEIGHT * self.set.handshake_price * (len(server.out) >= server.connections)
-            return (
-                (waits + new + self.fleet.in_flight_at(server.mark))
-                * max(LEAST_LAG, server.latency_ratio)
-                * far
-            )
-        return waits * server.slowness * pressure * far
-
-    def warmth(self, server: Backend) -> float:
-        """The least part of its capacity that a started or returned server has by now."""
-        age, cold = (self.now - server.warm_from) / max(1, self.set.warm_up_us), self.set.cold_capacity
-        return 1.0 if age >= 1 or not server.warm_from else cold + (1 - cold) * age
-
-    def part(self, server: Backend) -> float:
-        """The part of what a warm server is sent that this one may have. Where many gateways spread it thin,
-        that rises ahead of the least that it can do by now, as it is far from fall_multiple times that."""
-        warmth = self.warmth(server)
-        few = self.set.gateway_count <= FEW_GATEWAYS
-        return warmth if few else min(1.0, 2 * warmth - min(warmth, self.set.cold_capacity))
-
-    def spacing(self, server: Backend) -> int:
-        """A server that started or came back gets its part of what others are sent here, spaced out. Where
-        that is an attempt in many seconds, to wait for so long after each would leave it idle."""
-        if self.set.gateway_count > FEW_GATEWAYS:
-            return 0
-        usual = max(1 / self.set.gateway_count, self.rate / max(1, len(self.up)))
-        return round(S / max(0.01, self.warmth(server)) / usual)
-
-    def note_result(self, server: Backend, ok: bool, sent_us: int = NEVER) -> None:
-        """Any kind of failure makes a server suspect; it comes back by a trial, then by the cold ramp. What
-        was sent before is no trial: one that drains still answers that."""
-        server.failures = server.failures / 2 if ok else server.failures + 1
-        if ok and server.on_trial and sent_us >= server.suspect_us:
-            server.on_trial, server.backoff_us, server.failures = False, 0, 0.0
-            server.warm_from = max(server.warm_from, self.now - self.set.warm_up_us // 2)
-        elif not ok and (server.failures >= SUSPECT_AT or server.on_trial) and self.now >= server.avoid_until:
-            server.backoff_us = min(SUSPECT_MAX_US, max(SUSPECT_US, server.backoff_us * 2))
-            server.avoid_until, server.on_trial = self.now + server.backoff_us, True
-            server.suspect_us = self.now
-
-    def note_broken(self, server: Backend) -> None:
-        """It is there, but an answer was spoilt or a connection ended, as any may now and then: only one
-        that does little else is suspect. One that has died refuses new connections."""
-        server.failures += BROKEN_PART - 1
-        self.note_result(server, False)
+        return [server for server in healthy if server.warm_up_start_us <= warm_before_us or has_turn(server)]
+
+    def permitted_servers(self, request: PendingRequest) -> list[UpstreamServer]:
+        """Where the request may run, given that it may have run already."""
+        first = request.may_have_run_on
+        if first is None or request.request_class.effect is Effect.IDEMPOTENT:
+            return self.servers.available
+        return [server for server in self.servers.available if self.drops_repeats(request, first, server)]
+
+    def drops_repeats(self, request: PendingRequest, first: UpstreamServer, server: UpstreamServer) -> bool:
+        """Whether a server recognises the idempotency key of a request that may have run on the first one."""
+        rule = request.request_class
+        if rule.effect is not Effect.IDEMPOTENT_BY_KEY:
+            return False
+        if self.context.now_us >= request.may_have_run_since_us + rule.idempotency_window_us:
+            return False
+        if rule.idempotency_scope is IdempotencyScope.ALL:
+            return True
+        if rule.idempotency_scope is IdempotencyScope.ZONE:
+            return server.entry.zone == first.entry.zone
+        return server.entry.cell == first.entry.cell
+
+    def expected_wait(self, server: UpstreamServer) -> float:
+        """What waits at a server, by how slow and how loaded it is; comparable between servers only."""
+        in_flight = len(server.in_flight)
+        waiting = 0 if server.is_ejected else in_flight + 1  # a half-open attempt that is due goes first
+        is_cross_zone = server.entry.zone != self.settings.zone
+        distance = 1 + CROSS_ZONE_WEIGHT * self.settings.cross_zone_price * is_cross_zone
+        if not self.is_small_fleet and waiting:
+            needs_connection = in_flight >= server.connections
+            handshake = HANDSHAKE_WEIGHT * self.settings.handshake_price * needs_connection
+            waiting_of_all = waiting + handshake + self.gossip.in_flight_at(server.fingerprint)
+            return waiting_of_all * max(MIN_LATENCY_RATIO, server.latency_ratio) * distance
+        return waiting * server.slowness * self.load_pressure(server) * distance
+
+    def load_pressure(self, server: UpstreamServer) -> float:
+        """How loaded a server reports to be, compared with the mean; 1 without a fresh report."""
+        if server.reported_load is None:
+            return 1.0
+        if self.context.now_us - server.reported_load_at_us >= REPORT_FRESH_US:
+            return 1.0
+        return 0.5 + server.reported_load / max(MIN_MEAN_LOAD, self.servers.mean_reported_load) / 2
--- a/thistletrail/policy/simulator_adapter.py
+++ b/thistletrail/policy/simulator_adapter.py
@@ -1,6 +1,6 @@
 """The simulator's wire on standard input and output, translated to the module's events and actions.
 
-Only translation: one `Gateway` for each instance, no decision. Malformed input ends the process with
+Only translation: one `PolicyEngine` for each instance, no decision. Malformed input ends the process with
 one line on standard error; an exception in the module is reported on the wire.
 """
 
@@ -24,6 +24,7 @@
     WriteLog,
 )
 from thistletrail.policy.codec import Pairs, pack_message, read_report, read_settings, unpack_message
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -41,7 +42,6 @@
     StreamStarted,
     TimerFired,
 )
-from thistletrail.policy.rules import Gateway
 
 RESULTS = {
     "served": AttemptResult.OK,
@@ -243,7 +243,7 @@
     """The instances of this process and the numbered server lists they refer to."""
 
     def __init__(self) -> None:
-        self.gateway_count: dict[int, Gateway] = {}
+        self.gateway_count: dict[int, PolicyEngine] = {}
         self.report_names: dict[int, list[str]] = {}
         self.sheets: dict[int, tuple[Server, ...]] = {}
         self.target: int | None = None
@@ -269,7 +269,7 @@
             pairs = read_pairs(part for part in parts[1:] if part)
             how = pairs.text("stats.names")
             self.report_names[self.target] = how.split(",") if how else []
-            self.gateway_count[self.target] = Gateway(read_settings(fields.whole(), pairs))
+            self.gateway_count[self.target] = PolicyEngine(read_settings(fields.whole(), pairs))
             return []
         if self.target not in self.gateway_count:
             raise WireError(f"there is no instance {self.target}")
--- a/thistletrail/policy/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -1,29 +1,124 @@
-"""A snapshot of what a gateway knows, for the next start of its process. Nothing is decided here.
+"""What a gateway leaves to the next start of its process: collected now and then, and restored.
 
-Times in a snapshot are from its making on, as nobody's clock goes on over a restart.
+Times in a snapshot are from its making on, as nobody's clock goes on over a restart. Each part of it has a
+bound on its age, past which it is not used.
 """
 
-from thistletrail.policy.events import CustomerSnapshot, EjectedServerSnapshot, PolicySnapshot
-from thistletrail.policy.rules import Gateway
+from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.events import (
+    CustomerSnapshot,
+    EjectedServerSnapshot,
+    PolicySnapshot,
+    SnapshotFound,
+)
+from thistletrail.policy.incarnations import Incarnations
+from thistletrail.policy.overload_control import OverloadController
+from thistletrail.policy.quota import CustomerKey, CustomerQuota, CustomerQuotas
+from thistletrail.policy.server_set import ServerSet
+from thistletrail.policy.settings import Settings
+from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.upstream_server import UpstreamServer
 
-MOST_CUSTOMERS = 5_000  # the ones seen last: some 100 bytes each
+MAX_CUSTOMERS = 5_000  # the ones seen last: some 100 bytes each
+# Bounds on age: N follows load within some control periods; an ejected server is half-open by then.
+ADMISSION_RATE_MAX_AGE_US = 5_000_000
+SERVER_HEALTH_MAX_AGE_US = 8_000_000
 
 
-def collect(gateway: Gateway) -> PolicySnapshot:
-    """What this gateway knows that would be of use to its successor."""
-    now = gateway.now
-    customers = tuple(
-        CustomerSnapshot(*customer.key, customer.part, customer.level, customer.ceiling, customer.grants)
-        for customer in list(gateway.customers.values())[-MOST_CUSTOMERS:]
-    )
-    ejected_servers = tuple(
-        EjectedServerSnapshot(
-            server.entry.name, max(0, server.avoid_until - now), server.backoff_us, server.latency_ratio
+class SnapshotKeeper:
+    """Collects what would be of use to a successor, and restores what a predecessor left."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        context: EventContext,
+        servers: ServerSet,
+        customers: CustomerQuotas,
+        overload: OverloadController,
+        incarnations: Incarnations,
+    ) -> None:
+        self.context = context
+        self.servers = servers
+        self.customers = customers
+        self.overload = overload
+        self.incarnations = incarnations
+        self.plan_count = len(settings.plans)
+
+    def collect(self) -> PolicySnapshot:
+        """What this gateway knows, as of the last event."""
+        last_seen = list(self.customers.by_key.values())[-MAX_CUSTOMERS:]
+        ejected = [server for server in self.servers.by_name.values() if server.is_ejected]
+        return PolicySnapshot(
+            customers=tuple(customer_snapshot(customer) for customer in last_seen),
+            ejected_servers=tuple(ejected_server_snapshot(server, self.context.now_us) for server in ejected),
+            admission_rate_per_s=self.overload.limit_per_scaled_second(),
         )
-        for server in gateway.servers.values()
-        if server.on_trial
+
+    def restore(self, event: SnapshotFound) -> str:
+        """Restore each part that is young enough; a line for the log that names them.
+
+        What came in since is not credited: others have gone on spending meanwhile. A customer that is not in
+        it had not asked for long; as little is known of it here as after a restart without a snapshot.
+        """
+        self.incarnations.note_restart(self.context.now_us)
+        snapshot = event.snapshot
+        age_us = max(0, event.age_us)
+        restored: list[str] = []
+        if age_us < self.customers.kept_us:
+            for customer in snapshot.customers:
+                self.restore_customer(customer)
+            restored.append(f"{len(snapshot.customers)} customers")
+        if age_us < SERVER_HEALTH_MAX_AGE_US:
+            for server in snapshot.ejected_servers:
+                self.restore_server(server, age_us)
+            restored.append(f"{len(snapshot.ejected_servers)} suspect servers")
+        if age_us < ADMISSION_RATE_MAX_AGE_US and snapshot.admission_rate_per_s is not None:
+            self.overload.set_limit_per_scaled_second(snapshot.admission_rate_per_s)
+            restored.append(f"N {snapshot.admission_rate_per_s:.1f} a second")
+        age_s = age_us / MICROSECONDS_PER_SECOND
+        return f"takes up a snapshot of {age_s:.1f} s ago: {', '.join(restored) or 'nothing is young enough'}"
+
+    def restore_customer(self, stored: CustomerSnapshot) -> None:
+        """Set a customer's buckets to what they held, within what they can hold now."""
+        if not 0 <= stored.plan_index < self.plan_count or stored.set_size < 1:
+            return
+        key = CustomerKey(stored.customer, stored.plan_index, stored.set_first, stored.set_size)
+        customer = self.customers.get(key)
+        most_here = customer.plan.burst / customer.set_size
+        customer.local_bucket.level = max(0.0, min(most_here, stored.share))
+        customer.set_level = min(customer.plan.burst, stored.level)
+        customer.ceiling_bucket.level = min(stored.ceiling, customer.ceiling_bucket.capacity)
+        customer.ceiling_grants.level = min(stored.grants, customer.ceiling_grants.capacity)
+
+    def restore_server(self, stored: EjectedServerSnapshot, age_us: int) -> None:
+        """Eject a server that was ejected, for the time that was left, if it is known."""
+        server = self.servers.by_name.get(stored.server)
+        if server is None:
+            return
+        now_us = self.context.now_us
+        server.is_ejected = True
+        server.ejected_at_us = now_us
+        server.avoid_until_us = now_us + max(0, stored.ejected_for_us - age_us)
+        server.backoff_us = stored.backoff_us
+        server.latency_ratio = stored.latency_ratio
+
+
+def customer_snapshot(customer: CustomerQuota) -> CustomerSnapshot:
+    """A customer's buckets as they were when it was last looked at."""
+    return CustomerSnapshot(
+        *customer.key,
+        share=customer.local_bucket.level,
+        level=customer.set_level,
+        ceiling=customer.ceiling_bucket.level,
+        grants=customer.ceiling_grants.level,
     )
-    admission_rate_per_s = (
-        None if gateway.n_past is None else gateway.n_exact * gateway.second / gateway.cc_us
+
+
+def ejected_server_snapshot(server: UpstreamServer, now_us: int) -> EjectedServerSnapshot:
+    """An ejected server, and for how much longer it gets no attempts."""
+    return EjectedServerSnapshot(
+        server=server.entry.name,
+        ejected_for_us=max(0, server.avoid_until_us - now_us),
+        backoff_us=server.backoff_us,
+        latency_ratio=server.latency_ratio,
     )
-    return PolicySnapshot(customers, ejected_servers, admission_rate_per_s)
--- a/thistletrail/simulation/__main__.py
+++ b/thistletrail/simulation/__main__.py
@@ -275,7 +275,7 @@
     words = [word.strip() for word in values.split(",") if word.strip()]
     if len(set(words)) < 2 or len(set(words)) < len(words):
         raise ModelError("--values takes two or more different numbers")
-    import thistletrail.policy.rules  # noqa: F401 - its constants are what is checked here
+    import thistletrail.policy.engine  # noqa: F401 - its constants are what is checked here
 
     for word in words:
         set_constant(f"{constant}={word}")
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -27,6 +27,7 @@
     WriteLog,
 )
 from thistletrail.policy.codec import pack_message, unpack_message
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -42,11 +43,10 @@
     SnapshotFound,
     TimerFired,
 )
-from thistletrail.policy.snapshot import collect
 from thistletrail.simulation.clients import Try
 from thistletrail.simulation.clock import MS, S
 from thistletrail.simulation.servers import ScanServer, Work
-from thistletrail.simulation.watched import Decided, Watched
+from thistletrail.simulation.watched import Decided, DecisionRecorder
 
 if TYPE_CHECKING:
     from thistletrail.simulation.day import Day
@@ -97,7 +97,8 @@
 
     def __init__(self, day: Day, number: int, zone: int) -> None:
         self.day, self.number, self.zone = day, number, zone
-        self.gateway: Watched | None = None
+        self.gateway: PolicyEngine | None = None
+        self.decisions = DecisionRecorder()
         self.life = 0  # counts starts and ends: what was asked in an earlier life is void
         self.started_us = 0
         self.intake, self.intake_at = 0.0, 0
@@ -128,7 +129,8 @@
         self.started_us = day.clock.now
         self.reset()
         self.intake, self.intake_at = 0.0, day.clock.now
-        self.gateway = Watched(day.settings(self.number, self.zone))
+        self.decisions = DecisionRecorder()
+        self.gateway = PolicyEngine(day.settings(self.number, self.zone), self.decisions)
         self.hear(day.catalog.saved(self.life > 1))
         self.recall()
         day.clock.after(LIST_AFTER_START_US, self.first_list, self.life)
@@ -153,7 +155,7 @@
     def store(self, life: int) -> None:
         """A snapshot now and then."""
         if life == self.life:
-            self.stored = self.day.clock.now, collect(self.gateway)
+            self.stored = self.day.clock.now, self.gateway.snapshot()
             self.store_later()
 
     def first_list(self, life: int) -> None:
@@ -324,7 +326,7 @@
         if not state.out:
             del self.open[try_.id]
         self.handle(ClientDisconnected(try_.id))
-        self.gateway.seen.pop(try_.id, None)
+        self.decisions.seen.pop(try_.id, None)
         return True
 
     # --- actions ---
@@ -342,7 +344,7 @@
             self.day.network.datagram(self.number, action.peer, data)
 
     def note(self, try_id: str) -> Decided | None:
-        return self.gateway.seen.get(try_id) if self.gateway else None
+        return self.decisions.seen.get(try_id) if self.gateway else None
 
     def refuse(self, action: RejectRequest) -> None:
         self.answer(action.id, "refused", action.retry_after_us)
@@ -361,7 +363,7 @@
         state.answered = True
         if not state.out:
             del self.open[name]
-        note = self.gateway.seen.pop(name, None)
+        note = self.decisions.seen.pop(name, None)
         self.day.clients.answered(state.try_, how, retry_after_us, note, self)
 
     def send(self, action: StartAttempt) -> None:
@@ -506,7 +508,7 @@
         over = served or state.answered
         if served:
             state.answered = True
-            day.clients.answered(try_, "served", 0, self.gateway.seen.pop(try_.id, None), self)
+            day.clients.answered(try_, "served", 0, self.decisions.seen.pop(try_.id, None), self)
         if state.answered and not state.out:
             self.open.pop(try_.id, None)
         self.handle(
--- a/thistletrail/simulation/experiment.py
+++ b/thistletrail/simulation/experiment.py
@@ -68,14 +68,17 @@
 def revision(name: str) -> Iterator[Tree]:
     """A tree with the decisions of a revision; one that git does not know is a ModelError.
 
-    Decisions from before the single package have other names for their events and actions: they are hosted
-    by the simulation as it was at LAST_OLD_LAYOUT, which plays all revisions up to then.
+    Decisions from before `PolicyEngine` are hosted by the simulation of their own revision. Those from before
+    the single package are hosted by the simulation as it was at LAST_OLD_LAYOUT, which plays all revisions up
+    to then.
     """
     with tempfile.TemporaryDirectory(prefix="simulation-") as text:
         folder = Path(text)
-        if extract(name, ("thistletrail/policy",), folder):
+        if extract(name, ("thistletrail/policy/engine.py", "thistletrail/policy"), folder):
             complete(folder)
             yield Tree(folder)
+        elif extract(name, ("thistletrail",), folder):
+            yield Tree(folder)
         elif extract(name, ("fennelwinch",), folder):
             if not extract(LAST_OLD_LAYOUT, OLD_HOSTS, folder):
                 raise ModelError(f"revision '{name}' needs {LAST_OLD_LAYOUT[:7]}, which is not in this clone")
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -14,7 +14,7 @@
 from thistletrail.leasing.messages import Answer, Ask
 from thistletrail.leasing.state import LEASE_MS, State, Terms
 from thistletrail.policy.events import BudgetDemand, BudgetGranted, BudgetKey, BudgetKind
-from thistletrail.policy.leased_budgets import wanted, whole_of
+from thistletrail.policy.leased_budgets import total_budget
 from thistletrail.simulation.clock import MS
 
 if TYPE_CHECKING:
@@ -39,14 +39,14 @@
     def start(self, door: Door) -> None:
         """A door has started, or started again: another holder."""
         if self.on:
-            self.settings = door.gateway.set
+            self.settings = door.gateway.settings
             held = self.held[door.number] = Held(self, door)
             first = round(self.day.streams["leases"].uniform() * RENEW_US * JITTER)
             self.day.clock.after(first, held.renew, door.life, 0)
             self.day.clock.after(LOOK_US, held.look, door.life)
 
     def terms(self, key: BudgetKey) -> Terms:
-        return Terms.of(*whole_of(key[0], self.settings.plans[key[2]]))
+        return Terms.of(*total_budget(key[0], self.settings.plans[key[2]]))
 
     def ask(self, ask: Ask) -> Answer:
         now, self.asks = self.day.clock.now // MS, self.asks + 1
@@ -80,7 +80,7 @@
         self.clock.after(LOOK_US, self.look, life)
 
     def wants(self) -> list[BudgetDemand]:
-        return wanted(self.door.gateway, self.clock.now)
+        return self.door.gateway.budget_demands(self.clock.now)
 
     def renew(self, life: int, serial: int) -> None:
         if life != self.door.life or serial != self.serial or self.door.gateway is None:
--- a/thistletrail/simulation/watched.py
+++ b/thistletrail/simulation/watched.py
@@ -1,23 +1,43 @@
-"""The project's own decision module, unchanged, with what it does made known to the books.
+"""What the decision engine makes of requests, made known to the simulation's books.
 
-`Watched` calls the module's methods and adds nothing to what they do: it notes on what basis a request's
-quota was decided and why one was refused.
+`DecisionRecorder` observes an engine and changes nothing: it notes on what basis a request's quota was
+decided and why one was rejected, in the words that the simulation's output has.
 """
 
 from __future__ import annotations
 
-from thistletrail.policy import rules
-from thistletrail.policy.events import AttemptEnded, ShutdownStarted
-from thistletrail.policy.quota import WORD_FRESH_US
-from thistletrail.policy.settings import Settings
-
-# On what basis a quota was decided.
-PART, HOME, LAST_WORD, SILENT = "own part", "home", "last word", "silent home"
-WORD, NO_WORD, LEASE = "word", "no word", "lease"
+from thistletrail.policy.observer import QuotaBasis, RejectReason, WaitReason, WaitReasonOf
+from thistletrail.policy.pending_request import PendingRequest
+
+BASIS_TEXTS = {
+    QuotaBasis.LOCAL_SHARE: "own part",
+    QuotaBasis.OWN_ACCOUNT: "home",
+    QuotaBasis.LAST_ANSWER: "last word",
+    QuotaBasis.OWNER_SILENT: "silent home",
+    QuotaBasis.OWNER_ANSWER: "word",
+    QuotaBasis.NO_ANSWER: "no word",
+    QuotaBasis.LEASE: "lease",
+}
+REASON_TEXTS = {
+    RejectReason.LATE_RETRY: "late retry",
+    RejectReason.QUOTA: "quota",
+    RejectReason.ATTEMPTS_FAILED: "attempts failed",
+    RejectReason.RAN_ELSEWHERE: "other",
+}
+WAIT_TEXTS = {
+    WaitReason.NO_SERVER_FOR_RETRY: "no server again",
+    WaitReason.QUOTA_ANSWER: "waiting for word",
+    WaitReason.NOT_ADMITTED: "late on arrival",
+    WaitReason.CEILING: "ceiling",
+    WaitReason.OVERLOAD_CONTROL: "cap",
+    WaitReason.IN_FLIGHT_LIMIT: "out at once",
+    WaitReason.NO_SERVER: "no server",
+    WaitReason.QUEUE: "turn too late",
+}
 
 
 class Decided:
-    """What the module made of one request: whether it counted it as inside the quota, and on what basis."""
+    """What the engine made of one request: whether it counted it as inside the quota, and on what basis."""
 
     __slots__ = ("basis", "chance", "home", "inside", "why")
 
@@ -25,93 +45,33 @@
         self.basis, self.chance, self.inside, self.why, self.home = "", 1.0, False, "", -1
 
 
-class Watched(rules.Gateway):
-    """One front door's decisions; `seen` holds a note for each request that is open."""
+class DecisionRecorder:
+    """Observes one gateway's decisions; `seen` holds a note for each request that is open."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self) -> None:
         self.seen: dict[str, Decided] = {}
-        self.basis, self.refusing, self.told = "", "", None
-        super().__init__(settings)
-
-    def note(self, job: object) -> Decided:
-        return self.seen.setdefault(job.req.id, Decided())
-
-    def admit(self, job: object) -> None:
-        customer = job.customer
-        alone, units = customer.home == self.set.gateway_index, job.req.units
-        allows = customer.allows(units)
-        if "quota" in customer.leased:
-            self.basis = LEASE
-        elif not customer.plan.max_in_flight and customer.part >= units and (alone or allows):
-            self.basis = PART
-        elif alone:
-            self.basis = HOME
-        elif self.now - customer.heard_us < WORD_FRESH_US:
-            self.basis = LAST_WORD
-        else:
-            self.basis = SILENT
-        before, self.refusing = self.refusing, "late retry"
-        super().admit(job)
-        self.refusing = before
-
-    def end_waits(self, told: object = None, *granted: float) -> None:
-        self.basis, self.told = NO_WORD, told
-        super().end_waits(told, *granted)
-        self.told = None
-
-    def end_leased_waits(self, customer: object) -> None:
-        self.basis = LEASE
-        super().end_leased_waits(customer)
-
-    def decide(self, job: object, chance: float) -> None:
-        note = self.note(job)
-        note.basis, note.chance, note.home = self.basis, chance, job.customer.home
-        if self.told is not None and job.customer is self.told:
-            note.basis = WORD
-        before, self.refusing = self.refusing, "quota"
-        super().decide(job, chance)
-        self.refusing = before
-        note.inside = job.in_quota
-
-    def release(self) -> None:
-        """Whoever is refused in here is not refused for its quota."""
-        before, self.refusing = self.refusing, ""
-        super().release()
-        self.refusing = before
-
-    def expire(self, job: object, *args: float) -> bool:
-        before, self.refusing = self.refusing, self.held_by(job)
-        over = super().expire(job, *args)
-        self.refusing = before
-        return over
-
-    def held_by(self, job: object) -> str:
-        """What keeps a request that has not been sent from leaving."""
-        if job.servers:
-            return "no server again"
-        if job in self.waits:
-            return "waiting for word"
-        if self.note(job).basis == "":
-            return "late on arrival"
-        if not self.under_ceiling(job):
-            return "ceiling"
-        full = self.out >= self.most_out()
-        if not full and self.n_past is not None and not self.allowance():
-            return "cap"
-        if full:
-            return "out at once"
-        return "no server" if not self.up else "turn too late"
-
-    def on_outcome(self, event: AttemptEnded) -> None:
-        before, self.refusing = self.refusing, "attempts failed"
-        super().on_outcome(event)
-        self.refusing = before
-
-    def on_draining(self, event: ShutdownStarted) -> None:
-        before, self.refusing = self.refusing, "draining"
-        super().on_draining(event)
-        self.refusing = before
-
-    def end(self, job: object, *args: int) -> None:
-        self.note(job).why = self.refusing or "other"
-        super().end(job, *args)
+        self.wait_text = ""  # of the request whose expiry is checked
+
+    def note(self, request: PendingRequest) -> Decided:
+        """The note of a request, made where there is none."""
+        return self.seen.setdefault(request.arrival.id, Decided())
+
+    def on_quota_decision(self, request: PendingRequest, basis: QuotaBasis, chance: float) -> None:
+        """Note the basis, and whether the request is inside its quota."""
+        note = self.note(request)
+        note.basis = BASIS_TEXTS[basis]
+        note.chance = chance
+        note.inside = request.is_in_quota
+        note.home = request.customer.owner
+
+    def on_expiry_check(self, request: PendingRequest, wait_reason: WaitReasonOf) -> None:
+        """Remember what the request waits for: it is why it is rejected, if it is.
+
+        This is looked up at each check, not only before a rejection, as to look refills the customer's
+        buckets, and recorded runs have been made so.
+        """
+        self.wait_text = WAIT_TEXTS[wait_reason(request)]
+
+    def on_reject(self, request: PendingRequest, reason: RejectReason) -> None:
+        """Note the reason."""
+        self.note(request).why = self.wait_text if reason is RejectReason.EXPIRED else REASON_TEXTS[reason]
