--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,13 @@
     PeerMessageReceived,
     ServerObservation,
 )
-from thistletrail.policy.health_gossip import DIGEST_US, FRESH_US, HealthGossip, by_fingerprint, fingerprint
+from thistletrail.policy.health_gossip import (
+    DIGEST_FRESH_US,
+    DIGEST_SPAN_US,
+    HealthGossip,
+    by_fingerprint,
+    fingerprint,
+)
 from thistletrail.policy.settings import Plan
 
 MANY = replace(SETTINGS, gateway_count=40, plans=(Plan(),))
@@ -24,7 +30,7 @@
     fleet.record_answer("s0", 0.4)
     fleet.record_failure("s1", 0, False)
     fleet.record_occupancy(0.5)
-    fleet.close_digest(DIGEST_US, [("s0", 0), ("s1", 0), ("s2", 3)])
+    fleet.close_digest(DIGEST_SPAN_US, [("s0", 0), ("s1", 0), ("s2", 3)])
     digest = fleet.digest_for(7)
     assert digest and (digest.serial, digest.occupancy, digest.samples) == (0, 0.5, 1)
     first, *others = digest.observations
@@ -36,9 +42,9 @@
         (fingerprint("s2"), 0.0, 0, 3),
     }
     assert fleet.digest_for(7) is None and fleet.digest_for(8) == digest
-    fleet.close_digest(2 * DIGEST_US - 1, [])
+    fleet.close_digest(2 * DIGEST_SPAN_US - 1, [])
     assert fleet.digest is digest  # not yet
-    fleet.close_digest(2 * DIGEST_US, [])
+    fleet.close_digest(2 * DIGEST_SPAN_US, [])
     assert fleet.digest_for(7) is None  # there was nothing
 
 
@@ -49,7 +55,7 @@
     fleet.record_failure("once", 0, False)
     told_of = []
     for number in range(1, 6):
-        fleet.close_digest(number * DIGEST_US, [])
+        fleet.close_digest(number * DIGEST_SPAN_US, [])
         told_of.append(
             {note.server for note in fleet.digest.observations if note.failures} if fleet.digest else set()
         )
@@ -70,7 +76,7 @@
     assert not fleet.accept(3, digest, S + 10 * MS)
     assert fleet.accept(4, digest, S)
     assert fleet.in_flight_at(5) == 4 * 39 / 2  # those not heard of are taken for alike
-    assert fleet.accept(3, digest, S + FRESH_US)
+    assert fleet.accept(3, digest, S + DIGEST_FRESH_US)
 
 
 def test_what_was_out_is_replaced_and_forgotten_with_its_sender() -> None:
@@ -82,10 +88,10 @@
     )
     fleet.accept(1, HealthDigest(2, observations=(ServerObservation(6, in_flight=4),)), S)
     assert (fleet.in_flight_at(5), fleet.in_flight_at(6)) == (0.0, 8.0)
-    fleet.forget_stale(S + FRESH_US)
+    fleet.forget_stale(S + DIGEST_FRESH_US)
     assert fleet.in_flight_at(6) == 8.0
-    fleet.forget_stale(S + FRESH_US + 1)  # its sender may have gone: a restart tells anew
-    assert fleet.in_flight_at(6) == 0.0 and not fleet.load and not fleet.outs
+    fleet.forget_stale(S + DIGEST_FRESH_US + 1)  # its sender may have gone: a restart tells anew
+    assert fleet.in_flight_at(6) == 0.0 and not fleet.in_flight_totals and not fleet.in_flight_reports
 
 
 def test_what_nobody_is_told_does_not_pile_up() -> None:
@@ -99,7 +105,7 @@
         world.answer(f"a{number}")
         world.run(500 * MS)
     fleet = world.gateway.fleet
-    assert len(fleet.seen) < 12 and len(fleet.failed) < 12
+    assert len(fleet.totals) < 12 and len(fleet.lasting_failures) < 12
 
 
 def test_names_with_one_mark_are_told_of_by_nobody() -> None:
@@ -258,10 +264,10 @@
     for number in range(60):
         gates.ask(number % 3, f"r{number}")
         gates.run(30 * MS)
-    heard = [len(world.gateway.fleet.heard) for world in gates.worlds]
+    heard = [len(world.gateway.fleet.received) for world in gates.worlds]
     assert sum(heard) >= 3
     again = World(replace(gates.worlds[0].gateway.set, seed=99))
-    assert not again.gateway.fleet.heard and not again.gateway.fleet.load
+    assert not again.gateway.fleet.received and not again.gateway.fleet.in_flight_totals
 
 
 def test_n_of_many_gateways_is_not_rounded_away() -> None:
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -10,11 +10,11 @@
 from thistletrail.policy.codec import pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
 from thistletrail.policy.incarnations import (
-    BACK_US,
-    MOST_SERVED_S,
-    OLDER_US,
-    TIMES_TOLD,
-    YOUNG_US,
+    ANNOUNCED_US,
+    ANNOUNCEMENTS_PER_INCARNATION,
+    MAX_ANNOUNCED_AGE_S,
+    MIN_AGE_DIFFERENCE_US,
+    RECOVERY_US,
     Incarnations,
 )
 from thistletrail.policy.settings import Plan
@@ -35,18 +35,22 @@
 def test_a_start_is_told_while_young_and_to_peers_that_are_new() -> None:
     mine = starts(100 * S)
     assert [word.demand for word in mine.announcements_for(1, 101 * S)] == [1.0]
-    assert mine.announcements_for(1, 100 * S + YOUNG_US) == ()
+    assert mine.announcements_for(1, 100 * S + ANNOUNCED_US) == ()
     mine.receive(1, start(), 110 * S)
-    has_announcement = [bool(mine.announcements_for(1, 110 * S)) for _ in range(TIMES_TOLD + 1)]
-    assert has_announcement == [True] * TIMES_TOLD + [False]
+    has_announcement = [
+        bool(mine.announcements_for(1, 110 * S)) for _ in range(ANNOUNCEMENTS_PER_INCARNATION + 1)
+    ]
+    assert has_announcement == [True] * ANNOUNCEMENTS_PER_INCARNATION + [False]
     mine.receive(1, start(), 111 * S)  # the same start once more is nothing new
     assert mine.announcements_for(1, 111 * S) == ()
     assert mine.announcements_for(2, 10_000 * S) == () and not mine.has_restarted
     mine.receive(2, start(6), 10_000 * S)
-    assert mine.announcements_for(2, 10_000 * S)[0].demand == MOST_SERVED_S
+    assert mine.announcements_for(2, 10_000 * S)[0].demand == MAX_ANNOUNCED_AGE_S
 
 
-@pytest.mark.parametrize("older_us, restarted", [(0, False), (OLDER_US, False), (OLDER_US + S, True)])
+@pytest.mark.parametrize(
+    "older_us, restarted", [(0, False), (MIN_AGE_DIFFERENCE_US, False), (MIN_AGE_DIFFERENCE_US + S, True)]
+)
 def test_who_is_asked_for_a_shorter_time_than_a_peer_has_restarted(older_us: int, restarted: bool) -> None:
     mine, now = starts(100 * S), 101 * S
     mine.receive(1, start(served_s=1.0 + older_us / S), now)
@@ -54,14 +58,14 @@
     theirs = starts(100 * S - older_us)
     assert theirs.receive(0, start(served_s=1.0), now) is restarted  # and is told at once that it has
     assert theirs.is_younger(0) is restarted and not theirs.has_restarted
-    assert theirs.is_recovering(now + BACK_US - 1) is restarted
+    assert theirs.is_recovering(now + RECOVERY_US - 1) is restarted
 
 
 def test_who_knows_that_it_has_restarted_is_not_told_again() -> None:
     mine, older = starts(100 * S), [gateway(gateway_index) for gateway_index in (1, 2)]
     for world in older:
         ask(world, "a")
-        world.run(OLDER_US + 2 * S)
+        world.run(MIN_AGE_DIFFERENCE_US + 2 * S)
         world.log.clear()
     (word,) = mine.announcements_for(1, 100 * S + MS)
     assert not word.is_answer
@@ -161,7 +165,7 @@
     assert customer.level == 19.0
     # Once it has been back for a while, it is a home like any other: its word holds, also where it is more.
     customer.level = 2.0
-    world.run(BACK_US)
+    world.run(RECOVERY_US)
     told(world, home, QuotaMessage(*key, True, demand=1.0, level=15.0))
     assert customer.level == 15.0
 
@@ -198,7 +202,7 @@
         for world in gateway_count.worlds
         for at, action in world.log
         if isinstance(action, SendPeerMessage)
-        and at > 100 * S + 2 * YOUNG_US
+        and at > 100 * S + 2 * ANNOUNCED_US
         and any(not word.set_size for word in action.quota_messages)
     ]
     assert not late
@@ -217,4 +221,4 @@
     back = waits(world, 0)
     assert len(back) == 40
     assert len(set(back)) > 20 and all(aim / 10 <= wait <= 3 * aim / 10 for wait in back)
-    assert set(waits(world, BACK_US)) == {aim // 5}
+    assert set(waits(world, RECOVERY_US)) == {aim // 5}
--- a/thistletrail/policy/health_gossip.py
+++ b/thistletrail/policy/health_gossip.py
@@ -1,9 +1,12 @@
-"""What the gateways of a fleet tell each other of the back end.
+"""Gossip between gateways about the health of the servers that they share.
 
-Where many gateways share the servers, each sees little of any one of them. All see a lot: what one saw in
-a short while goes along with the words that it sends in any case, once to each peer that it has a word for.
-A digest holds only what its sender saw itself, so that nothing comes round again and counts twice; one
-that is lost is missed by one peer and made good by the next.
+Where many gateways share the servers, each one alone sends too few attempts to a server to judge it by; all
+of them together send plenty. Each gateway therefore sums up what it observed during a short span in a
+`HealthDigest`, and sends it along with the quota messages that it has for its peers anyway, once to each.
+
+A digest holds only what its sender observed itself, so that no observation is relayed and counted twice. A
+lost digest is missed by one peer, and the next one makes up for it. Times are microseconds of the host's
+clock.
 """
 
 import zlib
@@ -12,130 +15,217 @@
 
 from thistletrail.policy.events import HealthDigest, ServerObservation
 
-DIGEST_US = 600_000  # what a digest spans: some attempts of a gateway, and less than a jam takes to build up
-FRESH_US = 2_000_000  # for which a sender's last digest is remembered: serial numbers come round later
-SERIALS = 256
-# For which a failure is told: each digest reaches but some peers, and one that restarts has heard of nothing.
-FAILURE_US = 2_400_000
+# What a digest spans: long enough for some attempts of one gateway, shorter than an overload takes to build.
+DIGEST_SPAN_US = 600_000
+
+# For how long a sender's last digest and its in-flight counts are remembered. It is well below the time after
+# which serial numbers repeat (SERIAL_COUNT spans), so that a repeated serial within it is a duplicate.
+DIGEST_FRESH_US = 2_000_000
+
+# For how long a lasting failure is reported: a digest reaches only some of the peers, and one that has
+# restarted since knows of none, so it takes a few digests until all have been told.
+FAILURE_REPORTED_US = 2_400_000
+
+SERIAL_COUNT = 256  # serial numbers of digests; they are one byte in a peer datagram
+
+FINGERPRINT_MASK = 0xFFFF  # two bytes a server in a peer datagram, as observations are most of a digest
 
 
 def fingerprint(name: str) -> int:
-    """The checksum by which servers are told of: short, as it is most of a digest."""
-    return zlib.crc32(name.encode()) & 0xFFFF
+    """The checksum (16 bits) by which peers refer to the server `name`; several names may share one."""
+    return zlib.crc32(name.encode()) & FINGERPRINT_MASK
+
+
+def by_fingerprint(names: Iterable[str]) -> dict[int, str]:
+    """Server names by their fingerprints, without the names that share a fingerprint with another."""
+    names_of: dict[int, list[str]] = {}
+    for name in names:
+        names_of.setdefault(fingerprint(name), []).append(name)
+    return {number: same[0] for number, same in names_of.items() if len(same) == 1}
 
 
 @dataclass(slots=True)
-class Seen:
-    """What was seen of one server since the last digest."""
+class ServerTotals:
+    """What was observed of one server since the last digest was closed."""
 
-    lags: float = 0.0
+    latency_ratio_sum: float = 0.0  # of the answers' latencies, each over its class's latency objective
     successes: int = 0
     failures: int = 0
 
+    def to_observation(self, name: str, in_flight: int) -> ServerObservation:
+        """These totals as they stand in a digest, with the attempts that are in flight at the server."""
+        mean_latency_ratio = self.latency_ratio_sum / max(1, self.successes)
+        return ServerObservation(
+            fingerprint(name), mean_latency_ratio, self.successes, self.failures, in_flight
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedDigest:
+    """The last digest that came from a peer: its serial number, and when it came."""
+
+    serial: int
+    received_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class InFlightReport:
+    """The attempts that a peer had in flight, by server, and when it reported them."""
+
+    received_us: int
+    observations: tuple[ServerObservation, ...]
+
 
 class HealthGossip:
-    """Collects the own digest, and knows whom it has been told and whose have been heard."""
-
-    def __init__(self, peers: int, first_serial: int) -> None:
-        self.peers = peers
-        self.outs: dict[
-            int, tuple[int, tuple[ServerObservation, ...]]
-        ] = {}  # by sender: when told, what it has out
-        self.load: dict[int, int] = {}  # by mark: what all these have out together
-        self.serial = first_serial % SERIALS
-        self.digest: HealthDigest | None = None
-        self.told: set[int] = set()  # peers that have the present digest
-        self.heard: dict[int, tuple[int, int]] = {}  # by sender: its last digest and when that came
-        self.seen: dict[str, Seen] = {}
-        self.failed: dict[str, int] = {}  # when it last failed here, with no answer since
-        self.occupancy, self.samples, self.closed_us = 0.0, 0, 0
+    """Collects this gateway's digest, tracks which peers have it, and keeps what peers have in flight."""
+
+    def __init__(self, peer_count: int, first_serial: int) -> None:
+        """`peer_count` counts the other gateways. `first_serial` should differ from one start of this process
+        to the next, so that peers do not take its first digest for a duplicate."""
+        self.peer_count = peer_count
+
+        self.serial = first_serial % SERIAL_COUNT
+        self.digest: HealthDigest | None = None  # the digest that is being sent; None: nothing was observed
+        self.peers_sent: set[int] = set()  # peers that this digest was sent to
+        self.closed_us = 0  # when it was closed
+
+        self.totals: dict[str, ServerTotals] = {}  # by server name, since the last digest
+        self.occupancy_sum = 0.0
+        self.occupancy_samples = 0
+        self.lasting_failures: dict[
+            str, int
+        ] = {}  # by server name: when it last failed, with no answer since
+
+        self.received: dict[int, ReceivedDigest] = {}  # by sender
+        self.in_flight_reports: dict[int, InFlightReport] = {}  # by sender
+        self.in_flight_totals: dict[int, int] = {}  # by fingerprint, over all senders; no entry for 0
 
     def record_answer(self, name: str, latency_ratio: float) -> None:
-        seen = self.seen.setdefault(name, Seen())
-        self.failed.pop(name, None)
-        seen.lags, seen.successes = seen.lags + latency_ratio, seen.successes + 1
+        """A server answered, `latency_ratio` being its latency over the latency objective of the class."""
+        totals = self.totals.setdefault(name, ServerTotals())
+        totals.latency_ratio_sum += latency_ratio
+        totals.successes += 1
+        self.lasting_failures.pop(name, None)
 
     def record_failure(self, name: str, now: int, lasts: bool) -> None:
-        """`lasts` where it is turned away or nobody is there, which is not a matter of one attempt."""
-        self.seen.setdefault(name, Seen()).failures += 1
+        """An attempt at a server failed.
+
+        `lasts` where the cause lies with the server, as it rejects requests or accepts no connection: this is
+        reported again in the next digests, until the server answers or FAILURE_REPORTED_US are over.
+        """
+        self.totals.setdefault(name, ServerTotals()).failures += 1
         if lasts:
-            self.failed[name] = now
+            self.lasting_failures[name] = now
 
     def record_occupancy(self, occupancy: float) -> None:
-        self.occupancy, self.samples = self.occupancy + occupancy, self.samples + 1
+        """A sample of the occupancy signal of overload control, from 0 to 1."""
+        self.occupancy_sum += occupancy
+        self.occupancy_samples += 1
+
+    def close_digest(self, now: int, in_flight: Iterable[tuple[str, int]]) -> None:
+        """Make a digest of what was observed, unless the last one is younger than DIGEST_SPAN_US.
 
-    def close_digest(self, now: int, outs: Iterable[tuple[str, int]]) -> None:
-        """Make what was seen so far the present digest, with the attempts out by server; the bad news first,
-        should not all find room."""
-        if now - self.closed_us < DIGEST_US:
+        `in_flight` are the attempts of this gateway in flight, by server name.
+        """
+        if now - self.closed_us < DIGEST_SPAN_US:
             return
-        self.closed_us, self.digest = now, None
-        self.told.clear()
-        self.failed = {name: at for name, at in self.failed.items() if now - at < FAILURE_US}
-        for name in self.failed:
-            seen = self.seen.setdefault(name, Seen())
-            seen.failures = max(1, seen.failures)
-        out = {name: count for name, count in outs if count}
-        if self.seen or self.samples or out:
-            self.serial = (self.serial + 1) % SERIALS
-            seen = [(name, self.seen.get(name, Seen()), out.get(name, 0)) for name in {**self.seen, **out}]
-            notes = [
-                ServerObservation(fingerprint(name), s.lags / max(1, s.successes), s.successes, s.failures, n)
-                for name, s, n in seen
-            ]
-            notes.sort(key=lambda note: -note.failures)
-            self.digest = HealthDigest(
-                self.serial, self.occupancy / max(1, self.samples), self.samples, tuple(notes)
-            )
-        self.seen, self.occupancy, self.samples = {}, 0.0, 0
+        self.closed_us = now
+        self.peers_sent.clear()
+        self._repeat_lasting_failures(now)
+        self.digest = self._make_digest({name: count for name, count in in_flight if count})
+        self._discard_totals()
+
+    def _repeat_lasting_failures(self, now: int) -> None:
+        """Count a lasting failure in each digest for as long as it is to be reported."""
+        self.lasting_failures = {
+            name: failed_us
+            for name, failed_us in self.lasting_failures.items()
+            if now - failed_us < FAILURE_REPORTED_US
+        }
+        for name in self.lasting_failures:
+            totals = self.totals.setdefault(name, ServerTotals())
+            totals.failures = max(1, totals.failures)
+
+    def _make_digest(self, in_flight: dict[str, int]) -> HealthDigest | None:
+        """A digest with the next serial number, or None where there is nothing to report.
+
+        Observations with the most failures come first, as a datagram may not have room for all.
+        """
+        if not (self.totals or self.occupancy_samples or in_flight):
+            return None
+        self.serial = (self.serial + 1) % SERIAL_COUNT
+        observations = [
+            self.totals.get(name, ServerTotals()).to_observation(name, in_flight.get(name, 0))
+            for name in {**self.totals, **in_flight}
+        ]
+        observations.sort(key=lambda observation: -observation.failures)
+        mean_occupancy = self.occupancy_sum / max(1, self.occupancy_samples)
+        return HealthDigest(self.serial, mean_occupancy, self.occupancy_samples, tuple(observations))
+
+    def _discard_totals(self) -> None:
+        self.totals = {}
+        self.occupancy_sum = 0.0
+        self.occupancy_samples = 0
 
     def digest_for(self, peer: int) -> HealthDigest | None:
-        """The present digest, once."""
-        if peer in self.told:
+        """The present digest, if there is one and it was not yet sent to this peer; it counts as sent now."""
+        if peer in self.peers_sent:
             return None
-        self.told.add(peer)
+        self.peers_sent.add(peer)
         return self.digest
 
     def accept(self, sender: int, digest: HealthDigest, now: int) -> bool:
-        """Whether it has not come before."""
-        serial, at = self.heard.get(sender, (-1, 0))
-        if serial == digest.serial and now - at < FRESH_US:
+        """Take in the in-flight counts of a peer's digest; False, and no change, for a duplicate."""
+        last = self.received.get(sender)
+        if last and last.serial == digest.serial and now - last.received_us < DIGEST_FRESH_US:
             return False
-        self.heard[sender] = digest.serial, now
-        self.take_outs(sender, now, tuple(note for note in digest.observations if note.in_flight))
+        self.received[sender] = ReceivedDigest(digest.serial, now)
+        self._forget_in_flight(sender)
+        self._add_in_flight(sender, digest, now)
         return True
 
-    def take_outs(self, sender: int, now: int, notes: tuple[ServerObservation, ...]) -> None:
-        """What a sender has out takes the place of what it had."""
-        _, before = self.outs.pop(sender, (0, ()))
-        for note in before:
-            left = self.load[note.server] - note.in_flight
-            self.load[note.server] = left
+    def _add_in_flight(self, sender: int, digest: HealthDigest, now: int) -> None:
+        observations = tuple(observation for observation in digest.observations if observation.in_flight)
+        self.in_flight_reports[sender] = InFlightReport(now, observations)
+        for observation in observations:
+            others = self.in_flight_totals.get(observation.server, 0)
+            self.in_flight_totals[observation.server] = others + observation.in_flight
+
+    def _forget_in_flight(self, sender: int) -> None:
+        report = self.in_flight_reports.pop(sender, None)
+        if report is None:
+            return
+        for observation in report.observations:
+            left = self.in_flight_totals[observation.server] - observation.in_flight
+            self.in_flight_totals[observation.server] = left
             if not left:
-                del self.load[note.server]
-        for note in notes:
-            self.load[note.server] = self.load.get(note.server, 0) + note.in_flight
-        self.outs[sender] = now, notes
+                del self.in_flight_totals[observation.server]
 
     def forget_stale(self, now: int) -> None:
-        """What was told long ago is not out any more, or its sender has gone; what was seen here long ago,
-        with no word to send in all that time, is no news, and would grow with every server that comes."""
-        for sender in [sender for sender, (at, _) in self.outs.items() if now - at > FRESH_US]:
-            self.take_outs(sender, now, ())
-            del self.outs[sender]
-        if now - self.closed_us > FRESH_US:
-            self.closed_us, self.digest, self.seen, self.failed = now, None, {}, {}
-            self.occupancy, self.samples = 0.0, 0
+        """Forget in-flight counts and own observations that are older than DIGEST_FRESH_US.
+
+        In-flight counts that old are no longer true, or their sender has ended. Own observations grow that
+        old where no message went out that could carry them; they would pile up with every new server.
+        """
+        stale = [
+            sender
+            for sender, report in self.in_flight_reports.items()
+            if now - report.received_us > DIGEST_FRESH_US
+        ]
+        for sender in stale:
+            self._forget_in_flight(sender)
+        if now - self.closed_us > DIGEST_FRESH_US:
+            self.closed_us = now
+            self.digest = None
+            self.lasting_failures = {}
+            self._discard_totals()
 
     def in_flight_at(self, server: int) -> float:
-        """Attempts that peers have out at a server, by its mark; those not heard of are taken for alike."""
-        heard = len(self.outs)
-        return self.load.get(server, 0) * self.peers / heard if heard else 0.0
-
-
-def by_fingerprint(names: Iterable[str]) -> dict[int, str]:
-    """Names by their marks, without those whose mark is not theirs alone."""
-    found: dict[int, list[str]] = {}
-    for name in names:
-        found.setdefault(fingerprint(name), []).append(name)
-    return {number: same[0] for number, same in found.items() if len(same) == 1}
+        """The attempts that all peers have in flight at a server (by its fingerprint), as an estimate.
+
+        Peers without a fresh report are taken to be like those that have one; 0.0 where no peer has.
+        """
+        reporting_peers = len(self.in_flight_reports)
+        if not reporting_peers:
+            return 0.0
+        return self.in_flight_totals.get(server, 0) * self.peer_count / reporting_peers
