--- a/tests/test_roster_server.py
+++ b/tests/test_registry_http_service.py
@@ -1,4 +1,4 @@
-"""The list service on loopback: reads as discovery's, writes, watchers that lag, restarts, and nonsense."""
+"""The registry on loopback: reads as discovery's, writes, slow watchers, restarts, and malformed input."""
 
 import asyncio
 import json
@@ -15,9 +15,10 @@
 import pytest
 from aiohttp import ClientSession, ClientTimeout, web
 
-from thistletrail.registry import server as servers
-from thistletrail.registry.server import Service
-from thistletrail.registry.store import MOST_HISTORY
+from thistletrail.registry import http_service
+from thistletrail.registry.errors import UnavailableError
+from thistletrail.registry.http_service import RegistryService
+from thistletrail.registry.limits import MAX_HISTORY
 
 ROOT = Path(__file__).parent.parent
 READ = "/catalog/members"
@@ -30,11 +31,11 @@
 class Client:
     """A session with one service."""
 
-    def __init__(self, service: Service, session: ClientSession, url: str) -> None:
+    def __init__(self, service: RegistryService, session: ClientSession, url: str) -> None:
         self.service, self.session, self.url = service, session, url
 
-    async def call(self, method: str, path: str, **more: object) -> tuple[int, dict]:
-        async with self.session.request(method, self.url + path, **more) as answer:
+    async def call(self, method: str, path: str, **options: object) -> tuple[int, dict]:
+        async with self.session.request(method, self.url + path, **options) as answer:
             return answer.status, json.loads(await answer.text())
 
     async def put(self, name: str, port: int, **changes: object) -> int:
@@ -51,7 +52,7 @@
 
 @asynccontextmanager
 async def serving(folder: Path) -> AsyncIterator[Client]:
-    service = Service(folder)
+    service = RegistryService(folder)
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -60,23 +61,23 @@
     await runner.cleanup()
 
 
-def play(folder: Path, act: Callable[[Client], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[Client], Awaitable[None]]) -> None:
     async def run() -> None:
         async with serving(folder) as client:
-            await act(client)
+            await scenario(client)
 
     asyncio.run(run())
 
 
-def test_the_whole_list_and_a_watch_are_as_discovery_gives_them(
+def test_the_endpoint_list_and_a_watch_are_as_discovery_gives_them(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "EMPTY_LINE_S", 0.05)
+    monkeypatch.setattr(http_service, "EMPTY_LINE_S", 0.05)
 
-    async def act(client: Client) -> None:
+    async def scenario(client: Client) -> None:
         first = await client.put("s-1", 6001, cell=3, weight=2, started_ms=7)
-        status, whole = await client.call("GET", READ)
-        assert status == 200 and whole == {
+        status, complete = await client.call("GET", READ)
+        assert status == 200 and complete == {
             "generation": first,
             "reset": True,
             "instances": [
@@ -97,27 +98,27 @@
         assert await anext(watch) == {"generation": first, "reset": False, "instances": []}
         assert await anext(watch) is None  # an empty line while nothing changes
         second = await client.put("s-2", 6002)
-        news = [line async for line in until(watch, second)][-1]
-        assert not news["reset"] and [one["instanceId"] for one in news["instances"]] == ["s-2"]
+        update = [line async for line in until(watch, second)][-1]
+        assert not update["reset"] and [one["instanceId"] for one in update["instances"]] == ["s-2"]
         assert (
             await client.call("PATCH", "/instances/s-1", json={"generation": first, "lifecycle": "DRAINING"})
         )[0] == 200
-        news = [line async for line in until(watch, second + 1)][-1]
-        assert news["instances"][0]["lifecycle"] == "DRAINING"
+        update = [line async for line in until(watch, second + 1)][-1]
+        assert update["instances"][0]["lifecycle"] == "DRAINING"
         assert (await client.call("DELETE", "/instances/s-1"))[0] == 200
-        news = [line async for line in until(watch, second + 2)][-1]
-        assert news["instances"][0]["lifecycle"] == "DELETED"
+        update = [line async for line in until(watch, second + 2)][-1]
+        assert update["instances"][0]["lifecycle"] == "DELETED"
         await watch.aclose()
         for after in ("41", "", str(2**53 - 1)):  # of another history, of none, from the future
             watch = client.watch(after)
             assert (await anext(watch))["reset"]
             await watch.aclose()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
 async def until(watch: AsyncIterator[dict | None], generation: int) -> AsyncIterator[dict]:
-    """The lines with news, up to that generation."""
+    """The updates of a watch, up to that generation."""
     async for line in watch:
         if line is not None:
             yield line
@@ -125,10 +126,10 @@
                 return
 
 
-def test_writes_that_are_refused_say_why_and_change_nothing(tmp_path: Path) -> None:
-    async def act(client: Client) -> None:
+def test_rejected_writes_say_why_and_change_nothing(tmp_path: Path) -> None:
+    async def scenario(client: Client) -> None:
         generation = await client.put("s-1", 6001)
-        for method, path, more, status, word in (
+        for method, path, options, status, expected_text in (
             ("PUT", "/instances/s-2", {"json": values(0)}, 400, "address"),
             ("PUT", "/instances/s-2", {"json": values(colour=1)}, 400, "colour"),
             ("PUT", "/instances/s-2", {"json": values(id="s-3")}, 400, "path"),
@@ -147,48 +148,48 @@
             ("GET", f"{READ}?watch=1&after=x", {}, 400, "generation"),
             ("GET", f"{READ}?watch=1&after=-1", {}, 400, "generation"),
         ):
-            found, said = await client.call(method, path, **more)
+            found, said = await client.call(method, path, **options)
             assert found == status, (method, path, said)
-            assert word in said["error"] and "\n" not in said["error"]
+            assert expected_text in said["error"] and "\n" not in said["error"]
         assert client.service.store.generation == generation
         status, said = await client.call("POST", "/instances/s-1/renew")
         assert status == 200 and said == {"generation": generation}
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
 def test_many_watchers_share_one_encoding_and_are_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "MOST_WATCHERS", 50)
+    monkeypatch.setattr(http_service, "MAX_WATCHERS", 50)
 
-    async def act(client: Client) -> None:
+    async def scenario(client: Client) -> None:
         start = await client.put("s-1", 6001)
         watches = [client.watch(start) for _ in range(50)]
         for watch in watches:
             assert not (await anext(watch))["instances"]
         pending = [asyncio.ensure_future(anext(watch)) for watch in watches]
-        while client.service.watchers < 50:
+        while client.service.watcher_count < 50:
             await asyncio.sleep(0.01)
         status, said = await client.call("GET", f"{READ}?watch=1&after=1")
         assert status == 503 and "50 watches" in said["error"]
-        client.service.encoded.clear()
+        client.service.encoded_updates.clear()
         end = await client.put("s-2", 6002)
-        news = await asyncio.gather(*pending)
-        assert {line["generation"] for line in news} == {end}
-        assert len(client.service.encoded) == 1
+        updates = await asyncio.gather(*pending)
+        assert {update["generation"] for update in updates} == {end}
+        assert len(client.service.encoded_updates) == 1
         for watch in watches:
             await watch.aclose()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_reader_that_takes_nothing_is_sent_away_and_memory_stays(
+def test_the_watch_of_a_reader_that_takes_nothing_ends_and_memory_is_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "LAG_S", 0.2)
+    monkeypatch.setattr(http_service, "WATCHER_WRITE_TIMEOUT_S", 0.2)
 
-    async def act(client: Client) -> None:
+    async def scenario(client: Client) -> None:
         store = client.service.store
         for number in range(400):
             await client.put(f"s-{number}", 6000 + number)
@@ -198,24 +199,24 @@
             reader.connect((host, int(port)))
             path = f"{READ}?watch=1&after={store.generation}"
             reader.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-            while not client.service.watchers:
+            while not client.service.watcher_count:
                 await asyncio.sleep(0.01)
             for turn in range(3000):
-                if not client.service.watchers:
+                if not client.service.watcher_count:
                     break
                 for number in range(400):  # all of them change: one merged line, whoever takes it
                     store.register(replace(store.instances[f"s-{number}"], started_ms=turn + 1), 0)
-                client.service.wake()
+                client.service.notify_watchers()
                 await asyncio.sleep(0.01)
-            assert client.service.watchers == 0
-        assert len(store.history) <= MOST_HISTORY
-        assert len(client.service.encoded) <= servers.MOST_ENCODED
+            assert client.service.watcher_count == 0
+        assert len(store.history) <= MAX_HISTORY
+        assert len(client.service.encoded_updates) <= http_service.MAX_ENCODED_UPDATES
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_full_disk_refuses_writes_and_reads_go_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(client: Client) -> None:
+def test_a_full_disk_rejects_writes_and_reads_go_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(client: Client) -> None:
         await client.put("s-1", 6001)
 
         def full(*_: object) -> int:
@@ -228,10 +229,10 @@
             assert len((await client.call("GET", READ))[1]["instances"]) == 1
         await client.put("s-2", 6002)
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def started(folder: Path, *more: str) -> tuple[subprocess.Popen[str], str]:
+def started(folder: Path, *options: str) -> tuple[subprocess.Popen[str], str]:
     process = subprocess.Popen(
         [
             sys.executable,
@@ -243,7 +244,7 @@
             "127.0.0.1:0",
             "--fill",
             "0",
-            *more,
+            *options,
         ],
         cwd=ROOT,
         stdout=subprocess.PIPE,
@@ -254,11 +255,11 @@
     return process, "http://" + line.split()[-1] if line else ""
 
 
-def test_the_program_keeps_its_list_over_a_kill_and_ends_cleanly(tmp_path: Path) -> None:
-    async def call(url: str, method: str, path: str, **more: object) -> dict:
+def test_the_program_retains_its_instances_over_a_kill_and_ends_cleanly(tmp_path: Path) -> None:
+    async def call(url: str, method: str, path: str, **options: object) -> dict:
         async with (
             ClientSession(timeout=ClientTimeout(20)) as session,
-            session.request(method, url + path, **more) as answer,
+            session.request(method, url + path, **options) as answer,
         ):
             return await answer.json()
 
@@ -267,9 +268,9 @@
     process.kill()
     process.communicate()
     process, url = started(tmp_path)
-    whole = asyncio.run(call(url, "GET", READ))
-    assert whole["generation"] == before["generation"]
-    assert [one["instanceId"] for one in whole["instances"]] == ["s-1"]
+    complete = asyncio.run(call(url, "GET", READ))
+    assert complete["generation"] == before["generation"]
+    assert [one["instanceId"] for one in complete["instances"]] == ["s-1"]
 
     async def ends() -> bytes:
         async with (
@@ -278,7 +279,7 @@
         ):
             line = await answer.content.readline()
             process.send_signal(signal.SIGTERM)
-            return line + await answer.content.read()  # ends as a whole answer, or this raises
+            return line + await answer.content.read()  # ends as a complete response, or this raises
 
     assert json.loads(asyncio.run(ends()))["reset"]
     _, errors = process.communicate(timeout=20)
@@ -291,13 +292,13 @@
     process, _ = started(tmp_path)
     _, errors = process.communicate(timeout=20)
     assert process.returncode == 1 and errors.count("\n") == 1 and "snapshot is damaged" in errors
-    for words, told in (
+    for arguments, expected_text in (
         (["--data", str(tmp_path), "--listen", "nowhere"], "'nowhere' is not HOST:PORT"),
         (["--fill", "soon"], "not a valid float"),
-        ([], "one of --data and --follow is wanted"),
+        ([], "exactly one of --data and --follow is required"),
     ):
         done = subprocess.run(
-            [sys.executable, "-m", "thistletrail.registry", *words],
+            [sys.executable, "-m", "thistletrail.registry", *arguments],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -305,23 +306,23 @@
             check=False,
         )
         assert done.returncode == 2 and done.stderr.startswith("registry: ")
-        assert told in done.stderr and done.stderr.count("\n") == 1
+        assert expected_text in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_list_that_began_with_nothing_is_not_told_until_it_may_be_filled(
+def test_a_registry_that_began_empty_answers_no_reads_until_it_may_be_filled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    now = servers.now_ms()
-    monkeypatch.setattr(servers, "now_ms", lambda: now)
-    service = Service(tmp_path, 5.0)
-    with pytest.raises(servers.UnavailableError, match=r"told in 5\.0 s"):
-        service.ready()
-    service.log.close()
-    again = Service(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet full
+    now = http_service.now_ms()
+    monkeypatch.setattr(http_service, "now_ms", lambda: now)
+    service = RegistryService(tmp_path, 5.0)
+    with pytest.raises(UnavailableError, match=r"answers reads in 5\.0 s"):
+        service.require_available()
+    service.journal.close()
+    again = RegistryService(tmp_path, 5.0)  # killed meanwhile: its history is known, and not yet filled
     now += 4999
-    with pytest.raises(servers.UnavailableError):
-        again.ready()
+    with pytest.raises(UnavailableError):
+        again.require_available()
     now += 1
-    again.ready()
-    again.log.close()
-    Service(tmp_path, 5.0).ready()  # with its data it is told at once
+    again.require_available()
+    again.journal.close()
+    RegistryService(tmp_path, 5.0).require_available()  # with its data it answers at once
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -652,7 +652,7 @@
         "snapshot.py",
         "observer.py",
         "event_context.py",
-        "timing.py",
+        "units.py",
     }
     assert set(policy) == {f"thistletrail/policy/{name}" for name in decisions}
     files = [(root / name).read_text().splitlines() for name in policy]
--- a/thistletrail/policy/budget_leases.py
+++ b/thistletrail/policy/budget_leases.py
@@ -10,7 +10,7 @@
 from thistletrail.policy.quota import CustomerKey, CustomerQuotas
 from thistletrail.policy.quota_admission import QuotaAdmission
 from thistletrail.policy.retry_policy import RetryBudget
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
 DEMAND_KEPT_US = 3 * MICROSECONDS_PER_SECOND  # for which an unused budget is still demanded: a lease
 
--- a/thistletrail/policy/engine.py
+++ b/thistletrail/policy/engine.py
@@ -13,7 +13,7 @@
 from thistletrail.policy.attempt_outcomes import OutcomeRecorder
 from thistletrail.policy.budget_leases import BudgetLeases
 from thistletrail.policy.dispatcher import Dispatcher
-from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.event_context import TICK_US, EventContext
 from thistletrail.policy.events import (
     AttemptEnded,
     BudgetDemand,
@@ -48,8 +48,8 @@
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.slow_start import SlowStart
 from thistletrail.policy.snapshot import SnapshotKeeper
-from thistletrail.policy.timing import NEVER_US, TICK_US
 from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.units import NEVER_US
 from thistletrail.policy.upstream_server import UpstreamServer
 
 GOSSIP_SERIAL_BITS = 8
--- a/thistletrail/policy/event_context.py
+++ b/thistletrail/policy/event_context.py
@@ -7,6 +7,8 @@
 
 from thistletrail.policy.actions import Action
 
+TICK_US = 20_000  # how often what waits is looked at: well under any latency objective
+
 
 class EventContext:
     """The time of the event at hand (`now_us`) and the actions to carry out for it, in order."""
--- a/thistletrail/policy/leased_budgets.py
+++ b/thistletrail/policy/leased_budgets.py
@@ -10,7 +10,7 @@
 
 from thistletrail.policy.events import BudgetKind
 from thistletrail.policy.settings import Plan, Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND, NEVER_US
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 
 FLOOR = 0.1  # of a budget, for all gateways together; the lease service keeps as much aside
 DEMAND_SPAN_US = 2 * MICROSECONDS_PER_SECOND  # over which demand is smoothed for the lease service
--- a/thistletrail/policy/outlier_detection.py
+++ b/thistletrail/policy/outlier_detection.py
@@ -3,7 +3,7 @@
 from thistletrail.policy.event_context import EventContext
 from thistletrail.policy.server_set import ServerSet
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND, NEVER_US
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 from thistletrail.policy.upstream_server import UpstreamServer
 
 EJECTION_FAILURES = 1.7  # two failures in a row, or a mix with more failures than successes
--- a/thistletrail/policy/overload_control.py
+++ b/thistletrail/policy/overload_control.py
@@ -14,12 +14,12 @@
 import math
 from typing import NamedTuple
 
-from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.event_context import TICK_US, EventContext
 from thistletrail.policy.pending_requests import PendingRequests
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.slow_start import SlowStart
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND, TICK_US
 from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
 FAIR_LIMIT = 10  # first attempts that a control period should have, for N to move in small steps
 MAX_PERIOD_SECONDS = 2  # scaled seconds of a control period at most
--- a/thistletrail/policy/pending_request.py
+++ b/thistletrail/policy/pending_request.py
@@ -6,7 +6,7 @@
 
 from thistletrail.policy.events import RequestArrived
 from thistletrail.policy.settings import Effect, IdempotencyScope, RequestClass
-from thistletrail.policy.timing import NEVER_US
+from thistletrail.policy.units import NEVER_US
 
 if TYPE_CHECKING:
     from thistletrail.policy.quota import CustomerQuota
--- a/thistletrail/policy/pending_requests.py
+++ b/thistletrail/policy/pending_requests.py
@@ -7,7 +7,7 @@
 from thistletrail.policy.observer import DecisionObserver, RejectReason
 from thistletrail.policy.pending_request import PendingRequest
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import NEVER_US
+from thistletrail.policy.units import NEVER_US
 
 
 class PendingRequests:
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -8,8 +8,8 @@
 from thistletrail.policy.incarnations import Incarnations
 from thistletrail.policy.leased_budgets import leased_budgets_of
 from thistletrail.policy.settings import Plan, Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND, NEVER_US
 from thistletrail.policy.token_bucket import TokenBucket
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 
 # Over which demand ages: short, as the level of the bucket carries the longer memory.
 DEMAND_SPAN_US = 0.5 * MICROSECONDS_PER_SECOND
--- a/thistletrail/policy/quota_admission.py
+++ b/thistletrail/policy/quota_admission.py
@@ -4,7 +4,7 @@
 
 from thistletrail.policy.admission_queue import AdmissionQueue
 from thistletrail.policy.dispatcher import Dispatcher
-from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.event_context import TICK_US, EventContext
 from thistletrail.policy.events import BudgetKind
 from thistletrail.policy.observer import DecisionObserver, QuotaBasis, RejectReason
 from thistletrail.policy.overload_control import OverloadController
@@ -13,8 +13,8 @@
 from thistletrail.policy.quota import DEMAND_SPAN_US, OWNER_ANSWER_FRESH_US, CustomerQuota
 from thistletrail.policy.quota_exchange import QuotaExchange
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND, NEVER_US, TICK_US
 from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 
 MAX_OWNER_WAIT_US = 160_000  # for the quota owner's answer
 OWNER_WAIT_DIVISOR = 3  # such a wait is a third of the latency objective at most
--- a/thistletrail/policy/quota_exchange.py
+++ b/thistletrail/policy/quota_exchange.py
@@ -8,7 +8,7 @@
 from thistletrail.policy.quota import CustomerQuota
 from thistletrail.policy.server_set import ServerSet
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
 SILENT_US = 500_000  # a peer that has answered no request for so long counts as silent
 SILENT_RETRY_US = 300_000  # a silent peer is sent a request all the same so often
--- a/thistletrail/policy/request_expiry.py
+++ b/thistletrail/policy/request_expiry.py
@@ -2,7 +2,7 @@
 
 import random
 
-from thistletrail.policy.event_context import EventContext
+from thistletrail.policy.event_context import TICK_US, EventContext
 from thistletrail.policy.incarnations import Incarnations
 from thistletrail.policy.observer import DecisionObserver, RejectReason, WaitReason
 from thistletrail.policy.overload_control import OverloadController
@@ -11,7 +11,6 @@
 from thistletrail.policy.quota_admission import QuotaAdmission
 from thistletrail.policy.server_set import ServerSet
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import TICK_US
 from thistletrail.policy.traffic_estimates import TrafficEstimates
 
 # Mean latencies that must be left, of a request that arrives and of a queued one: else all that is queued
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -27,8 +27,8 @@
 from thistletrail.policy.server_selection import ServerSelector
 from thistletrail.policy.server_set import ServerSet
 from thistletrail.policy.settings import Effect, Settings
-from thistletrail.policy.timing import NEVER_US
 from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.units import NEVER_US
 
 # Results after which the connection is not used again.
 BROKEN_CONNECTION_RESULTS = frozenset(
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -8,7 +8,7 @@
 from thistletrail.policy.server_set import ServerSet, is_small_fleet
 from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
 from thistletrail.policy.slow_start import SlowStart
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 from thistletrail.policy.upstream_server import UpstreamServer
 
 # Candidates for one attempt. Many gateways that all took the emptiest server would flood it. A few gateways
--- a/thistletrail/policy/slow_start.py
+++ b/thistletrail/policy/slow_start.py
@@ -5,8 +5,8 @@
 from thistletrail.policy.event_context import EventContext
 from thistletrail.policy.server_set import ServerSet, is_small_fleet
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
 from thistletrail.policy.traffic_estimates import TrafficEstimates
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 from thistletrail.policy.upstream_server import UpstreamServer
 
 LEAST_CAPACITY_FRACTION = (
--- a/thistletrail/policy/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -16,7 +16,7 @@
 from thistletrail.policy.quota import CustomerKey, CustomerQuota, CustomerQuotas
 from thistletrail.policy.server_set import ServerSet
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 from thistletrail.policy.upstream_server import UpstreamServer
 
 MAX_CUSTOMERS = 5_000  # the ones seen last: some 100 bytes each
--- a/thistletrail/policy/traffic_estimates.py
+++ b/thistletrail/policy/traffic_estimates.py
@@ -1,7 +1,7 @@
 """Running means of the traffic here: latency by request class, and first attempts a second."""
 
 from thistletrail.policy.settings import Settings
-from thistletrail.policy.timing import MICROSECONDS_PER_SECOND
+from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
 LATENCY_SMOOTHING = 0.1  # weight of a new latency in a running mean
 RATE_SMOOTHING = 0.3  # weight of a control period's attempts in a running mean
