--- a/tests/test_registry_http_service.py
+++ b/tests/test_registry_http_service.py
@@ -51,19 +51,27 @@
 
 
 @asynccontextmanager
-async def serving(folder: Path) -> AsyncIterator[Client]:
+async def serving(folder: Path, send_buffer: int | None = None) -> AsyncIterator[Client]:
+    """A service; `send_buffer` bounds the bytes that the system takes for a reader that reads nothing."""
     service = RegistryService(folder)
     runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=1)
     await runner.setup()
-    await web.TCPSite(runner, "127.0.0.1", 0).start()
+    listening = socket.socket()
+    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    if send_buffer is not None:  # what is accepted inherits it
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, send_buffer)
+    listening.bind(("127.0.0.1", 0))
+    await web.SockSite(runner, listening).start()
     async with ClientSession(timeout=ClientTimeout(20)) as session:
         yield Client(service, session, "http://127.0.0.1:{1}".format(*runner.addresses[0]))
     await runner.cleanup()
 
 
-def run_scenario(folder: Path, scenario: Callable[[Client], Awaitable[None]]) -> None:
+def run_scenario(
+    folder: Path, scenario: Callable[[Client], Awaitable[None]], send_buffer: int | None = None
+) -> None:
     async def run() -> None:
-        async with serving(folder) as client:
+        async with serving(folder, send_buffer) as client:
             await scenario(client)
 
     asyncio.run(run())
@@ -202,7 +210,7 @@
             while not client.service.watcher_count:
                 await asyncio.sleep(0.01)
             for turn in range(3000):
-                if not client.service.watcher_count:
+                if not client.service.watcher_count and turn * 400 > MAX_HISTORY:
                     break
                 for number in range(400):  # all of them change: one merged line, whoever takes it
                     store.register(replace(store.instances[f"s-{number}"], started_ms=turn + 1), 0)
@@ -212,7 +220,9 @@
         assert len(store.history) <= MAX_HISTORY
         assert len(client.service.encoded_updates) <= http_service.MAX_ENCODED_UPDATES
 
-    run_scenario(tmp_path, scenario)
+    run_scenario(
+        tmp_path, scenario, send_buffer=65_536
+    )  # of some megabytes, which the system would grow it to
 
 
 def test_a_full_disk_rejects_writes_and_reads_go_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -10,12 +10,13 @@
 from pathlib import Path
 
 import pytest
-from thistletrail.registry.log import Log
 
 from tests.helpers import World
-from thistletrail.gateway import snapshot_store as keep
 from thistletrail.gateway.config import Config, load
-from thistletrail.gateway.snapshot_store import Keep, pack, settings_of, unpack
+from thistletrail.gateway.settings_digest import settings_digest
+from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
+from thistletrail.gateway.snapshot_store import SnapshotStore, check_snapshot
+from thistletrail.gateway.start_history import crash_backoff_s
 from thistletrail.leasing import book as books
 from thistletrail.leasing.book import Book
 from thistletrail.leasing.config import read as read_leasing_config
@@ -33,7 +34,8 @@
     ServerState,
     SnapshotFound,
 )
-from thistletrail.registry.store import Instance
+from thistletrail.registry.instance import Instance
+from thistletrail.registry.journal import Journal
 
 DATA = Path(__file__).parent / "data" / "a1df16a"
 
@@ -72,13 +74,13 @@
 
 def test_a_snapshot_of_a1df16a_is_read_in_full(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
-    found = Keep(config)
+    found = SnapshotStore(config)
     assert found.found is not None
-    assert (found.found.name, found.found.settings) == ("n1", "f2c2f9286bcb3aaa")
-    assert (found.found.at_ms, found.found.mark) == (1_764_700_000_000, 1_469_153_534)
-    assert found.found.memory.customers == CUSTOMERS
-    assert found.found.memory.ejected_servers == EJECTED_SERVERS
-    assert found.found.memory.admission_rate_per_s == ADMISSION_RATE_PER_S
+    assert (found.found.gateway_name, found.found.settings_digest) == ("n1", "f2c2f9286bcb3aaa")
+    assert (found.found.written_at_ms, found.found.incarnation) == (1_764_700_000_000, 1_469_153_534)
+    assert found.found.policy.customers == CUSTOMERS
+    assert found.found.policy.ejected_servers == EJECTED_SERVERS
+    assert found.found.policy.admission_rate_per_s == ADMISSION_RATE_PER_S
     found.close()
 
 
@@ -86,9 +88,9 @@
     config: Config, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
-    found = Keep(config)
+    found = SnapshotStore(config)
     assert not config.known
-    known = found.with_known(config).known
+    known = found.with_stored_list(config).known
     assert (known["generation"], known["reset"]) == (7, True)
     shown = [
         (one["instanceId"], one["hostPort"], one["zone"], one["machineType"], one["cell"], one["lifecycle"])
@@ -107,51 +109,58 @@
 
 def test_the_policy_takes_up_what_a1df16a_knew(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S)
-    found = Keep(config)
+    found = SnapshotStore(config)
     assert found.found is not None
     world = World(config.settings, ())
     servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.UP) for number in range(4))
     world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 7, servers))
-    world.tell(SnapshotFound(found.found.memory, 0))
+    world.tell(SnapshotFound(found.found.policy, 0))
     gateway = world.gateway
     restored = [
-        (*key, customer.part, customer.level, customer.ceiling, customer.grants)
-        for key, customer in gateway.customers.items()
+        (
+            *key,
+            customer.local_bucket.level,
+            customer.set_level,
+            customer.ceiling_bucket.level,
+            customer.ceiling_grants.level,
+        )
+        for key, customer in gateway.customers.by_key.items()
     ]
     # Without a ceiling in its plan a customer has none to restore: what was taken from it is 0 or less.
     assert restored == [dataclasses.astuple(customer) for customer in CUSTOMERS]
-    assert [name for name, server in gateway.servers.items() if server.on_trial] == ["s1", "s2"]
+    assert [name for name, server in gateway.servers_by_name.items() if server.is_ejected] == ["s1", "s2"]
     for ejected in EJECTED_SERVERS:
-        server = gateway.servers[ejected.server]
-        assert server.avoid_until == world.now + ejected.ejected_for_us
+        server = gateway.servers_by_name[ejected.server]
+        assert server.avoid_until_us == world.now + ejected.ejected_for_us
         assert (server.backoff_us, server.latency_ratio) == (ejected.backoff_us, ejected.latency_ratio)
-    assert gateway.starts.restarted
+    assert gateway.incarnations.has_restarted
     # Nothing is lost on the way: a snapshot that is made at once holds the same, N too.
-    assert collect(gateway) == PolicySnapshot(CUSTOMERS, EJECTED_SERVERS, ADMISSION_RATE_PER_S)
+    assert gateway.snapshot() == PolicySnapshot(CUSTOMERS, EJECTED_SERVERS, ADMISSION_RATE_PER_S)
     found.close()
 
 
 def test_a_snapshot_of_a1df16a_is_written_again_byte_for_byte(config: Config) -> None:
     written = (Path(config.state_dir) / "door").read_bytes()
-    snapshot = unpack(written, config, round(SNAPSHOT_UNIX_S * 1000))
-    assert pack(snapshot) == written
+    snapshot = decode_snapshot(written)
+    check_snapshot(snapshot, config, round(SNAPSHOT_UNIX_S * 1000))
+    assert encode_snapshot(snapshot) == written
 
 
 def test_the_configuration_of_the_snapshot_has_the_digest_in_it(config: Config) -> None:
-    assert settings_of(config) == "f2c2f9286bcb3aaa"
+    assert settings_digest(config.settings) == "f2c2f9286bcb3aaa"
 
 
 def test_start_times_of_a1df16a_are_waited_for(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     now = SNAPSHOT_UNIX_S + 0.5
     set_unix_time(monkeypatch, now)
-    found = Keep(config)
-    assert found.starts == STARTS
-    assert keep.wait_s(STARTS, now) == 4.0
-    assert 3.0 <= found.wait_s() <= 5.0  # with the jitter of a quarter
-    assert found.starts == [*STARTS, now]
+    found = SnapshotStore(config)
+    assert found.start_history.start_times_s == STARTS
+    assert crash_backoff_s(STARTS, now) == 4.0
+    assert 3.0 <= found.register_start() <= 5.0  # with the jitter of a quarter
+    assert found.start_history.start_times_s == [*STARTS, now]
     found.close()
-    again = Keep(config)
-    assert again.starts == [*STARTS, now]
+    again = SnapshotStore(config)
+    assert again.start_history.start_times_s == [*STARTS, now]
     again.close()
 
 
@@ -352,8 +361,8 @@
 
 def test_the_registry_of_a1df16a_is_restored(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
-    log = Log(tmp_path / "registry")
-    store = log.open(0, REGISTRY_NOW_MS)
+    journal = Journal(tmp_path / "registry")
+    store = journal.open(0, REGISTRY_NOW_MS)
     assert list(store.instances.values()) == [
         Instance("s1", "127.9.0.2:6380", "a", "m4", 0, 2.5, "SERVING", 1764699999000, 10_000, GENERATION + 6),
         Instance("s2", "127.9.0.3:6379", "b", "m2", 7, 1.0, "SERVING", 0, 15_000, GENERATION + 12),
@@ -370,35 +379,35 @@
         ("s5", "SERVING"),
         ("s2", "SERVING"),
     ]
-    assert store.addresses == {
+    assert store.id_by_address == {
         "127.9.0.2:6380": "s1",
         "127.9.0.3:6379": "s2",
         "127.9.0.4:6379": "s4",
         "127.9.0.6:6379": "s5",
     }
-    assert not log.is_filling()
-    log.close()
+    assert not journal.is_filling()
+    journal.close()
 
 
 def test_leases_of_a1df16a_hold_for_the_grace_and_then_for_their_own_time(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
-    log = Log(tmp_path / "registry")
-    store = log.open(0, REGISTRY_NOW_MS)
-    assert store.expires == dict.fromkeys(("s1", "s2", "s4", "s5"), REGISTRY_NOW_MS + GRACE_MS)
+    journal = Journal(tmp_path / "registry")
+    store = journal.open(0, REGISTRY_NOW_MS)
+    assert store.lease_end_ms == dict.fromkeys(("s1", "s2", "s4", "s5"), REGISTRY_NOW_MS + GRACE_MS)
     store.renew("s2", REGISTRY_NOW_MS + GRACE_MS)
     store.renew("s5", REGISTRY_NOW_MS + GRACE_MS)
-    assert store.expires["s2"] == REGISTRY_NOW_MS + GRACE_MS + 15_000
-    assert store.expires["s5"] == REGISTRY_NOW_MS + GRACE_MS + 600_000
-    log.close()
+    assert store.lease_end_ms["s2"] == REGISTRY_NOW_MS + GRACE_MS + 15_000
+    assert store.lease_end_ms["s5"] == REGISTRY_NOW_MS + GRACE_MS + 600_000
+    journal.close()
 
 
 def test_the_registry_goes_on_from_a1df16a_and_writes_what_it_read(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
-    log = Log(tmp_path / "registry")
-    store = log.open(0, REGISTRY_NOW_MS)
-    assert store.leave("s5").generation == GENERATION + 13
-    log.close()
+    journal = Journal(tmp_path / "registry")
+    store = journal.open(0, REGISTRY_NOW_MS)
+    assert store.deregister("s5").generation == GENERATION + 13
+    journal.close()
     written = (tmp_path / "registry" / "log").read_bytes()
     assert written.startswith((DATA / "registry" / "log").read_bytes())
-    again = Log(tmp_path / "registry").open(0, REGISTRY_NOW_MS)
+    again = Journal(tmp_path / "registry").open(0, REGISTRY_NOW_MS)
     assert again.generation == GENERATION + 13 and "s5" not in again.instances
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import contextlib
-import ctypes
 import io
 import json
 import os
@@ -21,6 +20,7 @@
 from thistletrail.benchmarks.callers import PING, Caller
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.standins import HOST, Address
+from thistletrail.process_lifetime import die_with_parent
 
 READY_S = 20.0  # for a front door to answer PING: machines may be slow
 END_S = 10.0  # for its drain
@@ -29,7 +29,6 @@
 LOOK_S = 0.02  # between looks at whether it is ready
 ROOT = Path(__file__).resolve().parents[2]
 KIB = 1024
-PR_SET_PDEATHSIG = 1  # of prctl(2)
 RESERVED: list[socket.socket] = []  # bound and not listening, one for each port that `free_port` gave
 
 
@@ -41,6 +40,9 @@
     run: str
     tells_costs: bool  # whether SIGUSR1 brings a line; else it would end the process
     many_lists: bool = True  # whether a front door takes several addresses of discovery
+    has_lease_keys: bool = (
+        True  # whether its file has `budget_leases`, `work_leases`; else `steward`, `takeover`
+    )
 
 
 def last_line(said: bytes) -> str:
@@ -79,7 +81,8 @@
     folder = gateway_folder(root)
     takes_many = "read_addresses" in (folder / "config.py").read_text()
     tells_costs = any((folder / name).exists() for name in ("cost_counters.py", "costs.py"))
-    return Tree(root, run, tells_costs, takes_many)
+    has_lease_keys = (folder / "legacy_settings.py").exists()
+    return Tree(root, run, tells_costs, takes_many, has_lease_keys)
 
 
 @contextlib.contextmanager
@@ -212,11 +215,6 @@
             os.killpg(self.process.pid, signal.SIGKILL)
 
 
-def die_with_parent() -> None:
-    """In a child before it runs its program: it is killed when its parent dies, however that dies (Linux)."""
-    ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-
-
 async def start_door(tree: Tree, config: dict[str, Any], folder: Path) -> Process:
     """A front door, started by the deploy file; it need not serve yet. Its log is added to what is there."""
     file, log = folder / "config.json", folder / "log"
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -11,6 +11,7 @@
 import signal
 import socket
 from collections.abc import Awaitable, Callable
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -20,16 +21,16 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
 from thistletrail.benchmarks.standins import text
+from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.errors import RigError
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.leases import Renewals
-from thistletrail.fault_injection.listing import Listing
 from thistletrail.fault_injection.plan import Fault, Plan
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
-from thistletrail.gateway.budget_lease_client import FURTHER
-from thistletrail.gateway.snapshot_store import HEAD, Snapshot, pack
+from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
+from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
 from thistletrail.leasing.book import begin
 from thistletrail.leasing.config import read as read_config
 from thistletrail.simulation.clock import Clock
@@ -43,8 +44,8 @@
 
 def aged(data: bytes, by_ms: int) -> bytes:
     """A door's snapshot as if it had been made so much earlier."""
-    found = msgspec.msgpack.decode(data[HEAD.size :], type=Snapshot)
-    return pack(msgspec.structs.replace(found, at_ms=found.at_ms - by_ms))
+    snapshot = decode_snapshot(data)
+    return encode_snapshot(replace(snapshot, written_at_ms=snapshot.written_at_ms - by_ms))
 
 
 class Member:
@@ -203,7 +204,7 @@
         found = self.relays.get((link, near, far))
         if found is None:
             make = (
-                (lambda: Listing(near, lambda name, at: self.address_of(near, name, at)))
+                (lambda: EndpointListRewriter(near, lambda name, at: self.address_of(near, name, at)))
                 if link in ("doors-list", "doors-follower")
                 else None
             )
@@ -279,7 +280,7 @@
                                 if rate and burst >= 1 and (kind == "ceiling" or self.plan.quotas)
                             ),
                             *(
-                                {"name": FURTHER, "rate": rate, "burst": int(burst)}
+                                {"name": RETRY_BUDGET_NAME, "rate": rate, "burst": int(burst)}
                                 for rate, burst in [self.plan.further or (0, 0)]
                                 if rate
                             ),
@@ -329,12 +330,15 @@
             "secret_file": str(found[0].folder / "secret"),
         }
         leased = {**told, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
-        config: dict[str, Any] = {"steward": leased} if self.plan.steward else {}
+        has_lease_keys = self.tree.has_lease_keys
+        budget_key = "budget_leases" if has_lease_keys else "steward"
+        work_key = "work_leases" if has_lease_keys else "takeover"
+        config: dict[str, Any] = {budget_key: leased} if self.plan.steward else {}
         if self.plan.further:
             rate, burst = self.plan.further
-            config["steward"]["further_attempts"] = {"rate": rate, "burst": int(burst)}
+            config[budget_key]["further_attempts"] = {"rate": rate, "burst": int(burst)}
         if self.plan.takeover:
-            config["takeover"] = {**told, "classes": list(self.plan.takeover)}
+            config[work_key] = {**told, "classes": list(self.plan.takeover)}
         return config
 
     async def start_own(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
