--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -41,7 +41,7 @@
     peer_messages_per_s=100.0,
 )
 # For tests that no time is to decide, however busy the machine: nothing is given up meanwhile, and with a
-# backend for each `OUT_PER_SERVER` requests nothing is held.
+# backend for each `IN_FLIGHT_PER_SERVER` requests nothing is held.
 PATIENT = replace(
     SETTINGS,
     gateway_count=1,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -191,15 +191,15 @@
             for words, writer in out:
                 if words[2] != b"a0":  # whose answer is the first: none is written, which would tell the loop
                     writer.write(value(b"ok"))
-            while len(gateway.policy.jobs) > 1:
+            while len(gateway.policy.requests_by_id) > 1:
                 await asyncio.sleep(0.001)
             assert len(backend.commands) == len(out)
             for writer in backend.writers:
                 writer.write(value(b"ok"))
             view = gateway.policy
-            while gateway.exchanges.answered_in_flight or view.jobs or view.held:
+            while gateway.exchanges.answered_in_flight or view.requests_by_id or view.queue:
                 await asyncio.sleep(0.001)
-            assert view.out == 0
+            assert view.overload.in_flight == 0
 
     run(job())
 
@@ -212,7 +212,7 @@
         async with running_gateway(backend, settings=PATIENT) as (gateway, address):
             with raw_client(address) as client:
                 await fill(gateway, client, backend)
-            while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.jobs:
+            while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
             assert gateway.costs.gone == clients.MOST_PIPELINED
 
@@ -248,7 +248,7 @@
             other = await Client.open(address)
             assert await other.ask(submit("b1", wait_ms=PATIENT_MS)) == b"ok"
             assert [words[2] for words in backend.commands] == [b"b1"]
-            while gateway.exchanges.answered_in_flight or gateway.policy.jobs:
+            while gateway.exchanges.answered_in_flight or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
 
     run(job())
@@ -274,10 +274,12 @@
             view = gateway.policy
             while not gateway.costs.gone or gateway.driver.pending_events:
                 await asyncio.sleep(0.001)
-            while gateway.exchanges.answered_in_flight or view.jobs:
+            while gateway.exchanges.answered_in_flight or view.requests_by_id:
                 await asyncio.sleep(0.001)
-            assert view.out == 0 and not any(server.out for server in view.servers.values())
-            assert all(customer.out == 0 for customer in view.customers.values())
+            assert view.overload.in_flight == 0 and not any(
+                server.in_flight for server in view.servers_by_name.values()
+            )
+            assert all(customer.in_flight == 0 for customer in view.customers.by_key.values())
 
     run(job())
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -259,7 +259,11 @@
             while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
-            while not gateway.costs.gone or gateway.exchanges.answered_in_flight or gateway.policy.jobs:
+            while (
+                not gateway.costs.gone
+                or gateway.exchanges.answered_in_flight
+                or gateway.policy.requests_by_id
+            ):
                 await asyncio.sleep(0.001)
             other = await Client.open(address)  # by then the first connection has come up
             assert await other.ask(submit("b1")) == b"ok"
--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -72,7 +72,9 @@
     """Wait until the gateway knows just these in that state."""
 
     def found() -> set[str]:
-        return {name for name, server in gateway.policy.servers.items() if server.entry.state is state}
+        return {
+            name for name, server in gateway.policy.servers_by_name.items() if server.entry.state is state
+        }
 
     while found() != set(names):
         await asyncio.sleep(0.01)
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -25,11 +25,10 @@
 from thistletrail.gateway.snapshot_file import Snapshot, decode_snapshot, encode_snapshot
 from thistletrail.gateway.snapshot_store import SnapshotStore, check_snapshot
 from thistletrail.gateway.start_history import CRASH_SPAN_S, crash_backoff_s
-from thistletrail.policy import memory
 from thistletrail.policy.actions import WriteLog
 from thistletrail.policy.events import CustomerSnapshot, EjectedServerSnapshot, PolicySnapshot, SnapshotFound
 from thistletrail.policy.settings import Plan
-from thistletrail.policy.snapshot import collect
+from thistletrail.policy.snapshot import ADMISSION_RATE_MAX_AGE_US, SERVER_HEALTH_MAX_AGE_US
 
 NOW_MS = 1_800_000_000_000
 KEY = (7, 0, 0, 2)
@@ -114,50 +113,55 @@
     world = World(replace(SET, plans=(replace(PLAN, ceiling_rate=0.0),)))  # a ceiling's store starts empty
     for number in range(8):
         world.ask(f"r{number}", set_size=2)
-    world.gateway.set_n(12.0)
-    ejected = world.gateway.servers["s1"]
-    ejected.on_trial, ejected.avoid_until, ejected.backoff_us = True, world.now + S, 2 * S
-    found = collect(world.gateway)
-    ((key, customer),) = world.gateway.customers.items()
+    world.gateway.overload.set_limit(12.0)
+    ejected = world.gateway.servers_by_name["s1"]
+    ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = True, world.now + S, 2 * S
+    found = world.gateway.snapshot()
+    ((key, customer),) = world.gateway.customers.by_key.items()
     (stored,) = found.customers
     assert (stored.customer, stored.plan_index, stored.set_first, stored.set_size) == key
-    assert stored.share == customer.part < 10.0 and stored.level == customer.level < 20.0
+    assert stored.share == customer.local_bucket.level < 10.0 and stored.level == customer.set_level < 20.0
     assert found.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
     assert found.admission_rate_per_s == pytest.approx(12.0)
 
     successor = World(SET)
     successor.tell(SnapshotFound(found, 500_000))
-    again = successor.gateway.customers[key]
-    assert again.part <= customer.part + 1e-9 and again.level <= customer.level + 1e-9
-    assert successor.gateway.servers["s1"].on_trial
-    assert successor.gateway.servers["s1"].avoid_until == successor.now + S // 2
-    assert successor.gateway.n_past == 12 and successor.gateway.starts.restarted
+    again = successor.gateway.customers.by_key[key]
+    assert (
+        again.local_bucket.level <= customer.local_bucket.level + 1e-9
+        and again.set_level <= customer.set_level + 1e-9
+    )
+    assert successor.gateway.servers_by_name["s1"].is_ejected
+    assert successor.gateway.servers_by_name["s1"].avoid_until_us == successor.now + S // 2
+    assert successor.gateway.overload.admission_limit == 12 and successor.gateway.incarnations.has_restarted
 
 
 @pytest.mark.parametrize(
     "age_us, customers, ejected_servers, n",
     [
         (0, 1, True, 7),
-        (memory.CAP_US - 1, 1, True, 7),
-        (memory.CAP_US, 1, True, None),
-        (memory.HEALTH_US - 1, 1, True, None),
-        (memory.HEALTH_US, 1, False, None),
+        (ADMISSION_RATE_MAX_AGE_US - 1, 1, True, 7),
+        (ADMISSION_RATE_MAX_AGE_US, 1, True, None),
+        (SERVER_HEALTH_MAX_AGE_US - 1, 1, True, None),
+        (SERVER_HEALTH_MAX_AGE_US, 1, False, None),
     ],
 )
 def test_what_is_past_its_bound_is_not_used(
     age_us: int, customers: int, ejected_servers: bool, n: int | None
 ) -> None:
     world = restored(age_us)
-    assert len(world.gateway.customers) == customers
-    assert world.gateway.servers["s1"].on_trial is ejected_servers
-    assert world.gateway.n_past == n
+    assert len(world.gateway.customers.by_key) == customers
+    assert world.gateway.servers_by_name["s1"].is_ejected is ejected_servers
+    assert world.gateway.overload.admission_limit == n
 
 
 def test_customers_are_forgotten_when_their_stores_are_full_again() -> None:
     world = World(SET)
-    forget_us = world.gateway.forget_us
+    forget_us = world.gateway.customers.retention_us
     assert forget_us >= 10 * S
-    assert restored(forget_us - 1).gateway.customers and not restored(forget_us).gateway.customers
+    assert (
+        restored(forget_us - 1).gateway.customers.by_key and not restored(forget_us).gateway.customers.by_key
+    )
 
 
 @pytest.mark.parametrize(
@@ -168,20 +172,23 @@
     ],
 )
 def test_a_customer_that_cannot_be_is_passed_over(odd: CustomerSnapshot) -> None:
-    assert not restored(0, customers=(odd,)).gateway.customers
+    assert not restored(0, customers=(odd,)).gateway.customers.by_key
 
 
 def test_what_is_restored_is_never_more_than_a_store_holds() -> None:
     world = restored(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
-    customer = world.gateway.customers[KEY]
-    assert (customer.part, customer.level) == (10.0, 20.0)
-    assert customer.ceiling <= 40.0 * customer.ceiling_part and customer.grants <= 40.0
+    customer = world.gateway.customers.by_key[KEY]
+    assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
+    assert (
+        customer.ceiling_bucket.level <= 40.0 * customer.ceiling_bucket.share
+        and customer.ceiling_grants.level <= 40.0
+    )
 
 
 def test_what_is_restored_is_logged() -> None:
     world = World(SET)
     (said,) = of(WriteLog, world.tell(SnapshotFound(snapshot().policy, 2_500_000)))
-    assert said.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 suspect servers, N 7.5 a second"
+    assert said.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 ejected servers, N 7.5 a second"
 
 
 # --- the gateway's part ---
@@ -207,10 +214,13 @@
             second.restore(successor)
             await asyncio.sleep(0)
             successor.driver.run_batch()
-            assert list(successor.policy.servers) == ["s0"]
-            assert successor.policy.servers["s0"].entry == gateway_server.policy.servers["s0"].entry
-            assert successor.policy.customers.keys() == gateway_server.policy.customers.keys()
-            assert successor.policy.starts.restarted
+            assert list(successor.policy.servers_by_name) == ["s0"]
+            assert (
+                successor.policy.servers_by_name["s0"].entry
+                == gateway_server.policy.servers_by_name["s0"].entry
+            )
+            assert successor.policy.customers.by_key.keys() == gateway_server.policy.customers.by_key.keys()
+            assert successor.policy.incarnations.has_restarted
             successor.close()
             second.close()
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -36,7 +36,6 @@
     ServerState,
     SnapshotFound,
 )
-from thistletrail.policy.snapshot import collect
 from thistletrail.registry.instance import Instance
 from thistletrail.registry.journal import Journal
 
@@ -120,19 +119,25 @@
     world.tell(SnapshotFound(found.found.policy, 0))
     gateway = world.gateway
     restored = [
-        (*key, customer.part, customer.level, customer.ceiling, customer.grants)
-        for key, customer in gateway.customers.items()
+        (
+            *key,
+            customer.local_bucket.level,
+            customer.set_level,
+            customer.ceiling_bucket.level,
+            customer.ceiling_grants.level,
+        )
+        for key, customer in gateway.customers.by_key.items()
     ]
     # Without a ceiling in its plan a customer has none to restore: what was taken from it is 0 or less.
     assert restored == [dataclasses.astuple(customer) for customer in CUSTOMERS]
-    assert [name for name, server in gateway.servers.items() if server.on_trial] == ["s1", "s2"]
+    assert [name for name, server in gateway.servers_by_name.items() if server.is_ejected] == ["s1", "s2"]
     for ejected in EJECTED_SERVERS:
-        server = gateway.servers[ejected.server]
-        assert server.avoid_until == world.now + ejected.ejected_for_us
+        server = gateway.servers_by_name[ejected.server]
+        assert server.avoid_until_us == world.now + ejected.ejected_for_us
         assert (server.backoff_us, server.latency_ratio) == (ejected.backoff_us, ejected.latency_ratio)
-    assert gateway.starts.restarted
+    assert gateway.incarnations.has_restarted
     # Nothing is lost on the way: a snapshot that is made at once holds the same, N too.
-    assert collect(gateway) == PolicySnapshot(CUSTOMERS, EJECTED_SERVERS, ADMISSION_RATE_PER_S)
+    assert gateway.snapshot() == PolicySnapshot(CUSTOMERS, EJECTED_SERVERS, ADMISSION_RATE_PER_S)
     found.close()
 
 
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -19,7 +19,7 @@
 from thistletrail.leasing.client import RENEW_FRACTION, LeaseRenewer, ServiceSettings
 from thistletrail.leasing.framing import now_ms
 from thistletrail.policy.events import BudgetGranted, BudgetKey
-from thistletrail.policy.leased_budgets import wanted, whole_of
+from thistletrail.policy.leased_budgets import total_budget
 
 if TYPE_CHECKING:
     from thistletrail.gateway.server import GatewayServer
@@ -77,7 +77,7 @@
     def _is_hurried(self) -> bool:
         """Whether the next renewal is needed before it is due."""
         may_hurry_for_units = asyncio.get_running_loop().time() >= self.requested_at_s + self.backoff_s
-        for demand in wanted(self.gateway_server.policy, now_us()):
+        for demand in self.gateway_server.policy.budget_demands(now_us()):
             if self._name(demand.key) not in self.keys:
                 return True
             if may_hurry_for_units and demand.needed > 0:
@@ -96,7 +96,7 @@
         settings = self.gateway_server.settings
         if key is None:
             return BudgetLimits.from_rate(settings.retry_rate, settings.retry_burst)
-        rate, burst = whole_of(key.kind, settings.plans[key.plan_index])
+        rate, burst = total_budget(key.kind, settings.plans[key.plan_index])
         return BudgetLimits.from_rate(rate, burst)
 
     def _update_demand(self) -> None:
@@ -104,7 +104,7 @@
         self.requested_at_s = asyncio.get_running_loop().time()
         self.needed_units = 0
         now = now_ms()
-        for demand in wanted(self.gateway_server.policy, now_us())[:MAX_BUDGETS]:
+        for demand in self.gateway_server.policy.budget_demands(now_us())[:MAX_BUDGETS]:
             name = self._name(demand.key)
             self.keys[name] = demand.key
             limits = self._limits(demand.key)
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -35,8 +35,8 @@
     WatchEndpoints,
     WriteLog,
 )
+from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import EndpointUpdateKind, Event
-from thistletrail.policy.rules import Gateway
 
 log = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
         self.costs = costs.CostCounters(config.time_stages)
         self.takeover: Takeover | None = None
         limits = ResourceLimits.of(config)
-        self.policy = Gateway(config.settings)
+        self.policy = PolicyEngine(config.settings)
         self.driver = PolicyDriver(self.policy, self.costs.stages)
         self.backends = Backends(
             config.conn_idle_us,
@@ -149,7 +149,7 @@
         pools = self.backends.pools
         entries = [
             self.catalog.encode_entry(server.entry, pools[name].address)
-            for name, server in self.policy.servers.items()
+            for name, server in self.policy.servers_by_name.items()
             if name in pools
         ]
         return {"generation": self.discovery.version or 0, "reset": True, "instances": entries}
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -25,7 +25,6 @@
 from thistletrail.gateway.snapshot_file import Snapshot, decode_snapshot, encode_snapshot
 from thistletrail.gateway.start_history import CLOCK_TOLERANCE_S, StartHistory, crash_backoff_s
 from thistletrail.policy.events import SnapshotFound
-from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
     from thistletrail.gateway.server import GatewayServer
@@ -128,7 +127,7 @@
             settings_digest=settings_digest(self.config.settings),
             written_at_ms=self.unix_ms(),
             incarnation=self.incarnation,
-            policy=collect(gateway_server.policy),
+            policy=gateway_server.policy.snapshot(),
             endpoint_list=gateway_server.known_list(),
         )
 
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -215,7 +215,7 @@
         item = self.item_of(exchange, attempt)
         attempt.may_write = lambda: item.is_untracked or self.table.is_leased(item)
         settings = self.requests.settings
-        server = self.directory.servers[attempt.server].entry
+        server = self.directory.servers_by_name[attempt.server].entry
         place = placement(settings, exchange.command.class_index, server)
         item.pending_attempt = attempt
         if item.is_untracked:
--- a/thistletrail/gateway/takeover/host.py
+++ b/thistletrail/gateway/takeover/host.py
@@ -25,7 +25,7 @@
     """The policy, as the place where servers are looked up."""
 
     @property
-    def servers(self) -> Mapping[str, KnownServer]:
+    def servers_by_name(self) -> Mapping[str, KnownServer]:
         """All known servers by name; another mapping after each endpoint update."""
 
 
--- a/thistletrail/gateway/takeover/work_transfer.py
+++ b/thistletrail/gateway/takeover/work_transfer.py
@@ -91,7 +91,7 @@
 
     def server_in(self, class_index: int, server: str, place: str) -> str:
         """That server, or else another of its place; empty where the policy knows none."""
-        servers = self.directory.servers
+        servers = self.directory.servers_by_name
         if server in servers:
             return server
         settings = self.requests.settings
