--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,8 +16,8 @@
 from thistletrail.gateway.peer_transport import Peers
 from thistletrail.gateway.server import FrontDoor
 from thistletrail.policy.actions import SendPeerMessage
-from thistletrail.policy.codec import pack_message
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, QuotaMessage, ServerState
+from thistletrail.policy.peer_codec import pack_datagrams
 
 AT = (HOST, 6379)
 
@@ -229,9 +229,9 @@
             await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
         words = tuple(QuotaMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
         with stranger:
-            stranger.sendto(pack_message(words[:1])[0], ports[0])
+            stranger.sendto(pack_datagrams(words[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
-        friend.transport.sendto(pack_message(words)[0] * 2, ports[0])  # longer than the wire allows
+        friend.transport.sendto(pack_datagrams(words)[0] * 2, ports[0])  # longer than the wire allows
         friend.tell(SendPeerMessage(0, words))
         got: tuple[QuotaMessage, ...] = ()
         while len(got) < len(words):
--- a/tests/test_starts.py
+++ b/tests/test_incarnations.py
@@ -7,7 +7,6 @@
 
 from tests.helpers import MS, SETTINGS, S, Set, World, of
 from thistletrail.policy.actions import Action, RejectRequest, SendPeerMessage
-from thistletrail.policy.codec import pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
 from thistletrail.policy.incarnations import (
     ANNOUNCED_US,
@@ -17,6 +16,7 @@
     RECOVERY_US,
     Incarnations,
 )
+from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
 from thistletrail.policy.settings import Plan
 
 CUSTOMER = (1, 0, 0, 3)
@@ -80,10 +80,8 @@
 
 def test_marks_survive_the_wire_and_are_no_words_to_who_knows_them_not() -> None:
     word = start(0xFFFFFFFF, 12.5)
-    assert unpack_message(pack_message((word, QuotaMessage(1, 0, 0, 2)))[0])[0] == (
-        word,
-        QuotaMessage(1, 0, 0, 2),
-    )
+    (data,) = pack_datagrams((word, QuotaMessage(1, 0, 0, 2)))
+    assert unpack_datagram(data).quota_messages == (word, QuotaMessage(1, 0, 0, 2))
     # A revision that does not know them takes words for sets that have no member, and passes them over.
     assert word.set_size == 0
 
--- a/tests/test_rig_plan.py
+++ b/tests/test_rig_plan.py
@@ -22,7 +22,7 @@
 from thistletrail.fault_injection.soak import drawn, shrink, smaller
 from thistletrail.fault_injection.world import World, load_of
 from thistletrail.gateway.config import flatten
-from thistletrail.policy.codec import Pairs, read_settings
+from thistletrail.policy.settings_codec import SettingValues, read_settings
 from thistletrail.simulation.clock import Clock
 from thistletrail.simulation.day import Day
 from thistletrail.simulation.scenario import Scenario
@@ -95,7 +95,7 @@
 def test_doors_are_told_what_the_model_tells_them() -> None:
     """The configuration that real doors read means the same settings as the model hands to its own."""
     for number in range(SMALL.doors):
-        told = read_settings(7, Pairs(dict(flatten(World(SMALL, 5, Clock()).settings(number)))))
+        told = read_settings(7, SettingValues(dict(flatten(World(SMALL, 5, Clock()).settings(number)))))
         modelled = Day(SMALL, 5).settings(number, number % SMALL.net.zones)
         assert replace(told, seed=0) == replace(modelled, seed=0)
 
--- a/tests/test_settings_digest.py
+++ b/tests/test_settings_digest.py
@@ -14,8 +14,8 @@
 
 from thistletrail.gateway.config import flatten
 from thistletrail.gateway.settings_digest import STORED_FIELDS, settings_digest, stored_text
-from thistletrail.policy.codec import Pairs, read_settings
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
+from thistletrail.policy.settings_codec import SettingValues, read_settings
 
 DATA = Path(__file__).parent / "data" / "a1df16a"
 DRAWN = json.loads((DATA / "gateway" / "settings_digests.json").read_text())
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("case", DRAWN)
 def test_drawn_settings_have_the_digest_that_a1df16a_gave(case: dict[str, Any]) -> None:
-    settings = read_settings(3, Pairs(dict(flatten(case["settings"]))))
+    settings = read_settings(3, SettingValues(dict(flatten(case["settings"]))))
     assert settings_digest(settings) == case["digest"]
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -20,9 +20,11 @@
     WatchEndpoints,
     WriteLog,
 )
-from thistletrail.policy.codec import pack_message, read_report, unpack_message
 from thistletrail.policy.events import HealthDigest, LoadReport, QuotaMessage, ServerObservation
-from thistletrail.policy.simulator_adapter import Host, write_action
+from thistletrail.policy.load_report_codec import read_load_report
+from thistletrail.policy.peer_codec import MAX_DATAGRAM_BYTES, pack_datagrams, unpack_datagram
+from thistletrail.policy.simulator_adapter import Host
+from thistletrail.policy.simulator_wire import write_action
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -116,9 +118,9 @@
         name, *parts = line.split(" ")
         if name != "M":
             host.event(name, parts, iter(SHEET.splitlines()[1:]))
-    server = host.gateway_count[0].jobs["rq_a"].servers[0].entry.name
+    server = host.instances[0].gateway.jobs["rq_a"].servers[0].entry.name
     host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.gateway_count[0].signals["util"] == [0.4]
+    assert host.instances[0].gateway.signals["util"] == [0.4]
 
 
 @pytest.mark.parametrize(
@@ -170,35 +172,37 @@
     assert [write_action(action) for action, _ in actions] == [line for _, line in actions]
 
 
-def test_words_come_back_as_they_went() -> None:
+def test_datagrams_come_back_as_they_went() -> None:
     words = tuple(QuotaMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
     digest = HealthDigest(300, 0.5, 999, tuple(ServerObservation(n, 0.25, 3, 1) for n in range(60)))
-    messages = pack_message(words, digest)
-    assert len(messages) > 1 and max(map(len, messages)) <= 256
-    got = [unpack_message(message) for message in messages]
-    assert sum((words for words, _ in got), ()) == words
-    assert [told is None for _, told in got] == [False] + [True] * (len(got) - 1)
-    ((_, alone),) = map(unpack_message, pack_message((), digest))  # alone, more of the notes find room
+    datagrams = pack_datagrams(words, digest)
+    assert len(datagrams) > 1 and max(map(len, datagrams)) <= MAX_DATAGRAM_BYTES == 256
+    got = [unpack_datagram(data) for data in datagrams]
+    assert sum((datagram.quota_messages for datagram in got), ()) == words
+    assert [datagram.digest is None for datagram in got] == [False] + [True] * (len(got) - 1)
+    (data,) = pack_datagrams((), digest)
+    alone = unpack_datagram(data).digest  # alone, more of the observations find room
     assert (alone.serial, alone.occupancy, alone.samples) == (300 & 255, 0.5, 255)
     assert (
         alone.observations == digest.observations[: len(alone.observations)] and len(alone.observations) > 40
     )
-    assert unpack_message(pack_message([QuotaMessage(1, 0, 0, 2, level=1e9)])[0])[0][0].level == 32767 / 50
+    (data,) = pack_datagrams([QuotaMessage(1, 0, 0, 2, level=1e9)])
+    assert unpack_datagram(data).quota_messages[0].level == 32767 / 50
 
 
-def test_message_of_another_form_is_none() -> None:
-    (message,) = pack_message(
+def test_datagram_of_another_form_is_none() -> None:
+    (data,) = pack_datagrams(
         (QuotaMessage(1, 0, 0, 2),), HealthDigest(1, 0.5, 3, (ServerObservation(7, 0.25, 3, 1),))
     )
-    assert unpack_message(message)
-    torn = [message[:end] for end in range(len(message))]
-    whole = [end for end, part in enumerate(torn) if unpack_message(part)]
-    assert whole == [19, 22]  # the word alone, and with a digest that has no note
-    assert unpack_message(message + b"x") is None and unpack_message(b"\xff") is None
+    assert unpack_datagram(data)
+    torn = [data[:end] for end in range(len(data))]
+    complete = [end for end, start_of_data in enumerate(torn) if unpack_datagram(start_of_data)]
+    assert complete == [19, 22]  # the quota message alone, and with a digest that has no observation
+    assert unpack_datagram(data + b"x") is None and unpack_datagram(b"\xff") is None
 
 
 def test_load_report_out_of_range_says_nothing() -> None:
     """Not an error: the wire may carry what no server can mean."""
-    assert read_report([("util", "7"), ("queue", "3")]) == LoadReport(queue=3.0)
+    assert read_load_report([("util", "7"), ("queue", "3")]) == LoadReport(queue=3.0)
     with pytest.raises(ValueError, match="nan"):
-        read_report([("util", "nan")])
+        read_load_report([("util", "nan")])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 import pytest
+from thistletrail.registry.log import Log
 
 from tests.helpers import World
 from thistletrail.gateway import snapshot_store as keep
@@ -33,7 +34,6 @@
     SnapshotFound,
 )
 from thistletrail.policy.snapshot import collect
-from thistletrail.registry.log import Log
 from thistletrail.registry.store import Instance
 
 DATA = Path(__file__).parent / "data" / "a1df16a"
--- a/thistletrail/benchmarks/standins.py
+++ b/thistletrail/benchmarks/standins.py
@@ -10,8 +10,8 @@
 
 from thistletrail.benchmarks.loads import Load
 from thistletrail.gateway.resp import CommandReader, ProtocolError
-from thistletrail.policy.codec import pack_message, unpack_message
 from thistletrail.policy.events import QuotaMessage
+from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
 
 HOST = "127.0.0.1"
 Address = tuple[str, int]
@@ -175,25 +175,26 @@
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         self.datagrams += 1
-        words, _ = unpack_message(data) or ((), None)
+        datagram = unpack_datagram(data)
+        quota_messages = datagram.quota_messages if datagram else ()
         answers = [
             QuotaMessage(
-                word.customer,
-                word.plan_index,
-                word.set_first,
-                word.set_size,
-                True,
-                demand=word.demand,
-                spent=word.asked,
-                asked=word.asked,
+                message.customer,
+                message.plan_index,
+                message.set_first,
+                message.set_size,
+                is_answer=True,
+                demand=message.demand,
+                spent=message.requested,
+                requested=message.requested,
                 level=self.level,
             )
-            for word in words
-            if not word.is_answer and word.asked
+            for message in quota_messages
+            if not message.is_answer and message.requested
         ]
         if answers:
-            for message in pack_message(answers):
-                self.transport.sendto(message, address)
+            for answer in pack_datagrams(answers):
+                self.transport.sendto(answer, address)
 
 
 class World:
--- a/thistletrail/gateway/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -12,8 +12,8 @@
 from thistletrail.gateway.config import Address
 from thistletrail.gateway.cost_counters import BACKENDS, Costs
 from thistletrail.gateway.resp import Answer, AnswerReader, ProtocolError, has_unread
-from thistletrail.policy.codec import read_report
 from thistletrail.policy.events import AttemptResult, LoadReport, ServerState
+from thistletrail.policy.load_report_codec import read_load_report
 
 log = logging.getLogger(__name__)
 
@@ -135,7 +135,7 @@
     if not text or b"=" not in text:
         return None
     try:
-        return read_report(part.split("=", 1) for part in text.decode().split(","))
+        return read_load_report(part.split("=", 1) for part in text.decode().split(","))
     except ValueError:
         return None
 
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from thistletrail.policy.codec import Pairs, read_settings
 from thistletrail.policy.settings import Settings
+from thistletrail.policy.settings_codec import SettingValues, read_settings
 
 Address = tuple[str, int]
 
@@ -191,7 +191,7 @@
 def parse(values: Mapping[str, Any], env: Mapping[str, str]) -> Config:
     """The configuration from the file's values, where the environment goes before them."""
     settings = values["settings"]
-    pairs = Pairs(dict(flatten(settings)))
+    setting_values = SettingValues(dict(flatten(settings)))
     peer_listen = values.get("peer_listen")
     limits = values.get("limits") or {}
     steward = read_steward(values.get("steward"))
@@ -199,14 +199,14 @@
         name=env.get("PROXY_NAME") or values["name"],
         listen=read_address(env.get("PROXY_LISTEN") or values["listen"]),
         discovery=read_addresses(env.get("PROXY_DISCOVERY") or values["discovery"]),
-        settings=leased(read_settings(int(values["seed"], 16), pairs), steward),
+        settings=leased(read_settings(int(values["seed"], 16), setting_values), steward),
         class_numbers=numbers(settings["categories"]),
         plan_numbers=numbers(settings["plans"]),
         zone_numbers=numbers(settings.get("zones")),
         kind_numbers=numbers(settings.get("kinds")),
-        conn_idle_us=pairs.whole("ceilings.conn-idle-us", 30_000_000),
-        connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", 250_000),
-        max_open=pairs.whole("ceilings.max-open", 20_000),
+        conn_idle_us=setting_values.integer("ceilings.conn-idle-us", 30_000_000),
+        connect_timeout_us=setting_values.integer("ceilings.connect-timeout-us", 250_000),
+        max_open=setting_values.integer("ceilings.max-open", 20_000),
         sockets=int(limits.get("sockets", 1024)),
         memory_mb=int(limits.get("memory_mb", 64)),
         known=values.get("known") or {},
--- a/thistletrail/gateway/peer_transport.py
+++ b/thistletrail/gateway/peer_transport.py
@@ -6,8 +6,8 @@
 from thistletrail.gateway.config import Address
 from thistletrail.gateway.cost_counters import PEERS, Costs
 from thistletrail.policy.actions import SendPeerMessage
-from thistletrail.policy.codec import MESSAGE_BYTES, pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived
+from thistletrail.policy.peer_codec import MAX_DATAGRAM_BYTES, pack_datagrams, unpack_datagram
 
 
 class Peers(asyncio.DatagramProtocol):
@@ -34,10 +34,10 @@
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         sender = self.senders.get(address)
-        known = sender is not None and len(data) <= MESSAGE_BYTES
-        if message := unpack_message(data) if known else None:
+        known = sender is not None and len(data) <= MAX_DATAGRAM_BYTES
+        if datagram := unpack_datagram(data) if known else None:
             self.costs.datagrams_in += 1
-            self.heard(PeerMessageReceived(sender, *message))
+            self.heard(PeerMessageReceived(sender, datagram.quota_messages, datagram.digest))
         else:
             self.costs.datagrams_dropped += 1
 
@@ -46,7 +46,7 @@
 
     def tell(self, action: SendPeerMessage) -> None:
         if self.transport and action.peer != self.gateway_index and action.peer < len(self.addresses):
-            for data in pack_message(action.quota_messages, action.digest):
+            for data in pack_datagrams(action.quota_messages, action.digest):
                 self.transport.sendto(data, self.addresses[action.peer])
                 self.costs.datagrams_out += 1
 
--- a/thistletrail/policy/simulator_adapter.py
+++ b/thistletrail/policy/simulator_adapter.py
@@ -1,354 +1,193 @@
-"""The simulator's wire on standard input and output, translated to the module's events and actions.
+"""Hosts the decisions of many gateways for the simulator, on standard input and output.
 
-Only translation: one `Gateway` for each instance, no decision. Malformed input ends the process with
-one line on standard error; an exception in the module is reported on the wire.
+The simulator writes batches of events, each for one of the instances of this process, and reads one reply
+with the actions for each batch. There is one `Gateway` for each instance, which shares nothing with the
+others; the only clock is the batch's. The lines themselves are read and written in `simulator_wire`.
+
+Malformed input ends the process with one line on standard error and exit code 2. An exception in the
+decisions is reported on the wire instead, and the next event is read.
 """
 
 import sys
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
+from io import TextIOWrapper
 from typing import TextIO
 
-from thistletrail.policy.actions import (
-    Action,
-    AddToCounter,
-    CancelAttempt,
-    CloseIdleConnections,
-    FailRequest,
-    FetchEndpoints,
-    ProbeServer,
-    RejectRequest,
-    SendPeerMessage,
-    SetTimer,
-    StartAttempt,
-    WatchEndpoints,
-    WriteLog,
-)
-from thistletrail.policy.codec import Pairs, pack_message, read_report, read_settings, unpack_message
-from thistletrail.policy.events import (
-    AttemptEnded,
-    AttemptResult,
-    ClientDisconnected,
-    CounterReply,
-    EndpointUpdate,
-    EndpointUpdateKind,
-    Event,
-    LoadReport,
-    PeerMessageReceived,
-    ProbeEnded,
-    RequestArrived,
-    Server,
-    ServerState,
-    StreamStarted,
-    TimerFired,
-)
+from thistletrail.policy.errors import PolicyError
+from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, Server
 from thistletrail.policy.rules import Gateway
+from thistletrail.policy.settings_codec import read_settings
+from thistletrail.policy.simulator_wire import (
+    UPDATE_KINDS,
+    Fields,
+    WireError,
+    read_event,
+    read_server,
+    read_setting_values,
+    to_one_line,
+    write_action,
+)
 
-RESULTS = {
-    "served": AttemptResult.OK,
-    "server_error": AttemptResult.ERROR,
-    "turned_away": AttemptResult.AT_CAPACITY,
-    "no_answer": AttemptResult.TIMEOUT,
-    "no_connection": AttemptResult.CONNECT_FAILED,
-    "connection_lost": AttemptResult.RESET,
-    "called_off": AttemptResult.CANCELLED,
-    "not_sent": AttemptResult.NOT_SENT,
-}
-STATES = {"U": ServerState.UP, "L": ServerState.DRAINING, "D": ServerState.GONE}
-LISTS = {
-    "snapshot": EndpointUpdateKind.FULL,
-    "disk": EndpointUpdateKind.CACHED,
-    "diff": EndpointUpdateKind.CHANGES,
-    "error": EndpointUpdateKind.FAILED,
-}
-
-
-class WireError(Exception):
-    """The input is not what the wire's page describes."""
-
-
-class Fields:
-    """The values of one line, taken in order."""
-
-    def __init__(self, parts: list[str]) -> None:
-        self.parts = parts
-        self.at = 0
-
-    def text(self) -> str:
-        if self.at >= len(self.parts) or self.parts[self.at] in ("", "-"):
-            raise WireError(f"field {self.at + 1} is missing")
-        self.at += 1
-        return self.parts[self.at - 1]
-
-    def given(self) -> bool:
-        """Whether an optional value comes next; an absent one is stepped over."""
-        if self.at >= len(self.parts):
-            return False
-        if self.parts[self.at] in ("", "-"):
-            self.at += 1
-            return False
-        return True
-
-    def whole(self, default: int | None = None) -> int:
-        if default is not None and not self.given():
-            return default
-        return int(self.text())
-
-    def number(self, default: float | None = None) -> float:
-        if default is not None and not self.given():
-            return default
-        return float(self.text())
-
-    def flag(self) -> bool:
-        word = self.text()
-        if word not in ("0", "1"):
-            raise WireError(f"'{word}' is not 0 or 1")
-        return word == "1"
-
-
-def read_pairs(parts: Iterable[str]) -> Pairs:
-    values: dict[str, str] = {}
-    for part in parts:
-        path, sign, value = part.partition("=")
-        if not sign:
-            raise WireError(f"'{part}' is not path=value")
-        values[path] = value
-    return Pairs(values)
-
-
-def read_load(fields: Fields, names: list[str]) -> LoadReport | None:
-    """A load report, whose values stand in the order of their names."""
-    if not fields.given():
-        return None
-    values = fields.text().split(",")
-    if len(values) > len(names):
-        raise WireError("the load report has more values than names")
-    return read_report(zip(names, values, strict=False))
-
-
-def read_server(line: str) -> Server:
-    name, *parts = line.split(" ")
-    if name != "M":
-        raise WireError("a list entry is missing")
-    fields = Fields(parts)
-    return Server(
-        name=fields.text(),
-        zone=fields.whole(),
-        kind=fields.whole(),
-        cell=fields.whole(),
-        state=STATES[fields.text()],
-        size=fields.number(1.0),
-        started_us=fields.whole(0),
-    )
-
-
-def read_request(fields: Fields) -> RequestArrived:
-    request_id, class_index = fields.text(), fields.whole()
-    plan_index = fields.whole(0)
-    customer = fields.text() if fields.given() else ""
-    remaining_us, units = fields.whole(), fields.number(1.0)
-    set_size, set_first = int(fields.number(1.0)), int(fields.number(0.0))
-    marks = fields.whole(0)
-    return RequestArrived(
-        request_id,
-        class_index,
-        plan_index,
-        customer,
-        remaining_us,
-        units,
-        max(1, set_size),
-        set_first,
-        bool(marks & 2),
-        bool(marks & 4),
-    )
-
-
-def read_outcome(fields: Fields, names: list[str]) -> AttemptEnded:
-    return AttemptEnded(
-        id=fields.text(),
-        request_ended=fields.flag(),
-        attempt=fields.whole(),
-        server=fields.text(),
-        result=RESULTS[fields.text()],
-        latency_us=fields.whole(0),
-        used_percent=fields.whole(0),
-        true_units=fields.number(0.0),
-        report=read_load(fields, names),
-    )
-
-
-def read_bytes(fields: Fields) -> bytes:
-    return bytes.fromhex(fields.text()) if fields.given() else b""
-
-
-def read_event(name: str, fields: Fields, names: list[str]) -> Event:
-    """One event other than the start, the end and the server list of an instance."""
-    if name == "NEW_REQUEST":
-        return read_request(fields)
-    if name == "ATTEMPT_END":
-        return read_outcome(fields, names)
-    if name == "ACK_FIRST":
-        return StreamStarted(fields.text(), fields.whole(), fields.text(), fields.whole(0))
-    if name == "HANGUP":
-        return ClientDisconnected(fields.text())
-    if name == "BELL":
-        return TimerFired(fields.whole())
-    if name == "CHECK_RESULT":
-        server, result = fields.text(), RESULTS[fields.text()]
-        return ProbeEnded(server, result, fields.whole(0), read_load(fields, names))
-    if name == "FROM_PEER":
-        return PeerMessageReceived(fields.whole(), *(unpack_message(read_bytes(fields)) or ((),)))
-    if name == "TOTAL":
-        return CounterReply(fields.whole(), RESULTS[fields.text()], fields.number(0.0), fields.whole(0))
-    raise WireError(f"unknown message '{name}'")
-
-
-def write_action(action: Action) -> str:
-    match action:
-        case StartAttempt(request_id, server, timeout_us):
-            return f"TRY {request_id} {server} {timeout_us}"
-        case CancelAttempt(request_id, attempt):
-            return f"CANCEL {request_id} {attempt}"
-        case RejectRequest(request_id, retry_after_us):
-            return f"TURN_AWAY {request_id} {retry_after_us}"
-        case FailRequest(request_id):
-            return f"END_FAILED {request_id}"
-        case SetTimer(delay_us, token):
-            return f"ARM {delay_us} {token}"
-        case ProbeServer(server):
-            return f"CHECK {server}"
-        case CloseIdleConnections(server):
-            return f"HANG_UP {server}"
-        case SendPeerMessage(peer, words, digest):
-            return "\n".join(f"TELL {peer} {data.hex()}" for data in pack_message(words, digest))
-        case AddToCounter(name, amount, lifetime_us):
-            return f"ADD_TO {name} {amount:g} {lifetime_us}"
-        case WatchEndpoints(on):
-            return f"STREAM_CHANGES {int(on)}"
-        case FetchEndpoints():
-            return "SNAPSHOT"
-        case WriteLog(text):
-            return f"EMIT {one_line(text)}"
-    raise TypeError(f"not an action: {action!r}")
-
-
-def one_line(text: str) -> str:
-    return " ".join(text.split())
-
-
-class ModuleError(Exception):
-    """The decision module raised an exception."""
+EXIT_MALFORMED_INPUT = 2
+
+
+class DecisionError(PolicyError):
+    """The decisions raised an exception while they handled an event."""
+
+
+@dataclass(frozen=True, slots=True)
+class Instance:
+    """One simulated gateway: its decisions, and the names of its load reports' values in their order."""
+
+    gateway: Gateway
+    report_names: tuple[str, ...]
 
 
 class Host:
-    """The instances of this process and the numbered server lists they refer to."""
+    """The instances of this process, and the numbered server lists that their events refer to."""
 
     def __init__(self) -> None:
-        self.gateway_count: dict[int, Gateway] = {}
-        self.report_names: dict[int, list[str]] = {}
-        self.sheets: dict[int, tuple[Server, ...]] = {}
-        self.target: int | None = None
-        self.context: int | None = None
-        self.now_us = 0
+        self.instances: dict[int, Instance] = {}  # by number
+        self.server_lists: dict[int, tuple[Server, ...]] = {}  # by number; a new list replaces an older one
+        self.now_us = 0  # the batch's clock
+        self.target: int | None = None  # the instance that the batch's next events are for
+        self.context: int | None = None  # the instance that the reply's last actions are of
 
     def start_batch(self, now_us: int) -> None:
-        self.now_us, self.target, self.context = now_us, None, None
+        """Begin a batch, in which no instance has been named yet."""
+        self.now_us = now_us
+        self.target = None
+        self.context = None
+
+    def event(self, name: str, values: list[str], following_lines: Iterator[str]) -> list[str]:
+        """Apply one line of a batch; the reply's lines for it.
 
-    def event(self, name: str, parts: list[str], lines: Iterator[str]) -> list[str]:
-        """Apply one event; the reply's lines for it."""
-        fields = Fields(parts)
+        A server list goes on over `following_lines`. Raises WireError or another ValueError for malformed
+        input, and DecisionError where the decisions fail.
+        """
         if name == "TARGET_INSTANCE":
-            self.target = fields.whole()
+            self.target = Fields(values).integer()
             return []
         if name == "SHEET":
-            number, size = fields.whole(), fields.whole()
-            self.sheets[number] = tuple([read_server(next(lines)) for _ in range(size)])
+            self._store_server_list(Fields(values), following_lines)
             return []
         if self.target is None:
             raise WireError("no instance is named")
         if name == "NEW_INSTANCE":
-            pairs = read_pairs(part for part in parts[1:] if part)
-            how = pairs.text("stats.names")
-            self.report_names[self.target] = how.split(",") if how else []
-            self.gateway_count[self.target] = Gateway(read_settings(fields.whole(), pairs))
+            self.instances[self.target] = start_instance(values)
             return []
-        if self.target not in self.gateway_count:
+        if self.target not in self.instances:
             raise WireError(f"there is no instance {self.target}")
         if name == "KILLED":
-            del self.gateway_count[self.target]
+            del self.instances[self.target]
             return []
+        return self._handle(self.target, self._read_event(self.target, name, values))
+
+    def _store_server_list(self, fields: Fields, lines: Iterator[str]) -> None:
+        number = fields.integer()
+        size = fields.integer()
+        servers: list[Server] = []
+        for _ in range(size):
+            line = next(lines, None)
+            if line is None:
+                raise WireError(f"a list is cut off: expected {size} entries, found {len(servers)}")
+            servers.append(read_server(line))
+        self.server_lists[number] = tuple(servers)
+
+    def _read_event(self, target: int, name: str, values: list[str]) -> Event:
+        fields = Fields(values, self.instances[target].report_names)
         if name == "UPDATE":
-            event: Event = self.read_list(fields)
-        else:
-            event = read_event(name, fields, self.report_names[self.target])
-        return self.decide(event)
+            return self._read_endpoint_update(fields)
+        return read_event(name, fields)
 
-    def read_list(self, fields: Fields) -> EndpointUpdate:
-        kind, version, sheet = LISTS[fields.text()], fields.whole(0), fields.whole(0)
+    def _read_endpoint_update(self, fields: Fields) -> EndpointUpdate:
+        kind = fields.word(UPDATE_KINDS)
+        version = fields.integer(0)
+        number = fields.integer(0)
         if kind is EndpointUpdateKind.FAILED:
             return EndpointUpdate(kind, version)
-        if sheet not in self.sheets:
-            raise WireError(f"there is no list {sheet}")
-        return EndpointUpdate(kind, version, self.sheets[sheet])
+        if number not in self.server_lists:
+            raise WireError(f"there is no list {number}")
+        return EndpointUpdate(kind, version, self.server_lists[number])
 
-    def decide(self, event: Event) -> list[str]:
-        assert self.target is not None
+    def _handle(self, target: int, event: Event) -> list[str]:
+        """Hand an event to an instance; the lines of its actions, after one that names the instance."""
         try:
-            actions = self.gateway_count[self.target].handle(self.now_us, event)
+            actions = self.instances[target].gateway.handle(self.now_us, event)
         except Exception as error:
-            raise ModuleError(f"{type(error).__name__}: {error}") from error
+            raise DecisionError(f"{type(error).__name__}: {error}") from error
         lines = [write_action(action) for action in actions]
-        if lines and self.context != self.target:
-            self.context = self.target
-            lines.insert(0, f"CONTEXT {self.target}")
+        if lines and self.context != target:
+            self.context = target
+            lines.insert(0, f"CONTEXT {target}")
         return lines
 
 
+def start_instance(values: list[str]) -> Instance:
+    """A new instance, from the values of NEW_INSTANCE: the seed of its random draws, then its settings."""
+    setting_values = read_setting_values(part for part in values[1:] if part)
+    report_names = setting_values.text("stats.names")
+    seed = Fields(values).integer()
+    gateway = Gateway(read_settings(seed, setting_values))
+    return Instance(gateway, tuple(report_names.split(",")) if report_names else ())
+
+
 def run_batch(host: Host, lines: Iterator[str]) -> list[str] | None:
-    """The reply to the next batch, or None at the end of the input."""
+    """The lines of the reply to the next batch, or None at the end of the input."""
     first = next(lines, None)
     if first is None:
         return None
-    name, *parts = first.split(" ")
+    name, *values = first.split(" ")
     if name != "MARK":
         raise WireError("a batch starts with MARK")
-    host.start_batch(Fields(parts).whole())
+    host.start_batch(Fields(values).integer())
     reply: list[str] = []
     for line in lines:
-        name, *parts = line.split(" ")
+        name, *values = line.split(" ")
         if name == "EOF_BATCH":
             return [*reply, "FINISHED"]
         try:
-            reply += host.event(name, parts, lines)
-        except ModuleError as error:
-            reply += [f"CONTEXT {host.target}", f"FAULT {one_line(str(error))}"]
+            reply += host.event(name, values, lines)
+        except DecisionError as error:
+            reply += [f"CONTEXT {host.target}", f"FAULT {to_one_line(str(error))}"]
     raise WireError("the input ends within a batch")
 
 
-def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer batches until the input ends; the exit code."""
-    count = 0
+class LineReader:
+    """The lines of the input without their ends, counted for error messages."""
 
-    def numbered() -> Iterator[str]:
-        nonlocal count
-        for line in source:
-            count += 1
-            yield line.rstrip("\n")
+    def __init__(self, source: Iterable[str]) -> None:
+        self.lines = iter(source)
+        self.count = 0  # lines read so far
 
-    host, lines = Host(), numbered()
+    def __iter__(self) -> "LineReader":
+        return self
+
+    def __next__(self) -> str:
+        line = next(self.lines)
+        self.count += 1
+        return line.rstrip("\n")
+
+
+def serve(source: TextIO, sink: TextIO) -> int:
+    """Answer batches until the input ends; the exit code of the process."""
+    host, lines = Host(), LineReader(source)
     try:
         while (reply := run_batch(host, lines)) is not None:
             sink.write("\n".join(reply) + "\n")
             sink.flush()
-    except (WireError, ValueError, KeyError, StopIteration) as error:
-        text = f"unknown word {error}" if isinstance(error, KeyError) else str(error) or "a list is cut off"
-        print(f"simulator_adapter: line {count}: {one_line(text)}", file=sys.stderr)
-        return 2
+    except (WireError, ValueError) as error:
+        print(f"simulator_adapter: line {lines.count}: {to_one_line(str(error))}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
     return 0
 
 
 def main() -> int:
-    sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
+    """Serve standard input and output, as UTF-8 with plain line feeds on every platform."""
+    for stream in (sys.stdin, sys.stdout):
+        if isinstance(stream, TextIOWrapper):
+            stream.reconfigure(encoding="utf-8", newline="\n")
     return serve(sys.stdin, sys.stdout)
 
 
--- /dev/null
+++ b/thistletrail/policy/simulator_wire.py
@@ -0,0 +1,327 @@
+"""The simulator's wire: lines of text to events, and actions to lines of text.
+
+A line is the name of a message and its values, separated by one space; `-` stands for an absent value. Each
+reader below takes the values of one message in the order of the wire's page. Nothing is decided here, and no
+state is kept from one line to the next.
+"""
+
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from enum import Enum
+from typing import TypeVar
+
+from thistletrail.policy.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    ProbeServer,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from thistletrail.policy.errors import PolicyError
+from thistletrail.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    CounterReply,
+    EndpointUpdateKind,
+    Event,
+    LoadReport,
+    PeerMessageReceived,
+    ProbeEnded,
+    RequestArrived,
+    Server,
+    ServerState,
+    StreamStarted,
+    TimerFired,
+)
+from thistletrail.policy.load_report_codec import read_load_report
+from thistletrail.policy.peer_codec import PeerDatagram, pack_datagrams, unpack_datagram
+from thistletrail.policy.settings_codec import SettingValues
+
+ABSENT = ("", "-")  # values that stand for none
+
+# The wire's words for an outcome, a server's state and the kind of a list.
+RESULTS = {
+    "served": AttemptResult.OK,
+    "server_error": AttemptResult.ERROR,
+    "turned_away": AttemptResult.AT_CAPACITY,
+    "no_answer": AttemptResult.TIMEOUT,
+    "no_connection": AttemptResult.CONNECT_FAILED,
+    "connection_lost": AttemptResult.RESET,
+    "called_off": AttemptResult.CANCELLED,
+    "not_sent": AttemptResult.NOT_SENT,
+}
+SERVER_STATES = {"U": ServerState.UP, "L": ServerState.DRAINING, "D": ServerState.GONE}
+UPDATE_KINDS = {
+    "snapshot": EndpointUpdateKind.FULL,
+    "disk": EndpointUpdateKind.CACHED,
+    "diff": EndpointUpdateKind.CHANGES,
+    "error": EndpointUpdateKind.FAILED,
+}
+
+# Bits of a request's `marks`; the wire's page names no others.
+RETRY_MARK = 2
+WRITE_MARK = 4
+
+Word = TypeVar("Word", bound=Enum)
+
+
+class WireError(PolicyError):
+    """A line is not what the wire's page describes; the message says what is wrong with it."""
+
+
+class Fields:
+    """The values of one line, taken one after the other; WireError where one is missing or malformed."""
+
+    def __init__(self, values: Sequence[str], report_names: Sequence[str] = ()) -> None:
+        """`report_names` are the instance's names for the values of a load report, in their order."""
+        self.values = values
+        self.report_names = report_names
+        self.position = 0  # of the next value
+
+    def has_value(self) -> bool:
+        """Whether an optional value comes next; an absent one is passed over."""
+        if self.position >= len(self.values):
+            return False
+        if self.values[self.position] in ABSENT:
+            self.position += 1
+            return False
+        return True
+
+    def text(self) -> str:
+        """A value that must be there, as it stands."""
+        if self.position >= len(self.values) or self.values[self.position] in ABSENT:
+            raise WireError(f"field {self.position + 1} is missing")
+        self.position += 1
+        return self.values[self.position - 1]
+
+    def optional_text(self) -> str:
+        """A value as it stands, or an empty text where it is absent."""
+        return self.text() if self.has_value() else ""
+
+    def integer(self, default: int | None = None) -> int:
+        """A whole number; without a default it must be there."""
+        if default is not None and not self.has_value():
+            return default
+        text = self.text()
+        try:
+            return int(text)
+        except ValueError as error:
+            raise self._malformed("a whole number", text) from error
+
+    def number(self, default: float) -> float:
+        """A number, or the default where it is absent."""
+        if not self.has_value():
+            return default
+        text = self.text()
+        try:
+            return float(text)
+        except ValueError as error:
+            raise self._malformed("a number", text) from error
+
+    def flag(self) -> bool:
+        """A value that is 0 or 1."""
+        text = self.text()
+        if text not in ("0", "1"):
+            raise self._malformed("0 or 1", text)
+        return text == "1"
+
+    def word(self, words: Mapping[str, Word]) -> Word:
+        """What one of the given words stands for."""
+        text = self.text()
+        if text not in words:
+            expected = ", ".join(words)
+            raise WireError(f"field {self.position} is an unknown word {text!r}: expected one of {expected}")
+        return words[text]
+
+    def data(self) -> bytes:
+        """Bytes in hex digits; none where they are absent."""
+        text = self.optional_text()
+        try:
+            return bytes.fromhex(text)
+        except ValueError as error:
+            raise self._malformed("hex digits", text) from error
+
+    def load_report(self) -> LoadReport | None:
+        """A load report, whose values stand in the order of their names; None where it is absent."""
+        if not self.has_value():
+            return None
+        values = self.text().split(",")
+        if len(values) > len(self.report_names):
+            raise WireError(f"the load report has {len(values)} values for {len(self.report_names)} names")
+        return read_load_report(zip(self.report_names, values, strict=False))
+
+    def _malformed(self, expected: str, found: str) -> WireError:
+        """The error for the value that was taken last."""
+        return WireError(f"field {self.position} is invalid: expected {expected}, found {found!r}")
+
+
+def read_setting_values(parts: Iterable[str]) -> SettingValues:
+    """The settings of an instance, from `path=value` each."""
+    values: dict[str, str] = {}
+    for part in parts:
+        path, equals_sign, value = part.partition("=")
+        if not equals_sign:
+            raise WireError(f"a setting is invalid: expected path=value, found {part!r}")
+        values[path] = value
+    return SettingValues(values)
+
+
+def read_server(line: str) -> Server:
+    """An entry of a server list, from a line `M ...`."""
+    name, *values = line.split(" ")
+    if name != "M":
+        raise WireError("a list entry is missing: expected a line M")
+    fields = Fields(values)
+    return Server(
+        name=fields.text(),
+        zone=fields.integer(),
+        kind=fields.integer(),
+        cell=fields.integer(),
+        state=fields.word(SERVER_STATES),
+        size=fields.number(1.0),
+        started_us=fields.integer(0),
+    )
+
+
+def read_event(name: str, fields: Fields) -> Event:
+    """An event of an instance, other than its start, its end and a server list."""
+    reader = EVENT_READERS.get(name)
+    if reader is None:
+        raise WireError(f"unknown message '{name}'")
+    return reader(fields)
+
+
+def _read_request_arrived(fields: Fields) -> RequestArrived:
+    request_id = fields.text()
+    class_index = fields.integer()
+    plan_index = fields.integer(0)
+    customer = fields.optional_text()
+    remaining_us = fields.integer()
+    units = fields.number(1.0)
+    set_size = int(fields.number(1.0))
+    set_first = int(fields.number(0.0))
+    marks = fields.integer(0)
+    return RequestArrived(
+        id=request_id,
+        class_index=class_index,
+        plan_index=plan_index,
+        customer=customer,
+        remaining_us=remaining_us,
+        units=units,
+        set_size=max(1, set_size),
+        set_first=set_first,
+        is_retry=bool(marks & RETRY_MARK),
+        is_write=bool(marks & WRITE_MARK),
+    )
+
+
+def _read_attempt_ended(fields: Fields) -> AttemptEnded:
+    return AttemptEnded(
+        id=fields.text(),
+        request_ended=fields.flag(),
+        attempt=fields.integer(),
+        server=fields.text(),
+        result=fields.word(RESULTS),
+        latency_us=fields.integer(0),
+        used_percent=fields.integer(0),
+        true_units=fields.number(0.0),
+        report=fields.load_report(),
+    )
+
+
+def _read_stream_started(fields: Fields) -> StreamStarted:
+    return StreamStarted(
+        id=fields.text(),
+        attempt=fields.integer(),
+        server=fields.text(),
+        latency_us=fields.integer(0),
+    )
+
+
+def _read_client_disconnected(fields: Fields) -> ClientDisconnected:
+    return ClientDisconnected(fields.text())
+
+
+def _read_timer_fired(fields: Fields) -> TimerFired:
+    return TimerFired(fields.integer())
+
+
+def _read_probe_ended(fields: Fields) -> ProbeEnded:
+    return ProbeEnded(
+        server=fields.text(),
+        result=fields.word(RESULTS),
+        latency_us=fields.integer(0),
+        report=fields.load_report(),
+    )
+
+
+def _read_peer_message(fields: Fields) -> PeerMessageReceived:
+    """A datagram of another form arrives as a message without contents: its sender is alive."""
+    sender = fields.integer()
+    datagram = unpack_datagram(fields.data()) or PeerDatagram((), None)
+    return PeerMessageReceived(sender, datagram.quota_messages, datagram.digest)
+
+
+def _read_counter_reply(fields: Fields) -> CounterReply:
+    return CounterReply(
+        name=fields.integer(),
+        result=fields.word(RESULTS),
+        total=fields.number(0.0),
+        latency_us=fields.integer(0),
+    )
+
+
+EVENT_READERS: dict[str, Callable[[Fields], Event]] = {
+    "NEW_REQUEST": _read_request_arrived,
+    "ATTEMPT_END": _read_attempt_ended,
+    "ACK_FIRST": _read_stream_started,
+    "HANGUP": _read_client_disconnected,
+    "BELL": _read_timer_fired,
+    "CHECK_RESULT": _read_probe_ended,
+    "FROM_PEER": _read_peer_message,
+    "TOTAL": _read_counter_reply,
+}
+
+
+def write_action(action: Action) -> str:
+    """The line for an action; a SendPeerMessage takes one line a datagram. TypeError for anything else."""
+    match action:
+        case StartAttempt(request_id, server, timeout_us):
+            return f"TRY {request_id} {server} {timeout_us}"
+        case CancelAttempt(request_id, attempt):
+            return f"CANCEL {request_id} {attempt}"
+        case RejectRequest(request_id, retry_after_us):
+            return f"TURN_AWAY {request_id} {retry_after_us}"
+        case FailRequest(request_id):
+            return f"END_FAILED {request_id}"
+        case SetTimer(delay_us, token):
+            return f"ARM {delay_us} {token}"
+        case ProbeServer(server):
+            return f"CHECK {server}"
+        case CloseIdleConnections(server):
+            return f"HANG_UP {server}"
+        case SendPeerMessage(peer, quota_messages, digest):
+            datagrams = pack_datagrams(quota_messages, digest)
+            return "\n".join(f"TELL {peer} {datagram.hex()}" for datagram in datagrams)
+        case AddToCounter(name, amount, lifetime_us):
+            return f"ADD_TO {name} {amount:g} {lifetime_us}"
+        case WatchEndpoints(enabled):
+            return f"STREAM_CHANGES {int(enabled)}"
+        case FetchEndpoints():
+            return "SNAPSHOT"
+        case WriteLog(text):
+            return f"EMIT {to_one_line(text)}"
+    raise TypeError(f"not an action: {action!r}")
+
+
+def to_one_line(text: str) -> str:
+    """A text with each run of white space replaced by one space, as a line can hold it."""
+    return " ".join(text.split())
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -26,7 +26,6 @@
     WatchEndpoints,
     WriteLog,
 )
-from thistletrail.policy.codec import pack_message, unpack_message
 from thistletrail.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -42,6 +41,7 @@
     SnapshotFound,
     TimerFired,
 )
+from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
 from thistletrail.policy.snapshot import collect
 from thistletrail.simulation.clients import Try
 from thistletrail.simulation.clock import MS, S
@@ -244,10 +244,9 @@
             return
         self.intake += 1
         day.books.message("arrived", len(data))
-        unpacked = unpack_message(data)
-        if unpacked is not None:
-            words, digest = unpacked
-            self.handle(PeerMessageReceived(sender, words, digest))
+        datagram = unpack_datagram(data)
+        if datagram is not None:
+            self.handle(PeerMessageReceived(sender, datagram.quota_messages, datagram.digest))
 
     def request(self, try_: Try) -> None:
         """A client's try; a door that has died resets it."""
@@ -338,7 +337,7 @@
             self.handle(TimerFired(token))
 
     def tell(self, action: SendPeerMessage) -> None:
-        for data in pack_message(action.quota_messages, action.digest):
+        for data in pack_datagrams(action.quota_messages, action.digest):
             self.day.network.datagram(self.number, action.peer, data)
 
     def note(self, try_id: str) -> Decided | None:
