--- a/thistletrail/policy/peer_codec.py
+++ b/thistletrail/policy/peer_codec.py
@@ -61,14 +61,14 @@
 def unpack_datagram(data: bytes) -> PeerDatagram | None:
     """The contents of a datagram; None where its length is none that this version writes."""
     digest_at = COUNT_BYTES + data[0] * QUOTA_MESSAGE.size if data else COUNT_BYTES
-    if not _is_whole(len(data), digest_at):
+    if not _is_complete(len(data), digest_at):
         return None
     messages = tuple(map(_unpack_quota_message, QUOTA_MESSAGE.iter_unpack(data[COUNT_BYTES:digest_at])))
     has_digest = len(data) > digest_at
     return PeerDatagram(messages, _unpack_digest(data[digest_at:]) if has_digest else None)
 
 
-def _is_whole(length: int, digest_at: int) -> bool:
+def _is_complete(length: int, digest_at: int) -> bool:
     """Whether a datagram ends where its quota messages do, or else with the last observation of a digest."""
     if length <= digest_at:
         return length == digest_at
--- a/thistletrail/policy/settings.py
+++ b/thistletrail/policy/settings.py
@@ -1,7 +1,7 @@
 """What is configured for a gateway's decisions: request classes, plans, limits and prices.
 
 Settings are given once, at start. Times are whole microseconds, rates are per second. Field names of the
-settings file are read in `codec`; the names here are the code's own.
+settings file are read in `settings_codec`; the names here are the code's own.
 """
 
 from dataclasses import dataclass
