--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -17,8 +17,8 @@
 from thistletrail.gateway.peer_transport import PeerTransport
 from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.actions import SendPeerMessage
-from thistletrail.policy.codec import pack_message
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, QuotaMessage, ServerState
+from thistletrail.policy.peer_codec import pack_datagrams
 
 AT = (HOST, 6379)
 
@@ -286,9 +286,9 @@
             await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
         messages = tuple(QuotaMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
         with stranger:
-            stranger.sendto(pack_message(messages[:1])[0], ports[0])
+            stranger.sendto(pack_datagrams(messages[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
-        friend.transport.sendto(pack_message(messages)[0] * 2, ports[0])  # longer than the wire allows
+        friend.transport.sendto(pack_datagrams(messages)[0] * 2, ports[0])  # longer than the wire allows
         friend.send(SendPeerMessage(0, messages))
         got: tuple[QuotaMessage, ...] = ()
         while len(got) < len(messages):
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -7,8 +7,8 @@
 
 from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.legacy_settings import with_current_keys
-from thistletrail.policy.codec import Pairs, read_settings
 from thistletrail.policy.settings import Settings
+from thistletrail.policy.settings_codec import SettingValues, read_settings
 
 MAX_ERROR_CHARACTERS = 200  # of an error's text that are shown: a value of the file may be in it
 MAX_PORT = 65535
@@ -112,7 +112,7 @@
 def parse(values: Mapping[str, Any], env: Mapping[str, str]) -> Config:
     """The configuration from the file's values, where the environment goes before them."""
     settings = values["settings"]
-    pairs = Pairs(dict(flatten(settings)))
+    setting_values = SettingValues(dict(flatten(settings)))
     class_numbers = index_by_name(settings["categories"])
     peer_listen = values.get("peer_listen")
     limits = values.get("limits") or {}
@@ -121,14 +121,14 @@
         name=env.get("PROXY_NAME") or values["name"],
         listen=read_address(env.get("PROXY_LISTEN") or values["listen"]),
         discovery=read_addresses(env.get("PROXY_DISCOVERY") or values["discovery"]),
-        settings=with_budget_leases(read_settings(int(values["seed"], 16), pairs), budget_leases),
+        settings=with_budget_leases(read_settings(int(values["seed"], 16), setting_values), budget_leases),
         class_numbers=class_numbers,
         plan_numbers=index_by_name(settings["plans"]),
         zone_numbers=index_by_name(settings.get("zones")),
         kind_numbers=index_by_name(settings.get("kinds")),
-        conn_idle_us=pairs.whole("ceilings.conn-idle-us", DEFAULT_CONNECTION_IDLE_US),
-        connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", DEFAULT_CONNECT_TIMEOUT_US),
-        max_open=pairs.whole("ceilings.max-open", DEFAULT_MAX_OPEN_REQUESTS),
+        conn_idle_us=setting_values.integer("ceilings.conn-idle-us", DEFAULT_CONNECTION_IDLE_US),
+        connect_timeout_us=setting_values.integer("ceilings.connect-timeout-us", DEFAULT_CONNECT_TIMEOUT_US),
+        max_open=setting_values.integer("ceilings.max-open", DEFAULT_MAX_OPEN_REQUESTS),
         sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
         memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         known=values.get("known") or {},
@@ -259,7 +259,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value pairs of the simulator's wire."""
+    """Nested JSON as the path=value setting_values of the simulator's wire."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from flatten(inner, f"{path}.{name}" if path else name)
--- a/thistletrail/gateway/peer_transport.py
+++ b/thistletrail/gateway/peer_transport.py
@@ -6,8 +6,8 @@
 from thistletrail.gateway.config import Address
 from thistletrail.gateway.cost_counters import PEERS, CostCounters
 from thistletrail.policy.actions import SendPeerMessage
-from thistletrail.policy.codec import MESSAGE_BYTES, pack_message, unpack_message
 from thistletrail.policy.events import PeerMessageReceived
+from thistletrail.policy.peer_codec import MAX_DATAGRAM_BYTES, pack_datagrams, unpack_datagram
 
 
 class PeerTransport(asyncio.DatagramProtocol):
@@ -39,11 +39,11 @@
     def datagram_received(self, data: bytes, address: Address) -> None:
         """Report the message of a peer."""
         sender = self.senders.get(address)
-        is_readable = sender is not None and len(data) <= MESSAGE_BYTES
-        message = unpack_message(data) if is_readable else None
-        if message:
+        is_readable = sender is not None and len(data) <= MAX_DATAGRAM_BYTES
+        datagram = unpack_datagram(data) if is_readable else None
+        if datagram:
             self.costs.datagrams_in += 1
-            self.on_message(PeerMessageReceived(sender, *message))
+            self.on_message(PeerMessageReceived(sender, datagram.quota_messages, datagram.digest))
         else:
             self.costs.datagrams_dropped += 1
 
@@ -53,7 +53,7 @@
     def send(self, action: SendPeerMessage) -> None:
         """Send a message to a peer, in as many datagrams as it needs; none before the socket is open."""
         if self.transport and action.peer != self.gateway_index and action.peer < len(self.addresses):
-            for data in pack_message(action.quota_messages, action.digest):
+            for data in pack_datagrams(action.quota_messages, action.digest):
                 self.transport.sendto(data, self.addresses[action.peer])
                 self.costs.datagrams_out += 1
 
