--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -17,7 +17,9 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.loads import LOADS
 from thistletrail.benchmarks.process import ROOT, Process, Tree, free_port, front_door
-from thistletrail.benchmarks.standins import HOST
+from thistletrail.benchmarks.standins import HOST, Peer
+from thistletrail.policy.codec import pack_message, unpack_message
+from thistletrail.policy.events import QuotaMessage
 
 HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 SMALL = replace(LOADS["steady"], requests=60, rate=300, servers=3, work_ms=2.0)
@@ -189,3 +191,28 @@
     assert rows["b", "processor_us"]["deviation"] is None and ("b", "resident_idle") not in rows
     text = cost.difference_table(rows.values(), "HEAD~1")
     assert "HEAD~1" in text.splitlines()[0] and "-7.6" in text
+
+
+class Sent(asyncio.DatagramTransport):
+    """Keeps what is sent."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.datagrams: list[tuple[bytes, tuple[str, int]]] = []
+
+    def sendto(self, data: bytes, addr: tuple[str, int]) -> None:
+        self.datagrams.append((data, addr))
+
+
+def test_the_peer_answers_what_is_requested_and_nothing_else() -> None:
+    peer, transport = Peer(level=20.0), Sent()
+    peer.connection_made(transport)
+    silent = QuotaMessage(7, 0, 0, 2, demand=1.0)
+    request = QuotaMessage(9, 0, 0, 2, demand=3.0, requested=2.0)
+    for datagram in pack_message([silent, request]):
+        peer.datagram_received(datagram, (HOST, 1))
+    ((data, address),) = transport.datagrams
+    assert address == (HOST, 1)
+    messages, _ = unpack_message(data)
+    assert [(message.customer, message.is_answer) for message in messages] == [(9, True)]
+    assert (messages[0].demand, messages[0].spent, messages[0].level) == (3.0, 2.0, 20.0)
--- a/thistletrail/benchmarks/standins.py
+++ b/thistletrail/benchmarks/standins.py
@@ -184,12 +184,12 @@
                 word.set_size,
                 True,
                 demand=word.demand,
-                spent=word.asked,
-                asked=word.asked,
+                spent=word.requested,
+                requested=word.requested,
                 level=self.level,
             )
             for word in words
-            if not word.is_answer and word.asked
+            if not word.is_answer and word.requested
         ]
         if answers:
             for message in pack_message(answers):
