--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -13,6 +13,7 @@
 import tomllib
 from collections.abc import AsyncIterator, Iterator, Sequence
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
@@ -226,7 +227,7 @@
             stdout=output,
             stderr=output,
             start_new_session=True,  # a group of its own, ended as one
-            preexec_fn=die_with_parent,
+            preexec_fn=partial(die_with_parent, os.getpid()),
         )
     return Process(process, log, (host, int(port)))
 
@@ -253,7 +254,7 @@
             cwd=ROOT,
             stderr=errors,
             start_new_session=True,
-            preexec_fn=die_with_parent,
+            preexec_fn=partial(die_with_parent, os.getpid()),
             **more,
         )
 
--- a/thistletrail/simulation/back.py
+++ b/thistletrail/simulation/back.py
@@ -52,11 +52,11 @@
     return found
 
 
-def ready() -> None:
+def ready(parent: int) -> None:
     """In a worker: Ctrl-C is its parent's, which ends it; it dies with that one."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
-    die_with_parent()
+    die_with_parent(parent)
 
 
 def play_all(
@@ -71,7 +71,7 @@
     cases = [[Case(part, state, seed) for part in parts for state in states] for seed in seeds]
     of(scenario, cases[0][0])
     found: dict[Case, dict[str, float]] = {}
-    pool = ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), ready)
+    pool = ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), ready, (os.getpid(),))
     try:
         futures = {pool.submit(play_seed, scenario, of_seed): of_seed[0].seed for of_seed in cases}
         for future in as_completed(futures):
