--- a/thistletrail/policy/dispatcher.py
+++ b/thistletrail/policy/dispatcher.py
@@ -63,10 +63,9 @@
             self.count_first_attempt(request)
         request.attempted_servers.append(server)
         request.in_flight[number] = now_us
-        server.in_flight[(request.arrival.id, number)] = now_us
-        server.connections = max(server.connections, len(server.in_flight))
+        server.add_attempt(request.arrival.id, number, now_us)
         request.customer.in_flight += 1
-        self.overload.in_flight += 1
+        self.overload.record_attempt_started(is_first=number == 0)
         server.next_attempt_us = now_us + self.slow_start.spacing_us(server)
         if request.may_have_run_on is None:
             request.may_have_run_on = server
@@ -75,8 +74,7 @@
         self.context.emit(StartAttempt(request.arrival.id, server.entry.name, timeout_us))
 
     def count_first_attempt(self, request: PendingRequest) -> None:
-        """A request leaves: it counts in N and in its customer's ceiling, and earns a part of a retry."""
-        self.overload.accepted_in_period += 1
+        """A request leaves: it counts in its customer's ceiling, and earns a part of a retry."""
         self.retry_budget.record_first_attempt()
         if self.context.now_us >= request.ceiling_granted_until_us:
             request.customer.use_ceiling(request.arrival.units)
--- a/thistletrail/policy/overload_control.py
+++ b/thistletrail/policy/overload_control.py
@@ -97,6 +97,16 @@
         """The endpoint list has changed."""
         self.capacity = self.slow_start.usable_capacity()
 
+    def record_attempt_started(self, is_first: bool) -> None:
+        """An attempt is in flight; the first one of a request counts in N."""
+        self.in_flight += 1
+        if is_first:
+            self.accepted_in_period += 1
+
+    def record_attempt_ended(self) -> None:
+        """An attempt is no longer in flight."""
+        self.in_flight -= 1
+
     def record_utilization(self, utilization: float) -> None:
         """A server's report of busy cores over all cores."""
         self.utilization_samples.append(utilization)
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -125,6 +125,24 @@
         self.local_bucket.level = min(self.local_bucket.level, max(0.0, self.set_level))
         return self
 
+    def apply_owner_answer(self, level: float, demand: float, now_us: int) -> None:
+        """Go by the quota owner's figures: the set's level, and the demand of all its gateways."""
+        self.owner_answered_at_us = now_us
+        self.set_level = level
+        self.peer_demand = max(0.0, demand - self.local_demand)
+
+    def limit_local_share(self, level: float) -> None:
+        """Have no more here than an even share of the level that the quota owner reports."""
+        self.local_bucket.level = min(self.local_bucket.level, max(0.0, level / self.set_size))
+
+    def restore(self, share: float, level: float, ceiling: float, grants: float) -> None:
+        """Set the buckets to stored levels, within their present capacity."""
+        max_local = self.plan.burst / self.set_size
+        self.local_bucket.level = max(0.0, min(max_local, share))
+        self.set_level = min(self.plan.burst, level)
+        self.ceiling_bucket.level = min(ceiling, self.ceiling_bucket.capacity)
+        self.ceiling_grants.level = min(grants, self.ceiling_grants.capacity)
+
     @property
     def demand(self) -> float:
         """Units requested lately at all gateways of the set, as far as it is known."""
@@ -148,6 +166,10 @@
         quota = self.set_level - reserve + self.plan.rate * DEMAND_SPAN_US / MICROSECONDS_PER_SECOND
         return max(0.0, min(1.0, quota / max(units, self.demand))) if self.plan.rate else 1.0
 
+    def has_local_share(self, units: float) -> bool:
+        """Whether the share here suffices; with a bound on requests in flight it never does."""
+        return not self.plan.max_in_flight and self.local_bucket.level >= units
+
     def has_in_flight_room(self) -> bool:
         """Whether one more of its requests may be in flight from here."""
         max_in_flight = self.plan.max_in_flight
--- a/thistletrail/policy/quota_admission.py
+++ b/thistletrail/policy/quota_admission.py
@@ -73,7 +73,7 @@
         is_owner = customer.owner == self.gateway_index
         if BudgetKind.QUOTA in customer.leased:
             self.admit_by_lease(request)
-        elif self.has_local_share(customer, units, is_owner):
+        elif customer.has_local_share(units) and (is_owner or customer.has_ceiling_room(units)):
             self.decide(request, 1.0, QuotaBasis.LOCAL_SHARE)
             self.exchange.report(customer)
         elif is_owner:
@@ -84,12 +84,6 @@
         else:
             self.request_owner_answer(request)
 
-    def has_local_share(self, customer: CustomerQuota, units: float, is_owner: bool) -> bool:
-        """Whether the share here suffices, so that no answer is needed."""
-        if customer.plan.max_in_flight or customer.local_bucket.level < units:
-            return False
-        return is_owner or customer.has_ceiling_room(units)
-
     def admit_by_lease(self, request: PendingRequest) -> None:
         """Decide by the units that a lease has brought, or wait for more."""
         self.exchange.report(request.customer)
@@ -134,7 +128,7 @@
 
     def enqueue(self, request: PendingRequest) -> None:
         """Queue an admitted request, and send what may leave."""
-        self.traffic.admitted_in_period += 1
+        self.traffic.record_admission()
         self.queue.add(request)
         self.dispatcher.dispatch_queued()
 
--- a/thistletrail/policy/quota_receiver.py
+++ b/thistletrail/policy/quota_receiver.py
@@ -58,15 +58,12 @@
 
     def receive_answer(self, sender: int, message: QuotaMessage, customer: CustomerQuota) -> None:
         """The quota owner's figures hold here for a while, and decide on a request that waits for them."""
-        customer.owner_answered_at_us = self.context.now_us
+        now_us = self.context.now_us
         # An owner that has lost its state knows less than what it reported before.
-        if self.incarnations.has_lost_state(sender, self.context.now_us):
-            customer.set_level = min(customer.set_level, message.level)
-        else:
-            customer.set_level = message.level
-        customer.peer_demand = max(0.0, message.demand - customer.local_demand)
-        local_share = max(0.0, message.level / customer.set_size)
-        customer.local_bucket.level = min(customer.local_bucket.level, local_share)
+        has_lost_state = self.incarnations.has_lost_state(sender, now_us)
+        level = min(customer.set_level, message.level) if has_lost_state else message.level
+        customer.apply_owner_answer(level, message.demand, now_us)
+        customer.limit_local_share(message.level)
         if message.requested:
             self.admission.on_owner_answer(customer, message.spent)
         else:
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -149,11 +149,9 @@
         """The attempt is no longer in flight, and its connection may be broken."""
         server = request.attempted_servers[event.attempt]
         request.customer.in_flight -= 1
-        self.overload.in_flight -= 1
+        self.overload.record_attempt_ended()
         del request.in_flight[event.attempt]
-        del server.in_flight[(event.id, event.attempt)]
-        if event.result in BROKEN_CONNECTION_RESULTS and server.connections > 0:
-            server.connections -= 1
+        server.remove_attempt(event.id, event.attempt, event.result in BROKEN_CONNECTION_RESULTS)
 
     def note_where_it_ran(self, request: PendingRequest, result: AttemptResult) -> None:
         """Count what is known not to have run; if that is all, it may run anywhere."""
--- a/thistletrail/policy/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -84,11 +84,7 @@
             return
         key = CustomerKey(stored.customer, stored.plan_index, stored.set_first, stored.set_size)
         customer = self.customers.get(key)
-        max_local = customer.plan.burst / customer.set_size
-        customer.local_bucket.level = max(0.0, min(max_local, stored.share))
-        customer.set_level = min(customer.plan.burst, stored.level)
-        customer.ceiling_bucket.level = min(stored.ceiling, customer.ceiling_bucket.capacity)
-        customer.ceiling_grants.level = min(stored.grants, customer.ceiling_grants.capacity)
+        customer.restore(stored.share, stored.level, stored.ceiling, stored.grants)
 
     def restore_server(self, stored: EjectedServerSnapshot, age_us: int) -> None:
         """Eject a server that was ejected, for the time that was left, if it is known."""
--- a/thistletrail/policy/traffic_estimates.py
+++ b/thistletrail/policy/traffic_estimates.py
@@ -25,6 +25,10 @@
         self.first_attempts_per_s = 0.0
         self.admitted_in_period = 0  # requests that their quotas let through in this control period
 
+    def record_admission(self) -> None:
+        """A request is inside its quota, and is to be sent."""
+        self.admitted_in_period += 1
+
     def record_latency(self, class_index: int, latency_us: int) -> None:
         """Count a successful attempt in the mean of its class."""
         mean_us = self.mean_latency_us[class_index]
--- a/thistletrail/policy/upstream_server.py
+++ b/thistletrail/policy/upstream_server.py
@@ -50,3 +50,14 @@
         self.avoid_until_us = 0
         self.backoff_us = 0
         self.warm_up_start_us = entry.started_us  # the process's start, or the return from ejection
+
+    def add_attempt(self, request_id: str, number: int, sent_us: int) -> None:
+        """An attempt is in flight here, on a connection of its own."""
+        self.in_flight[(request_id, number)] = sent_us
+        self.connections = max(self.connections, len(self.in_flight))
+
+    def remove_attempt(self, request_id: str, number: int, is_connection_broken: bool) -> None:
+        """An attempt is no longer in flight; its connection stays open unless it broke."""
+        del self.in_flight[(request_id, number)]
+        if is_connection_broken and self.connections > 0:
+            self.connections -= 1
