--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.sockets import Backend, Client, front_door, query, refusing_address, run, value
+from tests.sockets import Backend, Client, query, refusing_address, run, running_gateway, value
 from tests.test_program import config, start, write
 from thistletrail.gateway import backends
 from thistletrail.gateway import cost_counters as costs
@@ -16,14 +16,14 @@
 from thistletrail.gateway.cost_counters import REST, CostCounters, StageTimer
 from thistletrail.gateway.errors import ConfigError
 from thistletrail.gateway.peer_transport import PeerTransport
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
 
 OPEN = Path("/proc/self/fd")
 
 
-def figures(gateway_server: FrontDoor) -> dict[str, object]:
+def figures(gateway_server: GatewayServer) -> dict[str, object]:
     first_word, _, rest = gateway_server.cost_line().partition(" ")
     assert first_word == "costs" and "\n" not in rest
     return json.loads(rest)
@@ -37,7 +37,7 @@
             return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(words[2], value(b"ok"))
 
         backend = Backend(answer)
-        async with front_door(backend) as (gateway_server, address):
+        async with running_gateway(backend) as (gateway_server, address):
             client = await Client.open(address)
             for number in range(20):
                 assert await client.ask(query(f"a{number}")) == b"ok"
@@ -64,7 +64,7 @@
 
 def test_handshakes_that_fail_are_counted() -> None:
     async def scenario() -> None:
-        async with front_door(addresses=[refusing_address()]) as (gateway_server, address):
+        async with running_gateway(addresses=[refusing_address()]) as (gateway_server, address):
             client = await Client.open(address)
             assert str(await client.ask(query("a1"))).startswith("-")
             found = figures(gateway_server)
@@ -78,7 +78,7 @@
 def test_descriptors_agree_with_the_process_s_own_table() -> None:
     async def scenario() -> None:
         backend = Backend()
-        async with front_door(backend) as (gateway_server, address):
+        async with running_gateway(backend) as (gateway_server, address):
             before = figures(gateway_server)["descriptors"]
             clients = [await Client.open(address) for _ in range(30)]
             for number, client in enumerate(clients):
@@ -137,7 +137,7 @@
 
 def test_stages_of_a_gateway_add_up_to_its_time() -> None:
     async def scenario() -> None:
-        async with front_door(Backend(), time_stages=True) as (gateway_server, address):
+        async with running_gateway(Backend(), time_stages=True) as (gateway_server, address):
             client = await Client.open(address)
             for number in range(50):
                 assert await client.ask(query(f"a{number}")) == b"ok"
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -15,7 +15,7 @@
 from thistletrail.gateway.discovery_client import DiscoveryClient
 from thistletrail.gateway.endpoint_list import EndpointListCodec, EndpointListUpdate
 from thistletrail.gateway.peer_transport import PeerTransport
-from thistletrail.gateway.server import FrontDoor
+from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.codec import pack_message
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, QuotaMessage, ServerState
@@ -261,9 +261,11 @@
 def test_known_list_serves_while_discovery_is_silent() -> None:
     async def scenario() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
-        gateway_server = FrontDoor(replace(CONFIG, known=known, discovery=(await Watch(script()).start(),)))
+        gateway_server = GatewayServer(
+            replace(CONFIG, known=known, discovery=(await Watch(script()).start(),))
+        )
         received: list[Event] = []
-        gateway_server.gateway.handle = lambda now, event: received.append(event) or []
+        gateway_server.policy.handle = lambda now, event: received.append(event) or []
         await gateway_server.start()
         assert [event.kind for event in received if isinstance(event, EndpointUpdate)] == [
             EndpointUpdateKind.CACHED
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -14,15 +14,15 @@
 
 from thistletrail.gateway.backends import now_us
 from thistletrail.gateway.config import Config
-from thistletrail.leasing.client import RENEW_SHARE, Renewer
-from thistletrail.leasing.holder import Holder
-from thistletrail.leasing.state import Terms
-from thistletrail.leasing.wire import now_ms
+from thistletrail.leasing.budget_holder import BudgetHolder, Demand
+from thistletrail.leasing.budget_state import BudgetLimits
+from thistletrail.leasing.client import RENEW_FRACTION, LeaseRenewer, ServiceSettings
+from thistletrail.leasing.framing import now_ms
 from thistletrail.policy.events import BudgetGranted, BudgetKey
 from thistletrail.policy.leased_budgets import total_budget
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.server import FrontDoor
+    from thistletrail.gateway.server import GatewayServer
 
 MAX_BUDGETS = 2000  # in one renewal: as many as the lease service accepts
 POLL_INTERVAL_S = 0.05  # between looks for new customers and requests that wait for units
@@ -36,14 +36,14 @@
     """One incarnation's shares of customers' ceilings, quotas and requests in flight, and of the retry
     budget."""
 
-    def __init__(self, gateway_server: FrontDoor, config: Config) -> None:
+    def __init__(self, gateway_server: GatewayServer, config: Config) -> None:
         """`config` has `budget_leases`."""
         self.gateway_server = gateway_server
         self.plan_names = {number: name for name, number in config.plan_numbers.items()}
         lease_settings = config.budget_leases
         rng = random.Random(config.settings.seed)
         # Buckets and floors are the policy's, by a customer's set; the holder's own are of no use here.
-        self.holder = Holder(
+        self.holder = BudgetHolder(
             config.settings.gateway_index, rng.getrandbits(63), config.settings.gateway_count
         )
         self.keys: dict[str, BudgetKey | None] = {}  # by name: the budgets that are requested
@@ -52,12 +52,10 @@
         self.requested_at_s = 0.0  # when the last renewal was made, on the loop's clock
         # For how long after a renewal none is hurried for units alone, and the longest that this may grow to.
         self.backoff_s = 0.0
-        self.max_backoff_s = lease_settings.lease_ms * RENEW_SHARE / MILLISECONDS_PER_SECOND
-        self.renewer = Renewer(
+        self.max_backoff_s = lease_settings.lease_ms * RENEW_FRACTION / MILLISECONDS_PER_SECOND
+        self.renewer = LeaseRenewer(
             self.holder,
-            lease_settings.addresses,
-            lease_settings.secret,
-            lease_settings.lease_ms,
+            ServiceSettings(lease_settings.addresses, lease_settings.secret, lease_settings.lease_ms),
             rng,
             self._update_demand,
             self._on_renewed,
@@ -79,7 +77,7 @@
     def _is_hurried(self) -> bool:
         """Whether the next renewal is needed before it is due."""
         may_hurry_for_units = asyncio.get_running_loop().time() >= self.requested_at_s + self.backoff_s
-        for demand in self.gateway_server.gateway.budget_demands(now_us()):
+        for demand in self.gateway_server.policy.budget_demands(now_us()):
             if self._name(demand.key) not in self.keys:
                 return True
             if may_hurry_for_units and demand.needed > 0:
@@ -93,30 +91,30 @@
         plan_name = self.plan_names[key.plan_index]
         return f"{key.kind}/{plan_name}/{key.set_first}.{key.set_size}/{key.customer:08x}"
 
-    def _terms(self, key: BudgetKey | None) -> Terms:
+    def _limits(self, key: BudgetKey | None) -> BudgetLimits:
         """The rate and burst of a budget, of all gateways together."""
         settings = self.gateway_server.settings
         if key is None:
-            return Terms.of(settings.retry_rate, settings.retry_burst)
+            return BudgetLimits.from_rate(settings.retry_rate, settings.retry_burst)
         rate, burst = total_budget(key.kind, settings.plans[key.plan_index])
-        return Terms.of(rate, burst)
+        return BudgetLimits.from_rate(rate, burst)
 
     def _update_demand(self) -> None:
         """Give the holder all budgets of which a share is needed; it lets go of others by itself."""
         self.requested_at_s = asyncio.get_running_loop().time()
         self.needed_units = 0
         now = now_ms()
-        for demand in self.gateway_server.gateway.budget_demands(now_us())[:MAX_BUDGETS]:
+        for demand in self.gateway_server.policy.budget_demands(now_us())[:MAX_BUDGETS]:
             name = self._name(demand.key)
             self.keys[name] = demand.key
-            terms = self._terms(demand.key)
+            limits = self._limits(demand.key)
             needed_units = math.ceil(demand.needed)
             self.needed_units += needed_units
-            rate_or_count = round(demand.demand * (THOUSANDTHS if terms.burst else 1))
-            self.holder.use(name, terms, rate_or_count, now, needed_units, demand.in_use)
-            self.holder.parts[name].back = demand.returned
+            rate_or_count = round(demand.demand * (THOUSANDTHS if limits.burst else 1))
+            self.holder.set_demand(name, limits, Demand(rate_or_count, needed_units, demand.in_use), now)
+            self.holder.leases[name].returned_units = demand.returned
         for name in list(self.keys):
-            if name not in self.holder.parts:
+            if name not in self.holder.leases:
                 del self.keys[name]
                 self.posted_fences.pop(name, None)
 
@@ -126,10 +124,10 @@
         posted_at_us = now_us()
         new_grants = {
             name: grant
-            for name, grant in self.holder.parts.items()
+            for name, grant in self.holder.leases.items()
             if grant.fence and grant.fence != self.posted_fences.get(name)
         }
-        has_new_units = any(grant.came for grant in new_grants.values())
+        has_new_units = any(grant.granted_units for grant in new_grants.values())
         if self.needed_units and not has_new_units:
             self.backoff_s = min(2 * self.backoff_s + POLL_INTERVAL_S, self.max_backoff_s)
         else:
@@ -137,5 +135,5 @@
         for name, grant in new_grants.items():
             self.posted_fences[name] = grant.fence
             until_us = posted_at_us + (grant.until_ms - now) * MICROSECONDS_PER_MILLISECOND
-            share = grant.part / grant.terms.whole
-            self.gateway_server.post(BudgetGranted(self.keys[name], share, grant.came, until_us))
+            share = grant.share / grant.limits.total
+            self.gateway_server.post(BudgetGranted(self.keys[name], share, grant.granted_units, until_us))
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -27,7 +27,7 @@
 from thistletrail.policy.events import SnapshotFound
 
 if TYPE_CHECKING:
-    from thistletrail.gateway.server import FrontDoor
+    from thistletrail.gateway.server import GatewayServer
 
 log = logging.getLogger(__name__)
 
@@ -85,7 +85,7 @@
             return config
         return replace(config, known=self.found.endpoint_list)
 
-    def restore(self, gateway_server: FrontDoor) -> None:
+    def restore(self, gateway_server: GatewayServer) -> None:
         """Give the policy what the snapshot says, where that is young enough."""
         if self.found is None:
             return
@@ -112,7 +112,7 @@
 
     # --- while it serves ---
 
-    async def run(self, gateway_server: FrontDoor) -> None:
+    async def run(self, gateway_server: GatewayServer) -> None:
         """Write a snapshot every now and then, until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
@@ -120,14 +120,14 @@
             await asyncio.sleep(SAVE_INTERVAL_S * jitter)
             await loop.run_in_executor(None, self.write, self.collect(gateway_server))
 
-    def collect(self, gateway_server: FrontDoor) -> Snapshot:
+    def collect(self, gateway_server: GatewayServer) -> Snapshot:
         """A snapshot of what a gateway knows now."""
         return Snapshot(
             gateway_name=self.config.name,
             settings_digest=settings_digest(self.config.settings),
             written_at_ms=self.unix_ms(),
             incarnation=self.incarnation,
-            policy=gateway_server.gateway.snapshot(),
+            policy=gateway_server.policy.snapshot(),
             endpoint_list=gateway_server.known_list(),
         )
 
@@ -150,7 +150,7 @@
 
     # --- at the end ---
 
-    def finish(self, gateway_server: FrontDoor | None) -> None:
+    def finish(self, gateway_server: GatewayServer | None) -> None:
         """A planned end: the last state, if any, is written, and the start was none that crashed."""
         if gateway_server is not None:
             self.write(self.collect(gateway_server))
