--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -1,5 +1,6 @@
-"""The gateway's client of the lease service for budgets: requests shares, and gives the policy what is
-granted.
+"""The gateway's client of the lease service for budgets.
+
+Requests shares, and gives the policy what is granted.
 
 Off unless the configuration has `budget_leases`. No request of a client waits for it: renewals are batched
 for all budgets, at a third of the lease with jitter, and what comes back is an event like any other.
@@ -33,8 +34,7 @@
 
 
 class BudgetLeaseClient:
-    """One incarnation's shares of customers' ceilings, quotas and requests in flight, and of the retry
-    budget."""
+    """One incarnation's shares of customers' budgets, and of the retry budget."""
 
     def __init__(self, gateway_server: GatewayServer, config: Config) -> None:
         """`config` has `budget_leases`."""
@@ -62,9 +62,11 @@
         )
 
     async def run(self) -> None:
-        """Renew until it is cancelled, and sooner than due where a customer comes of which nothing is
-        leased, or requests wait for units. Where a renewal for units brings none, the next one waits for
-        twice as long, a usual renewal at most."""
+        """Renew until it is cancelled.
+
+        Sooner than due where a customer comes of which nothing is leased, or requests wait for units. Where a
+        renewal for units brings none, the next one waits for twice as long, a usual renewal at most.
+        """
         renewing = asyncio.get_running_loop().create_task(self.renewer.run())
         try:
             while True:
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -52,8 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkLeaseSettings:
-    """The lease service that records work items, so that another gateway finishes those of one that failed
-    (`work_leases` of the file)."""
+    """The lease service that records work items (`work_leases` of the file).
+
+    Another gateway finishes the items of one that failed.
+    """
 
     addresses: tuple[Address, ...]
     secret: bytes
@@ -104,8 +106,11 @@
 
 
 def reload(env: Mapping[str, str]) -> Config:
-    """The configuration anew. The environment is as old as the process: in a file that was replaced
-    since, the address of discovery is the newer one."""
+    """The configuration anew.
+
+    The environment is as old as the process: in a file that was replaced since, the address of discovery is
+    the newer one.
+    """
     return load({name: value for name, value in env.items() if name != "PROXY_DISCOVERY"})
 
 
--- a/thistletrail/gateway/cost_counters.py
+++ b/thistletrail/gateway/cost_counters.py
@@ -175,8 +175,10 @@
 
 
 def resident_memory() -> dict[str, int]:
-    """Resident memory now and at its maximum, in bytes by key of the report; without what the system does not
-    provide."""
+    """Resident memory now and at its maximum, in bytes by key of the report.
+
+    Without what the system does not provide.
+    """
     found = {}
     with contextlib.suppress(OSError, ValueError), open(STATUS) as lines:
         for line in lines:
@@ -192,8 +194,11 @@
     descriptors: Mapping[str, int],
     ages_s: Mapping[str, float] | None = None,
 ) -> dict[str, Any]:
-    """All figures by their key in the `costs` line: buffered bytes and descriptors by owner, ages in
-    seconds by what is cached. Descriptors that have no owner are the process's own: loop, signals, log."""
+    """All figures by their key in the `costs` line.
+
+    Buffered bytes and descriptors by owner, ages in seconds by what is cached. Descriptors that have no
+    owner are the process's own: loop, signals, log.
+    """
     found: dict[str, Any] = {
         "processor_s": time.process_time_ns() / NANOSECONDS_PER_SECOND,
         **costs.counts(),
--- a/thistletrail/gateway/deadline.py
+++ b/thistletrail/gateway/deadline.py
@@ -96,21 +96,28 @@
 
 
 def estimate_unread_us(late_us: int, waited_us: int) -> int:
-    """An estimate of how long a command lay unread: a share of the time by which the loop was late when it
-    was read, and all of the time for which it then waited behind others on its connection."""
+    """An estimate of how long a command lay unread.
+
+    A share of the time by which the loop was late when it was read, and all of the time for which it then
+    waited behind others on its connection.
+    """
     late = round(late_us * LATE_SHARE) if late_us >= MIN_LATE_US else 0
     return late + max(0, waited_us)
 
 
 def encode_remaining(remaining_us: int) -> bytes:
-    """What is left as it crosses to another process: whole milliseconds, rounded down, as a relative figure,
-    so that clocks need not agree."""
+    """What is left as it crosses to another process.
+
+    Whole milliseconds, rounded down, as a relative figure, so that clocks need not agree.
+    """
     return b"%d" % (max(0, remaining_us) // MICROSECONDS_PER_MILLISECOND)
 
 
 def decode_remaining(text: str, max_us: int) -> int | None:
-    """What is left by such a text, in microseconds, never more than was written; None where it is no such
-    text or is more than `max_us`."""
+    """What is left by such a text, in microseconds, never more than was written.
+
+    None where it is no such text or is more than `max_us`.
+    """
     if len(text) > MAX_DIGITS or not (text.isascii() and text.isdigit()):
         return None
     remaining_us = int(text) * MICROSECONDS_PER_MILLISECOND
--- a/thistletrail/gateway/discovery_client.py
+++ b/thistletrail/gateway/discovery_client.py
@@ -68,8 +68,10 @@
         return self.addresses[self.address_index]
 
     def age_s(self) -> float:
-        """How long ago an address that is not stale sent anything, an empty line included; below 0 where none
-        has."""
+        """How long ago an address that is not stale sent anything, an empty line included.
+
+        Below 0 where none has.
+        """
         if self.fresh_at_s is None:
             return NEVER_RECEIVED_S
         connection = self.connection
@@ -160,8 +162,10 @@
             connection.close()
 
     def _on_object(self, data: bytes) -> None:
-        """Report a complete object. Where that fails, the version stays, and the next watch brings it
-        again."""
+        """Report a complete object.
+
+        Where that fails, the version stays, and the next watch brings it again.
+        """
         if self.is_closed:  # what is still in the pipe must not undo what a newer watcher has reported
             return
         kind = EndpointUpdateKind.FULL if self.version is None else None
@@ -180,9 +184,11 @@
         self.on_update(self, update)
 
     def _is_outdated(self, update: EndpointListUpdate) -> bool:
-        """Whether changes are older than what we have, and so no update. A complete list that is, of an
-        address that did not send ours, is a StaleEndpointListError for a time: after that it is all there
-        is."""
+        """Whether changes are older than what we have, and so no update.
+
+        A complete list that is, of an address that did not send ours, is a StaleEndpointListError for a
+        time: after that it is all there is.
+        """
         version = update.event.version
         if self.version is None or version >= self.version:
             return False
--- a/thistletrail/gateway/endpoint_list.py
+++ b/thistletrail/gateway/endpoint_list.py
@@ -46,8 +46,10 @@
     def decode_update(
         self, value: Mapping[str, Any], kind: EndpointUpdateKind | None = None
     ) -> EndpointListUpdate:
-        """A list or changes to it, of the given kind or of the one that it says. Malformed entries are logged
-        and left out; a DiscoveryProtocolError where it is malformed itself."""
+        """A list or changes to it, of the given kind or of the one that it says.
+
+        Malformed entries are logged and left out; a DiscoveryProtocolError where it is malformed itself.
+        """
         try:
             if kind is None:
                 kind = EndpointUpdateKind.FULL if value.get("reset") else EndpointUpdateKind.CHANGES
--- a/thistletrail/gateway/errors.py
+++ b/thistletrail/gateway/errors.py
@@ -18,8 +18,10 @@
 
 
 class DiscoveryProtocolError(GatewayError, ValueError):
-    """Discovery sent what is no endpoint list, or answered with an error. A ValueError as well, as an
-    endpoint list is also a value of the configuration."""
+    """Discovery sent what is no endpoint list, or answered with an error.
+
+    A ValueError as well, as an endpoint list is also a value of the configuration.
+    """
 
 
 class MalformedJsonError(GatewayError):
--- a/thistletrail/gateway/json_stream.py
+++ b/thistletrail/gateway/json_stream.py
@@ -24,8 +24,10 @@
         self.open_braces = 0  # by the end of `lines`
 
     def feed(self, data: bytes | bytearray) -> list[bytes]:
-        """The objects that are complete with these bytes. What can be no part of one is a
-        MalformedJsonError."""
+        """The objects that are complete with these bytes.
+
+        What can be no part of one is a MalformedJsonError.
+        """
         self.unfinished_line += data
         *lines, self.unfinished_line = self.unfinished_line.split(b"\n")
         objects = []
@@ -66,8 +68,10 @@
 
 
 def _check_first_line(line: bytes) -> None:
-    """See that a first line is the beginning of an object and not one that is cut off or malformed: reading
-    it as JSON fails at its end, and nowhere before. Else a MalformedJsonError."""
+    """See that a first line is the beginning of an object and not one that is cut off or malformed.
+
+    Reading it as JSON fails at its end, and nowhere before. Else a MalformedJsonError.
+    """
     try:
         text = line.decode().rstrip()
     except UnicodeDecodeError as error:
--- a/thistletrail/gateway/policy_driver.py
+++ b/thistletrail/gateway/policy_driver.py
@@ -111,8 +111,11 @@
         self.fire_when_due(self.timer_due_us, action.token)
 
     def fire_when_due(self, due_us: int, token: int) -> None:
-        """Fire a timer, or wait on. The loop's timers may be early by up to a millisecond; the policy would
-        ignore an early one and, as it takes it for still set, never set another."""
+        """Fire a timer, or wait on.
+
+        The loop's timers may be early by up to a millisecond; the policy would ignore an early one and, as
+        it takes it for still set, never set another.
+        """
         remaining_us = due_us - now_us()
         if remaining_us > 0:
             delay_s = max(MIN_TIMER_US, remaining_us) / 1e6
--- a/thistletrail/gateway/settings_digest.py
+++ b/thistletrail/gateway/settings_digest.py
@@ -21,8 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredFields:
-    """How a settings class stands in the stored text: its name, then each field's stored name and the
-    attribute that holds its value, in stored order."""
+    """How a settings class stands in the stored text.
+
+    Its name, then each field's stored name and the attribute that holds its value, in stored order.
+    """
 
     stored_name: str
     fields: tuple[tuple[str, str], ...]
@@ -112,8 +114,11 @@
 
 
 def stored_text(value: object) -> str:
-    """The stored text of settings or of a value in them; a TypeError for a kind of value that no setting of
-    revision a1df16a had, as its text is not known to be the same in every version of Python."""
+    """The stored text of settings or of a value in them.
+
+    A TypeError for a kind of value that no setting of revision a1df16a had, as its text is not known to be
+    the same in every version of Python.
+    """
     if type(value) in (bool, int, float):
         return repr(value)
     if isinstance(value, Enum):
--- a/thistletrail/gateway/snapshot_records.py
+++ b/thistletrail/gateway/snapshot_records.py
@@ -28,8 +28,11 @@
 
 
 class EjectedServerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A server that was ejected: for how much longer, in microseconds from the snapshot on, and its latency
-    as a multiple of the objective."""
+    """A server that was ejected.
+
+    For how much longer, in microseconds from the snapshot on, and its latency as a multiple of the
+    objective.
+    """
 
     server: str
     ejected_for_us: int = msgspec.field(name="avoid_us")
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -71,8 +71,10 @@
     # --- at the start ---
 
     def register_start(self) -> float:
-        """Note a start as one that has not ended well yet; for how many seconds it is to wait, with
-        jitter."""
+        """Note a start as one that has not ended well yet.
+
+        For how many seconds it is to wait, with jitter.
+        """
         now_s = self.unix_ms() / 1000
         backoff_s = crash_backoff_s(self.start_history.start_times_s, now_s)
         jitter = self.rng.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
--- a/thistletrail/gateway/watch_connection.py
+++ b/thistletrail/gateway/watch_connection.py
@@ -8,6 +8,7 @@
 import logging
 import time
 from collections.abc import Callable
+from http import HTTPStatus
 
 import h11
 
@@ -94,7 +95,7 @@
             self.close()
 
     def _handle(self, event: h11.Event) -> None:
-        if isinstance(event, h11.Response) and event.status_code != 200:
+        if isinstance(event, h11.Response) and event.status_code != HTTPStatus.OK:
             raise DiscoveryProtocolError(f"expected status 200, found {event.status_code}")
         if isinstance(event, h11.Data):
             for data in self.reader.feed(event.data):
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -106,7 +106,7 @@
         try:
             self.config = read_config(self.options.config_path)
         except ConfigError as error:
-            log.error("the configuration stays as it was: %s", error)  # noqa: TRY400 - no fault of the code
+            log.error("the configuration stays as it was: %s", error)
         else:
             service.committer.reload(self.config)
 
--- a/thistletrail/leasing/committer.py
+++ b/thistletrail/leasing/committer.py
@@ -190,7 +190,7 @@
         try:
             await loop.run_in_executor(None, self.journal.append, batch.grants, records)
         except WriteFailedError as error:  # in the state grants count as made, until they expire
-            log.error("grants and work items cannot be persisted: %s", error)  # noqa: TRY400 - no fault of the code
+            log.error("grants and work items cannot be persisted: %s", error)
             self.unwritten = [*self.states.work.undo(records), *self.unwritten]
             batch.fail(WriteFailedError(str(error)))
             return False
--- a/thistletrail/leasing/model_checking/command.py
+++ b/thistletrail/leasing/model_checking/command.py
@@ -38,7 +38,7 @@
 )
 @click.option("--planted", is_flag=True, help="Plant each fault, and say how it is found.")
 @click.option("--seed", type=click.IntRange(0, 2**53), default=1, show_default=True)
-def check_command(  # noqa: PLR0913 - one for each option
+def check_command(
     gateways: int,
     old_gateways: int | None,
     budget_count: int,
--- a/thistletrail/policy/health_gossip.py
+++ b/thistletrail/policy/health_gossip.py
@@ -80,8 +80,11 @@
     """Collects this gateway's digest, tracks which peers have it, and keeps what peers have in flight."""
 
     def __init__(self, peer_count: int, first_serial: int) -> None:
-        """`peer_count` counts the other gateways. `first_serial` should differ from one start of this process
-        to the next, so that peers do not take its first digest for a duplicate."""
+        """`peer_count` counts the other gateways.
+
+        `first_serial` should differ from one start of this process to the next, so that peers do not take
+        its first digest for a duplicate.
+        """
         self.peer_count = peer_count
 
         self.serial = first_serial % SERIAL_COUNT
--- a/thistletrail/registry/http_service.py
+++ b/thistletrail/registry/http_service.py
@@ -323,7 +323,7 @@
                 deleted = self.store.expire_leases(now_ms())
             except RejectedError as error:
                 # The message says all: a traceback would add nothing to a full disk.
-                log.error("instances with expired leases are retained for now: %s", error)  # noqa: TRY400
+                log.error("instances with expired leases are retained for now: %s", error)
                 continue
             if deleted:
                 self.notify_watchers()
--- a/thistletrail/registry/registration.py
+++ b/thistletrail/registry/registration.py
@@ -224,7 +224,7 @@
                     await self._register()
             except RegistrationError as error:
                 # The message is the sentence of the registry: a traceback would add nothing.
-                log.error("the registry rejects this instance: %s", error)  # noqa: TRY400
+                log.error("the registry rejects this instance: %s", error)
 
 
 def _decode_response(status: int, text: str) -> RegistryResponse:
