--- a/fennelwinch/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""fennelwinch: the decisions of a quota-keeping gateway for a shared API."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 from pathlib import Path
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
-from steward.tenure import latest, place
+from thistletrail.leasing.tenure import latest, place
+from thistletrail.policy import interface as i
+from thistletrail.policy.rules import Gateway
 
 MS, S = 1_000, 1_000_000
 SAFE = i.RequestClass(aim_us=2 * S, deadline_us=6 * S)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,9 +11,9 @@
 import hiredis
 import uvloop
 
-from fennelwinch import interface as i
-from molereach.config import Address, Config
-from molereach.frontdoor import FrontDoor
+from thistletrail.gateway.config import Address, Config
+from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.policy import interface as i
 
 HOST = "127.0.0.1"
 CUSTOMER = "00000000b4d65521"
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -11,12 +11,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelwinch import interface as i
-from molereach import backends
-from molereach.backends import Attempt, Backends, outcome_of
-from molereach.config import Address
-from molereach.resp import Answer, AnswerReader, ProtocolError
 from tests.sockets import HOST, Backend, refusing_address, resp, run, value
+from thistletrail.gateway import backends
+from thistletrail.gateway.backends import Attempt, Backends, outcome_of
+from thistletrail.gateway.config import Address
+from thistletrail.gateway.resp import Answer, AnswerReader, ProtocolError
+from thistletrail.policy import interface as i
 
 S = 1_000_000
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,10 +9,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelwinch.cap import OUT_PER_SERVER
-from molereach import clients
-from molereach.clients import CommandError, CommandParser
-from molereach.resp import CommandReader, ProtocolError
 from tests.sockets import (
     CONFIG,
     CUSTOMER,
@@ -26,6 +22,10 @@
     run,
     value,
 )
+from thistletrail.gateway import clients
+from thistletrail.gateway.clients import CommandError, CommandParser
+from thistletrail.gateway.resp import CommandReader, ProtocolError
+from thistletrail.policy.cap import OUT_PER_SERVER
 
 PARSER = CommandParser(CONFIG)
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from molereach import backends, costs
-from molereach.config import ConfigError, load
-from molereach.costs import REST, Costs, Stages
-from molereach.frontdoor import FrontDoor
-from molereach.peers import Peers
 from tests.sockets import Backend, Client, front_door, query, refusing_address, run, value
 from tests.test_program import config, start, write
+from thistletrail.gateway import backends, costs
+from thistletrail.gateway.config import ConfigError, load
+from thistletrail.gateway.costs import REST, Costs, Stages
+from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway.peers import Peers
+from thistletrail.policy import interface as i
 
 OPEN = Path("/proc/self/fd")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,12 +8,6 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from molereach import backends, clients, frontdoor
-from molereach.backends import now_us
-from molereach.clients import State
-from molereach.config import Address
-from molereach.frontdoor import FrontDoor
 from tests.sockets import (
     CONFIG,
     HEAD,
@@ -32,6 +26,12 @@
     submit,
     value,
 )
+from thistletrail.gateway import backends, clients, frontdoor
+from thistletrail.gateway.backends import now_us
+from thistletrail.gateway.clients import State
+from thistletrail.gateway.config import Address
+from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.policy import interface as i
 
 
 @contextlib.contextmanager
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from molereach import backends, frontdoor
-from molereach.backends import Attempt, Backends, now_us
-from molereach.budget import ANSWER_MARGIN_US
 from tests.helpers import MS, SETTINGS, S, World, of, servers
 from tests.sockets import HOST, Backend, Client, front_door, query, run, submit, value
+from thistletrail.gateway import backends, frontdoor
+from thistletrail.gateway.backends import Attempt, Backends, now_us
+from thistletrail.gateway.budget import ANSWER_MARGIN_US
+from thistletrail.policy import interface as i
 
 MARGIN_MS = ANSWER_MARGIN_US // 1000
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.codec import pack_message
-from molereach import discovery
-from molereach.discovery import Catalog, Discovery, News
-from molereach.frontdoor import FrontDoor
-from molereach.peers import Peers
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
+from thistletrail.gateway import discovery
+from thistletrail.gateway.discovery import Catalog, Discovery, News
+from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.gateway.peers import Peers
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import pack_message
 
 AT = (HOST, 6379)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from fennelwinch import interface as i
-from fennelwinch.fleet import DIGEST_US, FRESH_US, Fleet, by_mark, mark
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
+from thistletrail.policy import interface as i
+from thistletrail.policy.fleet import DIGEST_US, FRESH_US, Fleet, by_mark, mark
 
 MANY = replace(SETTINGS, gateways=40, plans=(i.Plan(),))
 
--- a/tests/test_frontdoor.py
+++ b/tests/test_frontdoor.py
@@ -8,9 +8,6 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from molereach import frontdoor
-from molereach.frontdoor import FrontDoor
 from tests.sockets import (
     CONFIG,
     CUSTOMER,
@@ -25,6 +22,9 @@
     submit,
     value,
 )
+from thistletrail.gateway import frontdoor
+from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.policy import interface as i
 
 
 def test_value_goes_through_byte_for_byte() -> None:
--- a/tests/test_model_fidelity.py
+++ b/tests/test_model_fidelity.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from model.errors import ModelError
-from model.fidelity import Figure, changes, fitting, ranks, read, render, spearman, table
 from tests.test_model_experiment import model
+from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.fidelity import Figure, changes, fitting, ranks, read, render, spearman, table
 
 
 def plays(bench: str, **gains: float) -> list[Figure]:
--- a/tests/test_model_recovery.py
+++ b/tests/test_model_recovery.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from model.day import Day, play
-from model.scenario import Demand, Net, Scenario, Servers, Trouble
+from thistletrail.simulation.day import Day, play
+from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers, Trouble
 
 FLEET = Scenario(
     name="fleet",
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelwinch import interface as i
 from tests.helpers import MS, SETTINGS, S, World, servers
+from thistletrail.policy import interface as i
 
 CLASSES = (
     i.RequestClass(S, 2 * S),
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.resp import Answer, AnswerReader, CommandReader, ProtocolError, Reader, encode
 from tests.sockets import value
+from thistletrail.gateway.resp import Answer, AnswerReader, CommandReader, ProtocolError, Reader, encode
 
 WORDS = st.lists(
     st.one_of(st.binary(max_size=20), st.sampled_from([b"\r\n", b"$1", b"*1\r\n$1\r\nx", b"PING"])),
--- a/tests/test_rig_plan.py
+++ b/tests/test_rig_plan.py
@@ -7,16 +7,26 @@
 import msgspec
 import pytest
 
-from fennelwinch.codec import Pairs, read_settings
-from model.clock import Clock
-from model.day import Day
-from model.scenario import Scenario
-from model.service import way_back
-from molereach.config import flatten
-from rig.errors import RigError
-from rig.plan import Fault, Plan, as_scenario, as_trouble, dump, known, load, parse, verify
-from rig.soak import drawn, shrink, smaller
-from rig.world import World, load_of
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.plan import (
+    Fault,
+    Plan,
+    as_scenario,
+    as_trouble,
+    dump,
+    known,
+    load,
+    parse,
+    verify,
+)
+from thistletrail.fault_injection.soak import drawn, shrink, smaller
+from thistletrail.fault_injection.world import World, load_of
+from thistletrail.gateway.config import flatten
+from thistletrail.policy.codec import Pairs, read_settings
+from thistletrail.simulation.clock import Clock
+from thistletrail.simulation.day import Day
+from thistletrail.simulation.scenario import Scenario
+from thistletrail.simulation.service import way_back
 
 S = 1_000_000
 SMALL = Scenario(name="small", doors=3, length_s=4)
--- a/tests/test_roster_end_to_end.py
+++ b/tests/test_roster_end_to_end.py
@@ -9,13 +9,13 @@
 
 from aiohttp import web
 
-from fennelwinch import interface as i
-from molereach.config import Address
-from molereach.frontdoor import FrontDoor
-from roster.follow import Follower
-from roster.registration import Registration
-from roster.server import Reader, Service
 from tests.sockets import CONFIG, HOST, Backend, Client, query, run
+from thistletrail.gateway.config import Address
+from thistletrail.gateway.frontdoor import FrontDoor
+from thistletrail.policy import interface as i
+from thistletrail.registry.follow import Follower
+from thistletrail.registry.registration import Registration
+from thistletrail.registry.server import Reader, Service
 
 
 class Lists:
--- a/tests/test_roster_follow.py
+++ b/tests/test_roster_follow.py
@@ -13,11 +13,11 @@
 from hypothesis import settings as options
 from hypothesis import strategies as st
 
-from roster import follow
-from roster.follow import Copy, Follower, read_news
-from roster.server import READ_PATH, Reader, Service
-from roster.store import DELETED, MOST_HISTORY, News, RefusedError, Store
 from tests.test_roster_store import UNIX_MS, instance
+from thistletrail.registry import follow
+from thistletrail.registry.follow import Copy, Follower, read_news
+from thistletrail.registry.server import READ_PATH, Reader, Service
+from thistletrail.registry.store import DELETED, MOST_HISTORY, News, RefusedError, Store
 
 WAIT_S = 20.0
 
--- a/tests/test_roster_registration.py
+++ b/tests/test_roster_registration.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from roster import registration
-from roster.registration import Registration, RegistrationError
-from roster.server import Service
 from tests.test_roster_follow import play, until, up
 from tests.test_roster_server import values
+from thistletrail.registry import registration
+from thistletrail.registry.registration import Registration, RegistrationError
+from thistletrail.registry.server import Service
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_roster_store.py
+++ b/tests/test_roster_store.py
@@ -10,10 +10,9 @@
 from hypothesis import settings as options
 from hypothesis import strategies as st
 
-from durable.records import DamageError, read_log
-from roster import store as stores
-from roster.log import Log
-from roster.store import (
+from thistletrail.registry import store as stores
+from thistletrail.registry.log import Log
+from thistletrail.registry.store import (
     DELETED,
     DRAINING,
     GRACE_MS,
@@ -28,6 +27,7 @@
     UnknownError,
     read_instance,
 )
+from thistletrail.write_ahead_log.records import DamageError, read_log
 
 UNIX_MS = 1_790_000_000_000
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.codec import pack_message, unpack_message
-from fennelwinch.starts import BACK_US, MOST_SERVED_S, OLDER_US, TIMES_TOLD, YOUNG_US, Starts
 from tests.helpers import MS, SETTINGS, S, Set, World, of
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import pack_message, unpack_message
+from thistletrail.policy.starts import BACK_US, MOST_SERVED_S, OLDER_US, TIMES_TOLD, YOUNG_US, Starts
 
 CUSTOMER = (1, 0, 0, 3)
 
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from steward.check import PLANTED, Kind, begin, broken, explore, steps, stray_all, wander
-from steward.division import divide, stepped
-from steward.holder import MOST_ASKS, UNUSED_MS, Holder
-from steward.messages import Answer, Ask, Want
-from steward.state import (
+from thistletrail.leasing.check import PLANTED, Kind, begin, broken, explore, steps, stray_all, wander
+from thistletrail.leasing.division import divide, stepped
+from thistletrail.leasing.holder import MOST_ASKS, UNUSED_MS, Holder
+from thistletrail.leasing.messages import Answer, Ask, Want
+from thistletrail.leasing.state import (
     LEASE_MS,
     MOST_BUDGETS,
     MOST_HOLDERS,
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from molereach.config import ConfigError, read_takeover
-from steward import book as books
-from steward import check_work, work
-from steward.book import Book, begin
-from steward.config import Config
-from steward.hand import MOST_ASK_BYTES, MOST_BEGINS, WRITE_MARGIN_MS, Hand
-from steward.messages import (
+from tests.helpers import SETTINGS, S, World, copied, log_of, of, servers
+from thistletrail.gateway.config import ConfigError, read_takeover
+from thistletrail.leasing import book as books
+from thistletrail.leasing import check_work, work
+from thistletrail.leasing.book import Book, begin
+from thistletrail.leasing.config import Config
+from thistletrail.leasing.hand import MOST_ASK_BYTES, MOST_BEGINS, WRITE_MARGIN_MS, Hand
+from thistletrail.leasing.messages import (
     MOST_OPS,
     WORK_LEASE_MS,
     Begin,
@@ -26,11 +26,11 @@
     WorkAnswer,
     WorkAsk,
 )
-from steward.state import Issued, RefusedError
-from steward.tenure import claim
-from steward.wire import FULL, GOOD, FrameError, Frames, frame, now_ms
-from steward.work import MOST_DEATHS, MOST_OF_CUSTOMER, MOST_REQUEST, MOST_VALUE, Work, weight
-from tests.helpers import SETTINGS, S, World, copied, log_of, of, servers
+from thistletrail.leasing.state import Issued, RefusedError
+from thistletrail.leasing.tenure import claim
+from thistletrail.leasing.wire import FULL, GOOD, FrameError, Frames, frame, now_ms
+from thistletrail.leasing.work import MOST_DEATHS, MOST_OF_CUSTOMER, MOST_REQUEST, MOST_VALUE, Work, weight
+from thistletrail.policy import interface as i
 
 START = 1_000_000
 CONFIG = Config(budgets=())
--- a/bench/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from bench import cost
-from bench.errors import BenchError
-from bench.loads import LOADS
-from bench.process import ROOT, check_port, prepare, revision
+from thistletrail.benchmarks import cost
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.loads import LOADS
+from thistletrail.benchmarks.process import ROOT, check_port, prepare, revision
 
 MOST_PAIRS = 100
 
@@ -34,7 +34,7 @@
 
 
 def parser() -> Parser:
-    found = Parser(prog="bench", description="What a front door costs, on loopback, with stand-ins.")
+    found = Parser(prog="benchmarks", description="What a front door costs, on loopback, with stand-ins.")
     commands = found.add_subparsers(dest="command", required=True, metavar="COMMAND")
     costs = commands.add_parser("cost", help="processor time, memory and descriptors of requests")
     costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
@@ -44,7 +44,7 @@
     costs.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
     costs.add_argument("--against", metavar="REV", help="play another revision in turns with this tree")
     costs.add_argument("--pairs", type=whole(MOST_PAIRS), default=5, metavar="N", help="of plays")
-    lists_ = commands.add_parser("roster", help="what watchers, changes and renewals cost the list service")
+    lists_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the list service")
     lists_.add_argument("--watchers", type=whole(900), default=200, metavar="N")
     lists_.add_argument("--instances", type=whole(2000), default=200, metavar="N")
     lists_.add_argument("--changes", type=whole(10_000), default=50, metavar="N")
@@ -68,7 +68,7 @@
 
 
 async def run_takeover(args: argparse.Namespace) -> None:
-    from bench import work  # its packages are not those of a front door
+    from thistletrail.benchmarks import work  # its packages are not those of a front door
 
     if args.json:
         check_writable(args.json)
@@ -81,7 +81,7 @@
 
 
 async def run_leases(args: argparse.Namespace) -> None:
-    from bench import leases  # its packages are not those of a front door
+    from thistletrail.benchmarks import leases  # its packages are not those of a front door
 
     if args.json:
         check_writable(args.json)
@@ -123,7 +123,7 @@
 
 
 async def run_roster(args: argparse.Namespace) -> None:
-    from bench import lists  # its packages are not those of a front door
+    from thistletrail.benchmarks import lists  # its packages are not those of a front door
 
     if args.json:
         check_writable(args.json)
@@ -148,7 +148,7 @@
     task = asyncio.current_task()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-    await {"cost": run_cost, "roster": run_roster, "takeover": run_takeover, "leases": run_leases}[
+    await {"cost": run_cost, "registry": run_roster, "takeover": run_takeover, "leases": run_leases}[
         args.command
     ](args)
 
@@ -157,10 +157,10 @@
     try:
         asyncio.run(until_told(parser().parse_args()))
     except BenchError as error:
-        print(f"bench: {error}", file=sys.stderr)
+        print(f"benchmarks: {error}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, asyncio.CancelledError):
-        print("bench: ended before its time", file=sys.stderr)
+        print("benchmarks: ended before its time", file=sys.stderr)
         return 130
     return 0
 
--- a/bench/callers.py
+++ b/thistletrail/benchmarks/callers.py
@@ -5,9 +5,9 @@
 import time
 from collections import Counter, deque
 
-from bench.loads import Load
-from bench.standins import Address
-from molereach.resp import encode
+from thistletrail.benchmarks.loads import Load
+from thistletrail.benchmarks.standins import Address
+from thistletrail.gateway.resp import encode
 
 WAIT_MS = 2000  # `d` of every request
 PATIENCE_S = 3.0  # past it, an answer does not count as one
--- a/bench/cost.py
+++ b/thistletrail/benchmarks/cost.py
@@ -10,11 +10,11 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from bench.callers import Callers
-from bench.errors import BenchError
-from bench.loads import Load
-from bench.process import Process, Tree, free_port, front_door
-from bench.standins import HOST, Address, World, text
+from thistletrail.benchmarks.callers import Callers
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.loads import Load
+from thistletrail.benchmarks.process import Process, Tree, free_port, front_door
+from thistletrail.benchmarks.standins import HOST, Address, World, text
 
 PLAN = {"name": "standard", "units-per-s": 100.0, "burst": 200.0}  # nobody is refused for a quota
 LOOK_S = 0.02  # between looks at open descriptors
--- a/bench/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -13,15 +13,15 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from bench.work import DIGITS, MOST_US, steward
-from steward.book import begin
-from steward.client import Line
-from steward.config import read
-from steward.holder import Holder
-from steward.messages import Answer
-from steward.state import Terms
-from steward.tenure import latest, place
-from steward.wire import now_ms, sign
+from thistletrail.benchmarks.work import DIGITS, MOST_US, steward
+from thistletrail.leasing.book import begin
+from thistletrail.leasing.client import Line
+from thistletrail.leasing.config import read
+from thistletrail.leasing.holder import Holder
+from thistletrail.leasing.messages import Answer
+from thistletrail.leasing.state import Terms
+from thistletrail.leasing.tenure import latest, place
+from thistletrail.leasing.wire import now_ms, sign
 
 RATE, BURST = 15.0, 30  # of a customer's budget: the largest plan of the operators' site
 SET = 17  # doors that one customer's requests come through: the middle of the site's large fleets
--- a/bench/lists.py
+++ b/thistletrail/benchmarks/lists.py
@@ -11,11 +11,11 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from bench.errors import BenchError
-from bench.process import END_S, Process, start_program
-from bench.standins import HOST, Address
-from roster.follow import BACKOFF_S, MOST_BACKOFF_S
-from roster.registration import Registration
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.process import END_S, Process, start_program
+from thistletrail.benchmarks.standins import HOST, Address
+from thistletrail.registry.follow import BACKOFF_S, MOST_BACKOFF_S
+from thistletrail.registry.registration import Registration
 
 WAIT_S = 60.0  # for all watchers to have what they wait for
 RENEWALS = 10  # of each instance, for the mean of one
@@ -83,7 +83,16 @@
 async def service(folder: Path, port: int) -> AsyncIterator[Process]:
     """A list service as a process of its own; it ends with the block."""
     process, _ = await start_program(
-        ("-m", "roster", "--data", str(folder / "list"), "--listen", f"{HOST}:{port}", "--fill", "0"),
+        (
+            "-m",
+            "thistletrail.registry",
+            "--data",
+            str(folder / "list"),
+            "--listen",
+            f"{HOST}:{port}",
+            "--fill",
+            "0",
+        ),
         folder / "log.txt",
     )
     try:
--- a/bench/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -18,16 +18,16 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from bench.callers import PING, Caller
-from bench.errors import BenchError
-from bench.standins import HOST, Address
+from thistletrail.benchmarks.callers import PING, Caller
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.standins import HOST, Address
 
 READY_S = 20.0  # for a front door to answer PING: machines may be slow
 END_S = 10.0  # for its drain
 BUILD_S = 300.0
 LINE_S = 5.0  # for the line on costs to come
 LOOK_S = 0.02  # between looks at whether it is ready
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 KIB = 1024
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 RESERVED: list[socket.socket] = []  # bound and not listening, one for each port that `free_port` gave
@@ -55,6 +55,12 @@
     return done.stdout
 
 
+def gateway_folder(root: Path) -> Path:
+    """Where a tree has the gateway process; revisions before the single package call it otherwise."""
+    today = root / "thistletrail" / "gateway"
+    return today if today.is_dir() else root / "molereach"
+
+
 def prepare(root: Path) -> Tree:
     """Build a tree."""
     try:
@@ -70,8 +76,9 @@
         raise BenchError(f"the build took more than {BUILD_S:.0f} s") from None
     if done.returncode:
         raise BenchError(f"the build failed: {last_line(done.stderr or done.stdout)}")
-    takes_many = "read_addresses" in (root / "molereach" / "config.py").read_text()
-    return Tree(root, run, (root / "molereach" / "costs.py").exists(), takes_many)
+    folder = gateway_folder(root)
+    takes_many = "read_addresses" in (folder / "config.py").read_text()
+    return Tree(root, run, (folder / "costs.py").exists(), takes_many)
 
 
 @contextlib.contextmanager
--- a/bench/standins.py
+++ b/thistletrail/benchmarks/standins.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-from bench.loads import Load
-from fennelwinch import interface as i
-from fennelwinch.codec import pack_message, unpack_message
-from molereach.resp import CommandReader, ProtocolError
+from thistletrail.benchmarks.loads import Load
+from thistletrail.gateway.resp import CommandReader, ProtocolError
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import pack_message, unpack_message
 
 HOST = "127.0.0.1"
 Address = tuple[str, int]
--- a/bench/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -16,17 +16,17 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from bench.callers import Callers
-from bench.cost import PLAN, REST_S, config
-from bench.errors import BenchError
-from bench.loads import Load
-from bench.process import Process, Tree, free_port, front_door, start_program
-from bench.standins import HOST, World, text
-from steward.client import Stream
-from steward.hand import Hand
-from steward.messages import MOST_OPS, Begin, Done, WorkAnswer
-from steward.tenure import latest, place
-from steward.wire import now_ms
+from thistletrail.benchmarks.callers import Callers
+from thistletrail.benchmarks.cost import PLAN, REST_S, config
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.loads import Load
+from thistletrail.benchmarks.process import Process, Tree, free_port, front_door, start_program
+from thistletrail.benchmarks.standins import HOST, World, text
+from thistletrail.leasing.client import Stream
+from thistletrail.leasing.hand import Hand
+from thistletrail.leasing.messages import MOST_OPS, Begin, Done, WorkAnswer
+from thistletrail.leasing.tenure import latest, place
+from thistletrail.leasing.wire import now_ms
 
 MOST_US = 10_000_000  # that a histogram holds
 DIGITS = 3
@@ -53,7 +53,7 @@
     process, _ = await start_program(
         (
             "-m",
-            "steward",
+            "thistletrail.leasing",
             "serve",
             "--data",
             str(folder / "state"),
--- a/rig/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -11,17 +11,17 @@
 
 import click
 
-from bench.errors import BenchError
-from bench.process import ROOT, prepare, revision
-from model import day as days
-from model.commands import HELP, Group, end_on_signals
-from model.errors import ModelError
-from model.experiment import BROKEN
-from rig.deaths import EFFECTS, POINTS, deaths, table
-from rig.errors import RigError
-from rig.leases import divided
-from rig.plan import as_scenario, known, load
-from rig.runs import Run, keep, kept, rows, run, show, text
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.process import ROOT, prepare, revision
+from thistletrail.fault_injection.deaths import EFFECTS, POINTS, deaths, table
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.leases import divided
+from thistletrail.fault_injection.plan import as_scenario, known, load
+from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
+from thistletrail.simulation import day as days
+from thistletrail.simulation.commands import HELP, Group, end_on_signals
+from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.experiment import BROKEN
 
 MOST_SEED = 2**53
 
@@ -35,7 +35,7 @@
     click.echo(text, err=True)
 
 
-@click.group("rig", cls=RigGroup, context_settings=HELP)
+@click.group("fault_injection", cls=RigGroup, context_settings=HELP)
 def cli() -> None:
     """Several real processes on loopback, relays and faults between them, and checked histories."""
     end_on_signals()
@@ -148,7 +148,7 @@
     plan: str, parts: str, states: str, against: str | None, seeds: int, first: int, jobs: int, out: Path
 ) -> None:
     """The way back after restarts of several shares of PLAN's doors: a table of medians."""
-    from rig.back import STATES, cases, measure, table
+    from thistletrail.fault_injection.back import STATES, cases, measure, table
 
     wanted = load(plan)
     shares = [share(word) for word in parts.split(",")]
@@ -239,7 +239,7 @@
 )
 def soak(minutes: float, count: int | None, seed: int, out: Path) -> None:
     """Play random plans; one that breaks a rule is made small and kept as a .toml file."""
-    from rig.soak import soak as play
+    from thistletrail.fault_injection.soak import soak as play
 
     found = play(seed, minutes, prepare(ROOT), out, say, count)
     click.echo(f"{found.played} plans played, {len(found.kept)} kept")
@@ -317,7 +317,7 @@
 )
 def report(runs: tuple[Path, ...], out: Path) -> None:
     """One HTML file with plots of the runs kept in these folders."""
-    from rig.report import write
+    from thistletrail.fault_injection.report import write
 
     write([(folder.name, kept(folder)) for folder in runs], out)
     click.echo(f"{out} is written")
--- a/rig/back.py
+++ b/thistletrail/fault_injection/back.py
@@ -1,7 +1,7 @@
 """The way back measured: restarts of several shares of the doors, with and without state, of several trees.
 
-Each play is a process of its own (`python -m rig run`), so that several go on side by side; a calm twin is
-played once for each tree and seed.
+Each play is a process of its own (`python -m thistletrail.fault_injection run`), so that several go on side
+by side; a calm twin is played once for each tree and seed.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from bench.process import ROOT
-from model.experiment import Runner
-from rig.errors import RigError
-from rig.figures import Figures, figures
-from rig.plan import Plan, dump
-from rig.runs import Run, kept, median, text
+from thistletrail.benchmarks.process import ROOT
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.figures import Figures, figures
+from thistletrail.fault_injection.plan import Plan, dump
+from thistletrail.fault_injection.runs import Run, kept, median, text
+from thistletrail.simulation.experiment import Runner
 
 STATES = {"none": ("none", False), "kept": ("kept", True), "stale": ("stale", True)}
 END_S = 20.0  # for a play to end all its processes after SIGTERM
@@ -83,7 +83,7 @@
     words = [
         sys.executable,
         "-m",
-        "rig",
+        "thistletrail.fault_injection",
         "run",
         str(path),
         "--seed",
--- a/rig/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-from model.clock import MS, Clock, S
-from model.ledger import Account, Store
-from molereach.keep import MOST_AGE_S
-from rig.history import Record
-from rig.leases import overfull
-from rig.plan import ON_LINKS, Plan
-from rig.world import World
+from thistletrail.fault_injection.history import Record
+from thistletrail.fault_injection.leases import overfull
+from thistletrail.fault_injection.plan import ON_LINKS, Plan
+from thistletrail.fault_injection.world import World
+from thistletrail.gateway.keep import MOST_AGE_S
+from thistletrail.simulation.clock import MS, Clock, S
+from thistletrail.simulation.ledger import Account, Store
 
 NEVER = 1 << 62
 RUN = ("served", "error", "gone", "lost", "silent")  # ends of attempts that may have run
--- a/rig/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -13,17 +13,17 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from bench.callers import BODY, PING, Caller
-from model.clients import Ask, Clients, Customer, Try
-from model.clock import S
-from molereach.resp import encode
-from rig.history import Writer
-from rig.program import Order, Told, orders, start
-from rig.realtime import RealClock, now_us, watch_lag
-from rig.world import Asked, World, load_of
+from thistletrail.benchmarks.callers import BODY, PING, Caller
+from thistletrail.fault_injection.history import Writer
+from thistletrail.fault_injection.program import Order, Told, orders, start
+from thistletrail.fault_injection.realtime import RealClock, now_us, watch_lag
+from thistletrail.fault_injection.world import Asked, World, load_of
+from thistletrail.gateway.resp import encode
+from thistletrail.simulation.clients import Ask, Clients, Customer, Try
+from thistletrail.simulation.clock import S
 
 if TYPE_CHECKING:
-    from rig.relay import Address
+    from thistletrail.fault_injection.relay import Address
 
 LOOK_S = 0.05  # between tries to reach a door that is down
 PONG_S = 0.5  # for its answer
--- a/rig/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -18,14 +18,14 @@
 
 from aiohttp import ClientSession
 
-from bench.callers import Caller
-from bench.errors import BenchError
-from bench.process import Process, Tree, free_port, start_door
-from bench.standins import HOST, Address, text
-from bench.work import start_steward
-from molereach.resp import CommandReader, ProtocolError, encode
-from rig.errors import RigError
-from steward.wire import SIGNATURE, sign
+from thistletrail.benchmarks.callers import Caller
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.process import Process, Tree, free_port, start_door
+from thistletrail.benchmarks.standins import HOST, Address, text
+from thistletrail.benchmarks.work import start_steward
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
+from thistletrail.leasing.wire import SIGNATURE, sign
 
 POINTS = (
     "before the intent",
--- a/rig/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
 
-from model.clock import S
-from model.service import Point, way_back
-from rig.checks import Seen, accounts
-from rig.history import Record
+from thistletrail.fault_injection.checks import Seen, accounts
+from thistletrail.fault_injection.history import Record
+from thistletrail.simulation.clock import S
+from thistletrail.simulation.service import Point, way_back
 
 
 @dataclass(frozen=True, slots=True)
--- a/rig/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -17,22 +17,22 @@
 import msgspec
 import tomli_w
 
-from bench.errors import BenchError
-from bench.process import Process, Tree, free_port, start_door, start_program, start_quiet
-from bench.standins import text
-from model.clock import Clock
-from molereach.allowance import FURTHER
-from molereach.keep import HEAD, Snapshot, pack
-from rig.errors import RigError
-from rig.history import Writer
-from rig.leases import Renewals
-from rig.listing import Listing
-from rig.plan import Fault, Plan
-from rig.program import Told
-from rig.relay import Address, Peers, Relay, Requests, State
-from rig.world import MEMORY_MB, SOCKETS, World
-from steward.book import begin
-from steward.config import read as read_config
+from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
+from thistletrail.benchmarks.standins import text
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.history import Writer
+from thistletrail.fault_injection.leases import Renewals
+from thistletrail.fault_injection.listing import Listing
+from thistletrail.fault_injection.plan import Fault, Plan
+from thistletrail.fault_injection.program import Told
+from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
+from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
+from thistletrail.gateway.allowance import FURTHER
+from thistletrail.gateway.keep import HEAD, Snapshot, pack
+from thistletrail.leasing.book import begin
+from thistletrail.leasing.config import read as read_config
+from thistletrail.simulation.clock import Clock
 
 GATHER_S = 30.0  # for all processes to serve: dozens start at once on few cores
 END_S = 6.0  # for a process to end after SIGTERM: a door's drain takes up to 3.5 s
@@ -238,7 +238,7 @@
         return text((f"{self.prefix}.{SERVICES[member.kind] + member.number}", 0))
 
     async def start_list(self, member: Member) -> Process:
-        words = ("-m", "roster", "--data", str(member.state), "--listen", self.listen(member))
+        words = ("-m", "thistletrail.registry", "--data", str(member.state), "--listen", self.listen(member))
         if member.process is None:  # a first start: doors come once scan servers have registered
             words = (*words, "--fill", "0")
         process, _ = await start_program(words, member.folder / "log")
@@ -246,7 +246,14 @@
 
     async def start_follower(self, member: Member) -> Process:
         relay = self.relay("follower-list", member.name, "list-0", self.members["list-0"].process.address)
-        words = ("-m", "roster", "--follow", text(relay.address), "--listen", self.listen(member))
+        words = (
+            "-m",
+            "thistletrail.registry",
+            "--follow",
+            text(relay.address),
+            "--listen",
+            self.listen(member),
+        )
         process, _ = await start_program(words, member.folder / "log")
         return process
 
@@ -284,7 +291,7 @@
             begin(member.state, read_config(config))
         words = (
             "-m",
-            "steward",
+            "thistletrail.leasing",
             "serve",
             "--data",
             str(member.state),
@@ -351,14 +358,14 @@
 
     async def start_scan(self, member: Member) -> Process:
         relay = self.relay("servers-list", member.name, "list-0", self.members["list-0"].process.address)
-        return await self.start_own(member, "rig.scan", service=text(relay.address))
+        return await self.start_own(member, "thistletrail.fault_injection.scan", service=text(relay.address))
 
     async def start_clients(self, member: Member) -> Process:
         doors = tuple(
             text(self.relay("clients-doors", member.name, door.name, door.process.address).address)
             for door in self.of("doors")
         )
-        return await self.start_own(member, "rig.clients", doors=doors)
+        return await self.start_own(member, "thistletrail.fault_injection.clients", doors=doors)
 
     async def start_front_door(self, member: Member) -> Process:
         number = member.number
--- a/rig/history.py
+++ b/thistletrail/fault_injection/history.py
@@ -34,8 +34,8 @@
 
 import msgspec
 
-from rig.errors import RigError
-from rig.realtime import now_us
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.realtime import now_us
 
 Record = dict[str, Any]
 STAMP = len("2026-01-01 00:00:00,000")  # a log line's time
--- a/rig/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -16,15 +16,15 @@
 
 import msgspec
 
-from model.clock import Clock, S
-from molereach.allowance import FURTHER
-from rig.relay import THERE, Relay, Side
-from rig.world import World
-from steward.messages import Answer, Ask
-from steward.state import MARGIN_SHARE, Terms, parted
+from thistletrail.fault_injection.relay import THERE, Relay, Side
+from thistletrail.fault_injection.world import World
+from thistletrail.gateway.allowance import FURTHER
+from thistletrail.leasing.messages import Answer, Ask
+from thistletrail.leasing.state import MARGIN_SHARE, Terms, parted
+from thistletrail.simulation.clock import Clock, S
 
 if TYPE_CHECKING:
-    from rig.checks import Seen
+    from thistletrail.fault_injection.checks import Seen
 
 MOST_HEAD = 1 << 14  # bytes
 MOST_BODY = 1 << 20
--- a/rig/listing.py
+++ b/thistletrail/fault_injection/listing.py
@@ -11,7 +11,7 @@
 import h11
 import msgspec
 
-from rig.relay import Notes
+from thistletrail.fault_injection.relay import Notes
 
 MOST_LINE = 1 << 22  # bytes: two thousand entries are a fifth of that
 
--- a/rig/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -1,8 +1,9 @@
 """Plans: a fleet, and the faults between and on its processes, read from TOML and checked in full.
 
-`[fleet]` is a scenario of the model's (`model/scenario.py`): doors, servers, zones, customers, classes, plans
-of quota. What befalls it stands in `[[faults]]`, which the model plays too where it has the like. An unknown
-key, a wrong type or a figure out of its range is a RigError of one line that names the key.
+`[fleet]` is a scenario of the simulation's (`simulation/scenario.py`): doors, servers, zones, customers,
+classes, plans of quota. What befalls it stands in `[[faults]]`, which the simulation plays too where it has
+the like. An unknown key, a wrong type or a figure out of its range is a RigError of one line that names the
+key.
 """
 
 from __future__ import annotations
@@ -13,9 +14,21 @@
 import msgspec
 import tomli_w
 
-from model.errors import ModelError
-from model.scenario import Amount, Count, Name, Part, Range, Scenario, Share, Stored, Trouble, check, trimmed
-from rig.errors import RigError
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.scenario import (
+    Amount,
+    Count,
+    Name,
+    Part,
+    Range,
+    Scenario,
+    Share,
+    Stored,
+    Trouble,
+    check,
+    trimmed,
+)
 
 # Kinds of process, and of link: between two kinds of process, the one that connects first.
 Who = Literal["doors", "servers", "list", "follower", "steward", "clients"]
--- a/rig/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from bench.process import Tree
-from model.clock import S
-from rig.errors import RigError
-from rig.fleet import Fleet, Member
-from rig.history import Record, merge, of_log, offset_us, read
-from rig.plan import ON_LINKS, ON_PROCESSES, TAIL_S, Fault, Plan
-from rig.realtime import now_us, watch_lag
+from thistletrail.benchmarks.process import Tree
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.fleet import Fleet, Member
+from thistletrail.fault_injection.history import Record, merge, of_log, offset_us, read
+from thistletrail.fault_injection.plan import ON_LINKS, ON_PROCESSES, TAIL_S, Fault, Plan
+from thistletrail.fault_injection.realtime import now_us, watch_lag
+from thistletrail.simulation.clock import S
 
 LEAD_US = 300_000  # from the order to begin until the load begins
 ENDS_S = 8.0  # past the load and its tail, for clients to end: a machine may be slow
--- a/rig/program.py
+++ b/thistletrail/fault_injection/program.py
@@ -12,7 +12,7 @@
 import msgspec
 import uvloop
 
-from rig.plan import Plan
+from thistletrail.fault_injection.plan import Plan
 
 Order = dict[str, Any]
 
--- a/rig/relay.py
+++ b/thistletrail/fault_injection/relay.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from rig.history import Writer
-from rig.realtime import now_us
+from thistletrail.fault_injection.history import Writer
+from thistletrail.fault_injection.realtime import now_us
 
 HOST = "127.0.0.1"
 Address = tuple[str, int]
--- a/rig/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -7,12 +7,12 @@
 import io
 from pathlib import Path
 
-from model.clock import S
-from model.report import STYLE
-from rig.checks import Seen
-from rig.errors import RigError
-from rig.figures import by_second, points, start_us
-from rig.runs import Run, rows
+from thistletrail.fault_injection.checks import Seen
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.figures import by_second, points, start_us
+from thistletrail.fault_injection.runs import Run, rows
+from thistletrail.simulation.clock import S
+from thistletrail.simulation.report import STYLE
 
 MOST_LISTED = 50  # violations that are shown; all are counted
 COLOURS = {"up": "#8c8", "down": "#d66", "paused": "#dc7"}
--- a/rig/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -11,13 +11,13 @@
 import msgspec
 import uvloop
 
-from bench.process import Tree
-from rig.checks import Seen, Violation, check
-from rig.errors import RigError
-from rig.figures import Figures, figures
-from rig.history import read, write
-from rig.plan import Plan, dump, load
-from rig.play import Say, play
+from thistletrail.benchmarks.process import Tree
+from thistletrail.fault_injection.checks import Seen, Violation, check
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.figures import Figures, figures
+from thistletrail.fault_injection.history import read, write
+from thistletrail.fault_injection.plan import Plan, dump, load
+from thistletrail.fault_injection.play import Say, play
 
 HISTORY, CALM, PLAN, RESULT = "history.jsonl", "calm.jsonl", "plan.toml", "result.json"
 
--- a/rig/scan.py
+++ b/thistletrail/fault_injection/scan.py
@@ -14,17 +14,17 @@
 import time
 from pathlib import Path
 
-from bench.standins import VALUE
-from model.servers import ScanServer, Work
-from model.streams import Stream
-from molereach.resp import CommandReader, ProtocolError
-from rig.history import Writer
-from rig.plan import Plan
-from rig.program import Order, Told, orders, start
-from rig.realtime import RealClock, now_us
-from rig.relay import HOST
-from rig.world import World, zone_name
-from roster.registration import Registration, RegistrationError
+from thistletrail.benchmarks.standins import VALUE
+from thistletrail.fault_injection.history import Writer
+from thistletrail.fault_injection.plan import Plan
+from thistletrail.fault_injection.program import Order, Told, orders, start
+from thistletrail.fault_injection.realtime import RealClock, now_us
+from thistletrail.fault_injection.relay import HOST
+from thistletrail.fault_injection.world import World, zone_name
+from thistletrail.gateway.resp import CommandReader, ProtocolError
+from thistletrail.registry.registration import Registration, RegistrationError
+from thistletrail.simulation.servers import ScanServer, Work
+from thistletrail.simulation.streams import Stream
 
 LEAST_WORK_US = 500.0
 FIELDS_AT = 3  # in a command: its name, the customer, the id, then names and values
--- a/rig/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from bench.process import Tree
-from model.scenario import Demand, Net, Scenario, Servers
-from rig.checks import Violation, check
-from rig.errors import RigError
-from rig.plan import Fault, Plan, dump, verify
-from rig.play import Say
-from rig.runs import play_once
+from thistletrail.benchmarks.process import Tree
+from thistletrail.fault_injection.checks import Violation, check
+from thistletrail.fault_injection.errors import RigError
+from thistletrail.fault_injection.plan import Fault, Plan, dump, verify
+from thistletrail.fault_injection.play import Say
+from thistletrail.fault_injection.runs import play_once
+from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers
 
 LENGTH_S = 8.0
 MOST_DOORS, MOST_SERVERS, MOST_FAULTS = 6, 6, 4
--- a/rig/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -4,14 +4,14 @@
 
 from typing import Any
 
-from model.books import Books
-from model.clients import Customer, Demand, PlanFigures
-from model.clock import Clock, S
-from model.kept import Kept
-from model.scenario import Scenario
-from model.servers import Traits
-from model.streams import Stream
-from rig.plan import Plan
+from thistletrail.fault_injection.plan import Plan
+from thistletrail.simulation.books import Books
+from thistletrail.simulation.clients import Customer, Demand, PlanFigures
+from thistletrail.simulation.clock import Clock, S
+from thistletrail.simulation.kept import Kept
+from thistletrail.simulation.scenario import Scenario
+from thistletrail.simulation.servers import Traits
+from thistletrail.simulation.streams import Stream
 
 MESSAGES_S = 40.0  # that a door takes in (the operators' figures)
 MEMORY_MB, SOCKETS = 192, 1024  # the limits of the scored days (the deployment page)
--- a/molereach/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -11,10 +11,10 @@
 
 import uvloop
 
-from molereach.config import Config, ConfigError, load, reload
-from molereach.frontdoor import FrontDoor
+from thistletrail.gateway.config import Config, ConfigError, load, reload
+from thistletrail.gateway.frontdoor import FrontDoor
 
-log = logging.getLogger("molereach")
+log = logging.getLogger("thistletrail.gateway")
 
 LINES_AT_ONCE = 10  # from one place in the code
 LINES_SPAN_S = 10.0
@@ -74,7 +74,7 @@
         loop.add_signal_handler(number, stopped.set)
     keep = None
     if config.state_dir:
-        from molereach.keep import Keep  # what is kept nowhere needs not be loaded
+        from thistletrail.gateway.keep import Keep  # what is kept nowhere needs not be loaded
 
         keep = Keep(config)
         if wait := keep.wait_s():
@@ -93,13 +93,13 @@
     if keep:
         keep.recall(door)
     if config.takeover:
-        from molereach.takeover import Takeover
+        from thistletrail.gateway.takeover import Takeover
 
         door.takeover = Takeover(door, config)
         working = loop.create_task(door.takeover.run())
     await door.start()
     if config.steward:
-        from molereach.allowance import Allowances  # no steward, no packages for it
+        from thistletrail.gateway.allowance import Allowances  # no steward, no packages for it
 
         allowances = Allowances(door, config)
         renewing = loop.create_task(allowances.run())
@@ -137,10 +137,10 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, reload_asked))
     except ConfigError as error:
-        print(f"molereach: {error}", file=sys.stderr)
+        print(f"gateway: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"molereach: cannot start: {error}", file=sys.stderr)
+        print(f"gateway: cannot start: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/molereach/allowance.py
+++ b/thistletrail/gateway/allowance.py
@@ -11,17 +11,17 @@
 import random
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
-from fennelwinch.allowances import wanted, whole_of
-from molereach.backends import now_us
-from molereach.config import Config
-from steward.client import RENEW_SHARE, Renewer
-from steward.holder import Holder
-from steward.state import Terms
-from steward.wire import now_ms
+from thistletrail.gateway.backends import now_us
+from thistletrail.gateway.config import Config
+from thistletrail.leasing.client import RENEW_SHARE, Renewer
+from thistletrail.leasing.holder import Holder
+from thistletrail.leasing.state import Terms
+from thistletrail.leasing.wire import now_ms
+from thistletrail.policy import interface as i
+from thistletrail.policy.allowances import wanted, whole_of
 
 if TYPE_CHECKING:
-    from molereach.frontdoor import FrontDoor
+    from thistletrail.gateway.frontdoor import FrontDoor
 
 MOST_WANTED = 2000  # budgets in one ask: as many as a steward takes
 LOOK_S = 0.05  # between looks for customers that have come
--- a/molereach/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -9,11 +9,11 @@
 import time
 from collections.abc import Callable, Coroutine
 
-from fennelwinch import interface as i
-from fennelwinch.codec import read_report
-from molereach.config import Address
-from molereach.costs import BACKENDS, Costs
-from molereach.resp import Answer, AnswerReader, ProtocolError, has_unread
+from thistletrail.gateway.config import Address
+from thistletrail.gateway.costs import BACKENDS, Costs
+from thistletrail.gateway.resp import Answer, AnswerReader, ProtocolError, has_unread
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import read_report
 
 log = logging.getLogger(__name__)
 
--- a/molereach/clients.py
+++ b/thistletrail/gateway/clients.py
@@ -15,12 +15,12 @@
 from functools import partial
 from itertools import islice
 
-from fennelwinch import interface as i
-from molereach.backends import NEVER, now_us
-from molereach.budget import LATE_LEAST_US, Budget, from_text, to_text, unread_us
-from molereach.config import Address, Config
-from molereach.costs import CLIENTS, Costs
-from molereach.resp import CommandReader, ProtocolError, encode, has_ended, has_unread
+from thistletrail.gateway.backends import NEVER, now_us
+from thistletrail.gateway.budget import LATE_LEAST_US, Budget, from_text, to_text, unread_us
+from thistletrail.gateway.config import Address, Config
+from thistletrail.gateway.costs import CLIENTS, Costs
+from thistletrail.gateway.resp import CommandReader, ProtocolError, encode, has_ended, has_unread
+from thistletrail.policy import interface as i
 
 log = logging.getLogger(__name__)
 
--- a/molereach/config.py
+++ b/thistletrail/gateway/config.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from fennelwinch import interface as i
-from fennelwinch.codec import Pairs, read_settings
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import Pairs, read_settings
 
 Address = tuple[str, int]
 
--- a/molereach/discovery.py
+++ b/thistletrail/gateway/discovery.py
@@ -15,10 +15,10 @@
 
 import h11
 
-from fennelwinch import interface as i
-from molereach.config import Address, Config, ConfigError, read_address
-from molereach.costs import DISCOVERY, Costs
-from molereach.objects import ObjectReader
+from thistletrail.gateway.config import Address, Config, ConfigError, read_address
+from thistletrail.gateway.costs import DISCOVERY, Costs
+from thistletrail.gateway.objects import ObjectReader
+from thistletrail.policy import interface as i
 
 log = logging.getLogger(__name__)
 
--- a/molereach/frontdoor.py
+++ b/thistletrail/gateway/frontdoor.py
@@ -13,18 +13,18 @@
 from dataclasses import fields, replace
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
-from molereach import costs
-from molereach.backends import NEVER, Attempt, Backends, now_us
-from molereach.budget import Budget, Source, Stage
-from molereach.clients import FAILED, Clients, Command, CommandError, CommandParser, Reply
-from molereach.config import Config
-from molereach.discovery import Catalog, Discovery, News
-from molereach.peers import Peers
+from thistletrail.gateway import costs
+from thistletrail.gateway.backends import NEVER, Attempt, Backends, now_us
+from thistletrail.gateway.budget import Budget, Source, Stage
+from thistletrail.gateway.clients import FAILED, Clients, Command, CommandError, CommandParser, Reply
+from thistletrail.gateway.config import Config
+from thistletrail.gateway.discovery import Catalog, Discovery, News
+from thistletrail.gateway.peers import Peers
+from thistletrail.policy import interface as i
+from thistletrail.policy.rules import Gateway
 
 if TYPE_CHECKING:
-    from molereach.takeover import Nobody, Takeover
+    from thistletrail.gateway.takeover import Nobody, Takeover
 
 log = logging.getLogger(__name__)
 
--- a/molereach/keep.py
+++ b/thistletrail/gateway/keep.py
@@ -26,12 +26,12 @@
 
 import msgspec
 
-from fennelwinch import interface as i
-from fennelwinch.snapshot import collect
-from molereach.config import Config, ConfigError
+from thistletrail.gateway.config import Config, ConfigError
+from thistletrail.policy import interface as i
+from thistletrail.policy.snapshot import collect
 
 if TYPE_CHECKING:
-    from molereach.frontdoor import FrontDoor
+    from thistletrail.gateway.frontdoor import FrontDoor
 
 log = logging.getLogger(__name__)
 
--- a/molereach/peers.py
+++ b/thistletrail/gateway/peers.py
@@ -3,10 +3,10 @@
 import asyncio
 from collections.abc import Callable
 
-from fennelwinch import interface as i
-from fennelwinch.codec import MESSAGE_BYTES, pack_message, unpack_message
-from molereach.config import Address
-from molereach.costs import PEERS, Costs
+from thistletrail.gateway.config import Address
+from thistletrail.gateway.costs import PEERS, Costs
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import MESSAGE_BYTES, pack_message, unpack_message
 
 
 class Peers(asyncio.DatagramProtocol):
--- a/molereach/takeover.py
+++ b/thistletrail/gateway/takeover.py
@@ -19,19 +19,19 @@
 import h11
 import msgspec
 
-from fennelwinch import interface as i
-from molereach.backends import Attempt, now_us
-from molereach.budget import ANSWER_MARGIN_US, Budget, Source
-from molereach.clients import FAILED, Command, CommandError, read_fields
-from molereach.config import Config
-from molereach.resp import CommandReader, ProtocolError, encode
-from steward.client import CallError, Stream, TurnedAwayError
-from steward.hand import Hand
-from steward.messages import WORK_LEASE_MS, Begin, Done, Handed, Op, Told, Try, WorkAnswer
-from steward.wire import FrameError, now_ms
+from thistletrail.gateway.backends import Attempt, now_us
+from thistletrail.gateway.budget import ANSWER_MARGIN_US, Budget, Source
+from thistletrail.gateway.clients import FAILED, Command, CommandError, read_fields
+from thistletrail.gateway.config import Config
+from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
+from thistletrail.leasing.client import CallError, Stream, TurnedAwayError
+from thistletrail.leasing.hand import Hand
+from thistletrail.leasing.messages import WORK_LEASE_MS, Begin, Done, Handed, Op, Told, Try, WorkAnswer
+from thistletrail.leasing.wire import FrameError, now_ms
+from thistletrail.policy import interface as i
 
 if TYPE_CHECKING:
-    from molereach.frontdoor import Exchange, FrontDoor
+    from thistletrail.gateway.frontdoor import Exchange, FrontDoor
 
 log = logging.getLogger(__name__)
 
--- a/steward/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -1,4 +1,4 @@
-"""Start of the steward: `python -m steward serve --data FOLDER --config FILE --secret FILE`."""
+"""Start of the steward: `python -m thistletrail.leasing serve --data FOLDER --config FILE --secret FILE`."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 import click
 from aiohttp import web
 
-from durable.records import DamageError
-from steward import check_work
-from steward.book import Book, begin
-from steward.check import PLANTED, Kind, Outcome, explore, stray_all
-from steward.config import ConfigError, read
-from steward.server import Service
-from steward.tenure import LockedError, claim, keep, office
-from steward.wire import LEAST_SECRET, SIGNATURE, sign
+from thistletrail.leasing import check_work
+from thistletrail.leasing.book import Book, begin
+from thistletrail.leasing.check import PLANTED, Kind, Outcome, explore, stray_all
+from thistletrail.leasing.config import ConfigError, read
+from thistletrail.leasing.server import Service
+from thistletrail.leasing.tenure import LockedError, claim, keep, office
+from thistletrail.leasing.wire import LEAST_SECRET, SIGNATURE, sign
+from thistletrail.write_ahead_log.records import DamageError
 
 SHUTDOWN_S = 2.0
 ASK_S = 5.0  # for an answer to `status`
@@ -52,7 +52,9 @@
             return
         if not wait:
             raise LockedError(f"another steward has taken over the folder {folder}")
-        logging.getLogger("steward").warning("another steward has taken over the folder %s", folder)
+        logging.getLogger("thistletrail.leasing").warning(
+            "another steward has taken over the folder %s", folder
+        )
         config = service.config  # as a SIGHUP has left it
 
 
@@ -83,10 +85,10 @@
     try:
         service.reload(read(path))
     except ConfigError as error:
-        logging.getLogger("steward").error("the configuration stays as it was: %s", error)
+        logging.getLogger("thistletrail.leasing").error("the configuration stays as it was: %s", error)
 
 
-@click.group("steward")
+@click.group("leasing")
 def cli() -> None:
     """Budgets of the whole fleet, divided among the front doors by leases."""
 
@@ -120,12 +122,12 @@
     try:
         shared = secret.read_bytes().strip()
         if len(shared) < LEAST_SECRET:
-            sys.exit(f"steward: the secret in {secret} has less than {LEAST_SECRET} bytes")
+            sys.exit(f"leasing: the secret in {secret} has less than {LEAST_SECRET} bytes")
         asyncio.run(serve(data, config_path, shared, host, int(port), standby))
     except (ConfigError, LockedError, DamageError) as error:
-        sys.exit(f"steward: {error}")
+        sys.exit(f"leasing: {error}")
     except OSError as error:
-        sys.exit(f"steward: {error.filename or listen}: {error.strerror}")
+        sys.exit(f"leasing: {error.filename or listen}: {error.strerror}")
 
 
 @cli.command("status")
@@ -141,9 +143,9 @@
         with urlopen(request, timeout=ASK_S) as answer:
             found = json.load(answer)
     except HTTPError as error:
-        sys.exit(f"steward: {at}: {error.read().decode(errors='replace').strip() or error.reason}")
+        sys.exit(f"leasing: {at}: {error.read().decode(errors='replace').strip() or error.reason}")
     except (URLError, ValueError, OSError) as error:
-        sys.exit(f"steward: {at}: {getattr(error, 'reason', None) or error}")
+        sys.exit(f"leasing: {at}: {getattr(error, 'reason', None) or error}")
     click.echo(json.dumps(found, indent=1))
 
 
@@ -155,9 +157,9 @@
     try:
         begin(data, read(config_path))
     except (ConfigError, LockedError) as error:
-        sys.exit(f"steward: {error}")
+        sys.exit(f"leasing: {error}")
     except OSError as error:
-        sys.exit(f"steward: {data}: {error.strerror}")
+        sys.exit(f"leasing: {data}: {error.strerror}")
 
 
 @cli.command("check")
@@ -227,7 +229,7 @@
 
 def main() -> None:
     with contextlib.suppress(KeyboardInterrupt):
-        cli(prog_name="steward")
+        cli(prog_name="python -m thistletrail.leasing")
 
 
 if __name__ == "__main__":
--- a/steward/server.py
+++ b/thistletrail/leasing/server.py
@@ -14,13 +14,12 @@
 import msgspec
 from aiohttp import web
 
-from durable.records import FullError
-from steward.book import Book
-from steward.config import Config
-from steward.messages import MOST_OPS, Answer, Ask, WorkAnswer, WorkAsk, holder_of
-from steward.state import Issued, RefusedError, State
-from steward.tenure import LostError
-from steward.wire import (
+from thistletrail.leasing.book import Book
+from thistletrail.leasing.config import Config
+from thistletrail.leasing.messages import MOST_OPS, Answer, Ask, WorkAnswer, WorkAsk, holder_of
+from thistletrail.leasing.state import Issued, RefusedError, State
+from thistletrail.leasing.tenure import LostError
+from thistletrail.leasing.wire import (
     FULL,
     PATH,
     REFUSED,
@@ -32,7 +31,8 @@
     now_ms,
     sign,
 )
-from steward.work import Record, Work
+from thistletrail.leasing.work import Record, Work
+from thistletrail.write_ahead_log.records import FullError
 
 log = logging.getLogger(__name__)
 
--- a/steward/state.py
+++ b/thistletrail/leasing/state.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from steward.division import divide, stepped
-from steward.messages import Answer, Ask, Grant, Want, holder_of
+from thistletrail.leasing.division import divide, stepped
+from thistletrail.leasing.messages import Answer, Ask, Grant, Want, holder_of
 
 LEASE_MS = 3000
 # By which a holder stops early: clocks that drift by 1 in 1,000 against each other, ten times over.
--- a/steward/tenure.py
+++ b/thistletrail/leasing/tenure.py
@@ -22,7 +22,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from durable.records import sync_folder
+from thistletrail.write_ahead_log.records import sync_folder
 
 log = logging.getLogger(__name__)
 
--- a/fennelwinch/adapter.py
+++ b/thistletrail/policy/adapter.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from fennelwinch import interface as i
-from fennelwinch.codec import Pairs, pack_message, read_report, read_settings, unpack_message
-from fennelwinch.rules import Gateway
+from thistletrail.policy import interface as i
+from thistletrail.policy.codec import Pairs, pack_message, read_report, read_settings, unpack_message
+from thistletrail.policy.rules import Gateway
 
 RESULTS = {
     "served": i.Result.OK,
@@ -310,7 +310,7 @@
             sink.flush()
     except (WireError, ValueError, KeyError, StopIteration) as error:
         text = f"unknown word {error}" if isinstance(error, KeyError) else str(error) or "a list is cut off"
-        print(f"fennelwinch: line {count}: {one_line(text)}", file=sys.stderr)
+        print(f"simulator_adapter: line {count}: {one_line(text)}", file=sys.stderr)
         return 2
     return 0
 
--- a/fennelwinch/allowances.py
+++ b/thistletrail/policy/allowances.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
-from fennelwinch.base import NEVER, S
+from thistletrail.policy import interface as i
+from thistletrail.policy.base import NEVER, S
 
 if TYPE_CHECKING:
-    from fennelwinch.rules import Gateway
+    from thistletrail.policy.rules import Gateway
 
-FLOOR = 0.1  # of a budget, for all who share it together (steward/state.py keeps as much aside)
+FLOOR = 0.1  # of a budget, for all who share it together (leasing/state.py keeps as much aside)
 WANTED_US = 3 * S  # for which a budget that has not been asked of is still asked for: a lease
 RATE_US = 2 * S  # over which demand is smoothed for a steward
 NOTHING: dict[str, Store] = {}  # is leased of most customers: one for all of them, and never changed
--- a/fennelwinch/base.py
+++ b/thistletrail/policy/base.py
@@ -6,11 +6,11 @@
 import random
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
+from thistletrail.policy import interface as i
 
 if TYPE_CHECKING:
-    from fennelwinch.choice import Backend
-    from fennelwinch.quota import Customer
+    from thistletrail.policy.choice import Backend
+    from thistletrail.policy.quota import Customer
 
 S, NEVER = 1_000_000, 1 << 62  # microseconds in a second; a time that does not come
 
--- a/fennelwinch/cap.py
+++ b/thistletrail/policy/cap.py
@@ -2,9 +2,9 @@
 
 import math
 
-from fennelwinch import interface as i
-from fennelwinch.base import TICK_US
-from fennelwinch.choice import Choice
+from thistletrail.policy import interface as i
+from thistletrail.policy.base import TICK_US
+from thistletrail.policy.choice import Choice
 
 FAIR_N, MOST_PERIODS = 10, 2  # control period and OPPUI: 1 or 2 s, for a fair-sized N
 MAX_INCREASE, MAX_DECREASE = 0.2, 0.1  # the largest step of N in a second, against noise
--- a/fennelwinch/choice.py
+++ b/thistletrail/policy/choice.py
@@ -1,8 +1,8 @@
 """Which scan server an attempt goes to, and which are well: own attempts, and what peers tell of theirs."""
 
-from fennelwinch import interface as i
-from fennelwinch.base import NEVER, Base, Job, S
-from fennelwinch.fleet import Fleet, by_mark, mark
+from thistletrail.policy import interface as i
+from thistletrail.policy.base import NEVER, Base, Job, S
+from thistletrail.policy.fleet import Fleet, by_mark, mark
 
 SMOOTH = 0.1  # weight of a new latency in a running mean
 # Servers looked at for one attempt: many gateways that all take the emptiest would flood it. A few gateways
--- a/fennelwinch/codec.py
+++ b/thistletrail/policy/codec.py
@@ -4,7 +4,7 @@
 import struct
 from collections.abc import Iterable, Mapping
 
-from fennelwinch import interface as i
+from thistletrail.policy import interface as i
 
 EFFECTS = {
     "read_like": i.Effect.SAFE,
--- a/fennelwinch/fleet.py
+++ b/thistletrail/policy/fleet.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fennelwinch import interface as i
+from thistletrail.policy import interface as i
 
 DIGEST_US = 600_000  # what a digest spans: some attempts of a gateway, and less than a jam takes to build up
 FRESH_US = 2_000_000  # for which a sender's last digest is remembered: serial numbers come round later
--- a/fennelwinch/memory.py
+++ b/thistletrail/policy/memory.py
@@ -5,10 +5,10 @@
 
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
+from thistletrail.policy import interface as i
 
 if TYPE_CHECKING:
-    from fennelwinch.rules import Gateway
+    from thistletrail.policy.rules import Gateway
 
 # Bounds on age: N follows load within some OPPUIs; a suspect server is tried again by then.
 CAP_US, HEALTH_US = 5_000_000, 8_000_000
--- a/fennelwinch/quota.py
+++ b/thistletrail/policy/quota.py
@@ -3,11 +3,11 @@
 import math
 from bisect import insort
 
-from fennelwinch import interface as i
-from fennelwinch.allowances import stores_of
-from fennelwinch.base import NEVER, TICK_US, Job, S
-from fennelwinch.cap import Cap
-from fennelwinch.starts import Starts
+from thistletrail.policy import interface as i
+from thistletrail.policy.allowances import stores_of
+from thistletrail.policy.base import NEVER, TICK_US, Job, S
+from thistletrail.policy.cap import Cap
+from thistletrail.policy.starts import Starts
 
 DEMAND_US = 0.5 * S  # ageing of demand: short, as the level of the store carries the longer memory
 # The wait for word from home, its part of the aim, and how often it is asked; how long a word holds.
--- a/fennelwinch/rules.py
+++ b/thistletrail/policy/rules.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway; its events, actions and settings are in fennelwinch/interface.py.
+"""The decisions of one gateway; its events, actions and settings are in policy/interface.py.
 
 Each concern has a module: which server (choice.py, fleet.py), how much (cap.py), for whom (quota.py). Here
 they meet: a request's way from its coming to its one final answer.
@@ -7,15 +7,15 @@
 import zlib
 from bisect import insort
 
-from fennelwinch import allowances
-from fennelwinch import interface as i
-from fennelwinch.allowances import FLOOR, Store
-from fennelwinch.base import NEVER, TICK_US, Job, S
-from fennelwinch.cap import FAIR_N, MOST_PERIODS
-from fennelwinch.choice import FEW_GATEWAYS, SMOOTH, Backend
-from fennelwinch.memory import recall
-from fennelwinch.patience import Patience
-from fennelwinch.quota import Quota
+from thistletrail.policy import allowances
+from thistletrail.policy import interface as i
+from thistletrail.policy.allowances import FLOOR, Store
+from thistletrail.policy.base import NEVER, TICK_US, Job, S
+from thistletrail.policy.cap import FAIR_N, MOST_PERIODS
+from thistletrail.policy.choice import FEW_GATEWAYS, SMOOTH, Backend
+from thistletrail.policy.memory import recall
+from thistletrail.policy.patience import Patience
+from thistletrail.policy.quota import Quota
 
 PATIENCE_STEPS = 200  # first tries by which the known patience of clients can rise by about its double
 RATE_SMOOTH = 0.3  # weight of a period's sends in a running mean
--- a/fennelwinch/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -3,8 +3,8 @@
 Times in a snapshot are from its making on, as nobody's clock goes on over a restart.
 """
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
+from thistletrail.policy import interface as i
+from thistletrail.policy.rules import Gateway
 
 MOST_CUSTOMERS = 5_000  # the ones seen last: some 100 bytes each
 
--- a/roster/__main__.py
+++ b/thistletrail/registry/__main__.py
@@ -1,4 +1,4 @@
-"""Start of the list service: `python -m roster --data FOLDER`, or `--follow HOST:PORT`."""
+"""Start of the list service: `python -m thistletrail.registry --data FOLDER`, or `--follow HOST:PORT`."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 import click
 from aiohttp import web
 
-from durable.records import DamageError
-from roster.follow import Follower
-from roster.server import Reader, Service
+from thistletrail.registry.follow import Follower
+from thistletrail.registry.server import Reader, Service
+from thistletrail.write_ahead_log.records import DamageError
 
 SHUTDOWN_S = 3.0  # that what is being answered may take after SIGTERM
 MOST_HEADERS = 8190  # bytes of one header line
@@ -37,7 +37,7 @@
         site = web.TCPSite(runner, host, port)
         await site.start()
         where = runner.addresses[0]
-        print(f"roster serves at {where[0]}:{where[1]}", flush=True)
+        print(f"registry serves at {where[0]}:{where[1]}", flush=True)
         stopped = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, stopped.set)
@@ -84,18 +84,18 @@
     try:
         asyncio.run(serve(service, host, port))
     except DamageError as error:
-        sys.exit(f"roster: {error}")
+        sys.exit(f"registry: {error}")
     except OSError as error:
-        sys.exit(f"roster: {data or follow} or {listen}: {error.strerror}")
+        sys.exit(f"registry: {data or follow} or {listen}: {error.strerror}")
 
 
 def start() -> None:
     """Run the command; a wrong option is one plain line and exit code 2."""
     with contextlib.suppress(KeyboardInterrupt, click.Abort):
         try:
-            main(prog_name="python -m roster", standalone_mode=False)
+            main(prog_name="python -m thistletrail.registry", standalone_mode=False)
         except click.ClickException as error:
-            click.echo(f"roster: {error.format_message()}", err=True)
+            click.echo(f"registry: {error.format_message()}", err=True)
             sys.exit(error.exit_code)
 
 
--- a/roster/follow.py
+++ b/thistletrail/registry/follow.py
@@ -17,8 +17,8 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 
-from roster.server import READ_PATH, WRITE_PATH, Reader, UnavailableError, now_ms
-from roster.store import (
+from thistletrail.registry.server import READ_PATH, WRITE_PATH, Reader, UnavailableError, now_ms
+from thistletrail.registry.store import (
     DELETED,
     DRAINING,
     MOST_GENERATION,
--- a/roster/log.py
+++ b/thistletrail/registry/log.py
@@ -1,7 +1,7 @@
 """What makes the list outlive its process: an append-only log with checksums, and snapshots.
 
 A folder holds `snapshot` (the list at some generation) and `log` (the changes since, oldest first). A change
-is synced before whoever asked for it is answered (durable/records.py).
+is synced before whoever asked for it is answered (write_ahead_log/records.py).
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from durable.records import DamageError, FullError, Records, read_whole, write_whole
-from roster.store import Instance, RefusedError, Store
+from thistletrail.registry.store import Instance, RefusedError, Store
+from thistletrail.write_ahead_log.records import DamageError, FullError, Records, read_whole, write_whole
 
 log = logging.getLogger(__name__)
 
--- a/roster/server.py
+++ b/thistletrail/registry/server.py
@@ -17,8 +17,8 @@
 
 from aiohttp import web
 
-from roster.log import Log
-from roster.store import ConflictError, News, RefusedError, Store, UnknownError, read_instance
+from thistletrail.registry.log import Log
+from thistletrail.registry.store import ConflictError, News, RefusedError, Store, UnknownError, read_instance
 
 log = logging.getLogger(__name__)
 
--- a/model/back.py
+++ b/thistletrail/simulation/back.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from model import day as days
-from model.errors import ModelError
-from model.experiment import Interval, bootstrap, figures
-from model.scenario import Scenario, Stored
+from thistletrail.simulation import day as days
+from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.experiment import Interval, bootstrap, figures
+from thistletrail.simulation.scenario import Scenario, Stored
 
 BEFORE: Stored = "none"  # what the other states are held against, on the same seeds
 
@@ -55,7 +55,7 @@
     """In a worker: Ctrl-C is its parent's, which ends it; it dies with that one."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
-    from bench.process import die_with_parent
+    from thistletrail.benchmarks.process import die_with_parent
 
     die_with_parent()
 
--- a/model/books.py
+++ b/thistletrail/simulation/books.py
@@ -8,7 +8,7 @@
 
 from collections import Counter, defaultdict
 
-from model.service import Point
+from thistletrail.simulation.service import Point
 
 MOST_LOGGED, MOST_BROKEN = 200, 100  # lines and broken rules kept; all are counted
 WINDOW_S = 10  # of the worst stretch (the brief)
--- a/model/catalog.py
+++ b/thistletrail/simulation/catalog.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
-from model.clock import MS, S
-from model.servers import ScanServer
+from thistletrail.policy import interface as i
+from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
-    from model.day import Day
+    from thistletrail.simulation.day import Day
 
 
 class Catalog:
--- a/model/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -7,17 +7,17 @@
 from bisect import bisect
 from typing import TYPE_CHECKING
 
-from model.books import GAINED, LATE, OVER, SERVED
-from model.clock import MS, S
-from model.ledger import Account
-from model.scenario import Clients as ClientsSpec
-from model.streams import Stream
-from model.watched import Decided
+from thistletrail.simulation.books import GAINED, LATE, OVER, SERVED
+from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.ledger import Account
+from thistletrail.simulation.scenario import Clients as ClientsSpec
+from thistletrail.simulation.streams import Stream
+from thistletrail.simulation.watched import Decided
 
 if TYPE_CHECKING:
-    from model.day import Day
-    from model.doors import Door
-    from model.kept import Piece
+    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.doors import Door
+    from thistletrail.simulation.kept import Piece
 
 RECENT_US = 5 * S  # after a start for which what a door does not know is the cause of what it lets by
 TOO_LATE = ("late on arrival", "late retry")  # refusals that come of why an earlier try was not served
--- a/model/commands.py
+++ b/thistletrail/simulation/commands.py
@@ -9,7 +9,7 @@
 
 import click
 
-from model.errors import ModelError
+from thistletrail.simulation.errors import ModelError
 
 BAD_INPUT, STOPPED = 2, 130  # exit codes; 1 is a fault's
 HELP = {"help_option_names": ["-h", "--help"]}
--- a/model/day.py
+++ b/thistletrail/simulation/day.py
@@ -8,20 +8,20 @@
 
 import msgspec
 
-from fennelwinch import interface as i
-from model.books import WEIGHTS, Books
-from model.catalog import Catalog
-from model.clients import Clients, Demand, PlanFigures
-from model.clock import MS, Clock, S
-from model.doors import GRACE_US, Door
-from model.kept import Kept
-from model.leased import Leases
-from model.network import Network
-from model.scenario import Scenario
-from model.servers import ScanServer, Traits
-from model.service import Way, way_back
-from model.streams import Stream
-from model.troubles import Troubles
+from thistletrail.policy import interface as i
+from thistletrail.simulation.books import WEIGHTS, Books
+from thistletrail.simulation.catalog import Catalog
+from thistletrail.simulation.clients import Clients, Demand, PlanFigures
+from thistletrail.simulation.clock import MS, Clock, S
+from thistletrail.simulation.doors import GRACE_US, Door
+from thistletrail.simulation.kept import Kept
+from thistletrail.simulation.leased import Leases
+from thistletrail.simulation.network import Network
+from thistletrail.simulation.scenario import Scenario
+from thistletrail.simulation.servers import ScanServer, Traits
+from thistletrail.simulation.service import Way, way_back
+from thistletrail.simulation.streams import Stream
+from thistletrail.simulation.troubles import Troubles
 
 START_US = 1_000 * S  # when a run begins: a start time of 0 means long ago
 TAIL_S = 1.0  # after the last possible end of a request
--- a/model/fidelity.py
+++ b/thistletrail/simulation/fidelity.py
@@ -14,8 +14,8 @@
 import msgspec
 import numpy as np
 
-from model.errors import ModelError
-from model.scenario import Scenario, load
+from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.scenario import Scenario, load
 
 SIZES = {"lbsim": None, "mass at 40": 40}  # doors and servers of its days; none: as the scenario has them
 
--- a/model/kept.py
+++ b/thistletrail/simulation/kept.py
@@ -10,13 +10,13 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from model.clock import MS, S
+from thistletrail.simulation.clock import MS, S
 
 if TYPE_CHECKING:
-    from model.clients import Ask, Try
-    from model.day import Day
-    from model.doors import Open
-    from model.servers import ScanServer
+    from thistletrail.simulation.clients import Ask, Try
+    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.doors import Open
+    from thistletrail.simulation.servers import ScanServer
 
 LEASE_US = S  # the steward's, for work in hand
 AGAIN_US = 50 * MS  # until it looks anew where nobody is there
--- a/model/ledger.py
+++ b/thistletrail/simulation/ledger.py
@@ -1,6 +1,6 @@
 """Each customer's stores of quota and ceiling, over all front doors, as the operators book them."""
 
-from model.clock import S
+from thistletrail.simulation.clock import S
 
 
 class Store:
--- a/model/network.py
+++ b/thistletrail/simulation/network.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from model.clock import MS, Clock
-from model.scenario import Net
-from model.servers import ScanServer
-from model.streams import Stream
+from thistletrail.simulation.clock import MS, Clock
+from thistletrail.simulation.scenario import Net
+from thistletrail.simulation.servers import ScanServer
+from thistletrail.simulation.streams import Stream
 
 if TYPE_CHECKING:
-    from model.day import Day
-    from model.doors import Door
+    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.doors import Door
 
 
 class Network:
--- a/model/report.py
+++ b/thistletrail/simulation/report.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from model.errors import ModelError
+from thistletrail.simulation.errors import ModelError
 
 MOST_CAUSES = 8  # in one plot; the rest are drawn together
 STYLE = (
--- a/model/scenario.py
+++ b/thistletrail/simulation/scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 import tomli_w
 
-from model.errors import ModelError
+from thistletrail.simulation.errors import ModelError
 
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
@@ -282,7 +282,7 @@
 
 def known() -> list[str]:
     """The names of the scenarios that come with the model."""
-    folder = resources.files("model") / "scenarios"
+    folder = resources.files("thistletrail.simulation") / "scenarios"
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
     )
@@ -291,7 +291,9 @@
 def load(name: str) -> Scenario:
     """A scenario by its name, or from a file."""
     if name in known():
-        return parse((resources.files("model") / "scenarios" / f"{name}.toml").read_bytes(), name)
+        return parse(
+            (resources.files("thistletrail.simulation") / "scenarios" / f"{name}.toml").read_bytes(), name
+        )
     if not name.endswith(".toml"):
         raise ModelError(f"there is no scenario '{name}' (a .toml file, or one of {', '.join(known())})")
     try:
--- a/model/search.py
+++ b/thistletrail/simulation/search.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from model.day import play
-from model.errors import ModelError
-from model.scenario import Clients, Demand, Net, Scenario, Servers, Trouble, dump
-from model.streams import Stream
-from model.troubles import KINDS
+from thistletrail.simulation.day import play
+from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.scenario import Clients, Demand, Net, Scenario, Servers, Trouble, dump
+from thistletrail.simulation.streams import Stream
+from thistletrail.simulation.troubles import KINDS
 
 MOST_DOORS, MOST_SERVERS, MOST_LENGTH_S, MOST_TROUBLES = 12, 16, 12.0, 4  # small, so that many are played
 SHRINKS = 200  # plays that making one scenario smaller may take
--- a/model/servers.py
+++ b/thistletrail/simulation/servers.py
@@ -10,9 +10,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from model.clock import Clock, S
-from model.scenario import Scenario
-from model.streams import Stream
+from thistletrail.simulation.clock import Clock, S
+from thistletrail.simulation.scenario import Scenario
+from thistletrail.simulation.streams import Stream
 
 RAMP_STEP_US = 100_000  # how often a warming server's rate is taken anew while nothing else happens there
 CHANCE_SLACK = 4.0  # mean works that may come beyond the budget of a cold server: the rule's slack for chance
--- a/model/troubles.py
+++ b/thistletrail/simulation/troubles.py
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, get_args
 
-from fennelwinch import interface as i
-from model.clock import MS, S
-from model.scenario import Kind, Trouble
-from model.servers import ScanServer
+from thistletrail.policy import interface as i
+from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.scenario import Kind, Trouble
+from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
-    from model.day import Day
-    from model.doors import Door
+    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.doors import Door
 
 RESTART_S = 0.4  # until a planned restart is back: what a real one takes here
 SETTLE_S = (0.2, 0.4)  # after SIGTERM for which new connections keep coming (the protocol page)
 STALE_S = 3600  # by which a stale snapshot is older than it was
-DRAIN_EXTRA_S, LEAST_DRAIN_S = 0.5, 3.0  # past the longest deadline, as molereach drains
+DRAIN_EXTRA_S, LEAST_DRAIN_S = 0.5, 3.0  # past the longest deadline, as the gateway process drains
 DRAINED_S = (2.0, 5.4)  # for which a server that leaves drains (the site's `shrink`)
 RESTART_STEPS = 10  # a tenth of the doors at a time
 ONE_SHOT_PLAN = 0  # customers that are seen once come under the first plan
--- a/model/watched.py
+++ b/thistletrail/simulation/watched.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations  # older revisions lack some of the events named here
 
-from fennelwinch import interface as i
-from fennelwinch import rules
+from thistletrail.policy import interface as i
+from thistletrail.policy import rules
 
 try:
-    from fennelwinch.quota import WORD_FRESH_US
+    from thistletrail.policy.quota import WORD_FRESH_US
 except ImportError:  # an older revision, with all decisions in one file
-    from fennelwinch.rules import WORD_FRESH_US
+    from thistletrail.policy.rules import WORD_FRESH_US
 
 # On what basis a quota was decided.
 PART, HOME, LAST_WORD, SILENT = "own part", "home", "last word", "silent home"
