--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -15,7 +15,7 @@
 from thistletrail.policy.actions import Action, RejectRequest, StartAttempt
 from thistletrail.policy.budget_leases import DEMAND_REPORTED_US
 from thistletrail.policy.events import AttemptResult, BudgetGranted, BudgetKey, BudgetKind, ClientDisconnected
-from thistletrail.policy.leased_budgets import FLOOR
+from thistletrail.policy.leased_budgets import FLOOR_SHARE
 from thistletrail.policy.settings import Plan
 
 PLAN = Plan(rate=100.0, burst=100.0, ceiling_rate=20.0, ceiling_burst=40.0)
@@ -42,7 +42,7 @@
 
 def test_a_ceiling_is_the_floor_until_a_part_is_granted_and_after_its_lease() -> None:
     world = gateway()
-    floor = FLOOR / 2
+    floor = FLOOR_SHARE / 2
     world.now += 100 * S
     assert ceiling(world) == pytest.approx(40.0 * floor)
     allow(world, 0.5)
@@ -58,9 +58,9 @@
     ((_, customer),) = world.gateway.customers.by_key.items()
     customer.leased["ceiling"].expires_us = world.now + S
     world.now += S - 1
-    assert ceiling(world) == pytest.approx(20.0 * (0.25 + FLOOR / 2), rel=0.01)
+    assert ceiling(world) == pytest.approx(20.0 * (0.25 + FLOOR_SHARE / 2), rel=0.01)
     world.now += 1
-    assert ceiling(world) == pytest.approx(40.0 * FLOOR / 2)
+    assert ceiling(world) == pytest.approx(40.0 * FLOOR_SHARE / 2)
 
 
 def test_what_a_smaller_part_has_no_room_for_goes_back_in_whole_units() -> None:
@@ -69,7 +69,7 @@
     assert ceiling(world) == 30.0
     allow(world, 0.2)
     ((_, customer),) = world.gateway.customers.by_key.items()
-    most = 40.0 * (0.2 + FLOOR / 2)
+    most = 40.0 * (0.2 + FLOOR_SHARE / 2)
     assert customer.leased["ceiling"].returned == int(30.0 - most) and ceiling(world) <= most
     (want,) = world.gateway.budget_demands(world.now)
     assert want.returned == customer.leased["ceiling"].returned
@@ -80,7 +80,7 @@
 def test_no_more_is_taken_than_leases_can_grant() -> None:
     world = gateway()
     allow(world, 7.0, units=1e9)
-    assert ceiling(world) <= 40.0 * (1 - FLOOR + FLOOR / 2) + 1e-9
+    assert ceiling(world) <= 40.0 * (1 - FLOOR_SHARE + FLOOR_SHARE / 2) + 1e-9
     stranger = BudgetGranted(BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2), 0.5, 1.0, world.now + S)
     world.tell(stranger)  # of a customer that is not known here
     assert len(world.gateway.customers.by_key) == 1
@@ -113,7 +113,7 @@
     assert sent(world.ask("b", set_size=2)) == ["b"]
     assert sent(world.ask("c", set_size=2)) == []
     assert [action.id for action in of(RejectRequest, world.run(S))] == ["c"]  # no units came in time
-    floor = 10.0 * FLOOR / 2  # units a second that nobody grants
+    floor = 10.0 * FLOOR_SHARE / 2  # units a second that nobody grants
     world.now += round(S / floor)
     assert sent(world.ask("d", set_size=2)) == ["d"] and sent(world.ask("e", set_size=2)) == []
 
--- a/thistletrail/policy/budget_leases.py
+++ b/thistletrail/policy/budget_leases.py
@@ -1,4 +1,4 @@
-"""This gateway's demand for budgets that the lease service divides, and the grants that come back."""
+"""This gateway's demand for budgets that the lease service divides, and the grants that it receives."""
 
 from collections.abc import Iterator
 
@@ -12,11 +12,12 @@
 from thistletrail.policy.retry_policy import RetryBudget
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
-DEMAND_REPORTED_US = 3 * MICROSECONDS_PER_SECOND  # for which an unused budget is still demanded: a lease
+# A budget is reported as needed for this long after its last use: the default duration of a lease.
+DEMAND_REPORTED_US = 3 * MICROSECONDS_PER_SECOND
 
 
 class BudgetLeases:
-    """Adds up what requests need of leased budgets, and takes grants in."""
+    """Adds up the units that requests need of leased budgets, and applies grants."""
 
     def __init__(
         self,
@@ -35,7 +36,7 @@
         self.retry_budget = retry_budget
 
     def demands(self, now_us: int) -> list[BudgetDemand]:
-        """The budgets that this gateway needs a share of, with its demand lately."""
+        """The budgets that this gateway needs a share of, each with its recent demand."""
         waiting = self.waiting_units()
         demands: list[BudgetDemand] = []
         for key, budget, in_flight in self.budgets():
@@ -50,7 +51,10 @@
         return demands
 
     def waiting_units(self) -> dict[BudgetKey | None, float]:
-        """By budget: the units, or the room for requests in flight, that requests wait for."""
+        """The units, or the number of requests in flight, that requests wait for, by budget.
+
+        The key None stands for the retry budget.
+        """
         waiting: dict[BudgetKey | None, float] = {}
         for request in self.queue:
             if not request.attempted_servers and not request.customer.has_ceiling_room(request.arrival.units):
@@ -68,7 +72,10 @@
         return waiting
 
     def budgets(self) -> Iterator[tuple[BudgetKey | None, LeasedBudget, int]]:
-        """The leased budgets, each with the customer's requests in flight; the retry budget comes first."""
+        """The leased budgets, each with the customer's requests in flight.
+
+        The retry budget comes first, with the key None and no requests in flight.
+        """
         if self.retry_budget.leased:
             yield None, self.retry_budget.leased, 0
         for key, customer in self.customers.by_key.items():
@@ -76,7 +83,7 @@
                 yield BudgetKey(kind, *key), budget, customer.in_flight
 
     def on_grant(self, grant: BudgetGranted) -> None:
-        """A share of a budget, until its lease is over; one of a budget that is not known is passed over."""
+        """Apply a grant of a share of a budget; a grant of a budget that is not leased here is ignored."""
         now_us = self.context.now_us
         customer = None
         budget = self.retry_budget.leased
@@ -89,6 +96,6 @@
         budget.accept_grant(grant.share, grant.units, grant.expires_us, now_us)
         if customer:
             self.admission.on_lease_granted(customer)
-        # Whoever waits for these units has them, also where they are more than fit; the rest is returned.
+        # Waiting requests use the granted units first, even beyond the capacity; the excess is returned.
         self.dispatcher.dispatch_queued()
         budget.return_excess(now_us)
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -1,4 +1,4 @@
-"""A customer's quota, ceiling and requests in flight, as far as they are known at this gateway."""
+"""Customers' quotas, ceilings and requests in flight, as known at this gateway."""
 
 import math
 from typing import NamedTuple
@@ -11,19 +11,28 @@
 from thistletrail.policy.token_bucket import TokenBucket
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 
-# Over which demand ages: short, as the level of the bucket carries the longer memory.
-DEMAND_SPAN_US = 0.5 * MICROSECONDS_PER_SECOND
-OWNER_ANSWER_FRESH_US = MICROSECONDS_PER_SECOND  # for which the quota owner's figures hold
-MIN_RETENTION_US = 10 * MICROSECONDS_PER_SECOND  # for which a customer is remembered in any case
-# Shares of a customer's ceiling: one is split over its gateways, one is reserved at its quota owner, which
-# grants of it on request, as many gateways would split it into less than a unit each. The rest is left for
-# grants that are on their way while others are used.
+# The time constant with which demand decays. It is short, as the level of the bucket reflects older demand.
+DEMAND_TIME_CONSTANT_US = 0.5 * MICROSECONDS_PER_SECOND
+
+# The quota owner's figures apply for this long after its answer.
+OWNER_ANSWER_FRESH_US = MICROSECONDS_PER_SECOND
+
+# The minimum time for which an idle customer is kept in memory.
+MIN_RETENTION_US = 10 * MICROSECONDS_PER_SECOND
+
+# Shares of a customer's ceiling: the first is split evenly over its gateways. The second is reserved at its
+# quota owner, which grants units of it on request, as many gateways would each have less than a unit of a
+# split. The rest is a margin for grants that are in transit while other units are used.
 CEILING_SPLIT_SHARE = 0.5
 CEILING_OWNER_SHARE = 0.4
 
 
 class CustomerKey(NamedTuple):
-    """Whose quota it is: a checksum of the name, the plan, and the gateways that keep it, from one on."""
+    """Identifies a customer's quota.
+
+    `customer` is a checksum of the customer's name. The quota is shared by `set_size` gateways, numbered from
+    `set_first` on.
+    """
 
     customer: int
     plan_index: int
@@ -32,10 +41,11 @@
 
 
 class CustomerQuota:
-    """A customer's buckets at this gateway, and what is known of those of all its gateways together.
+    """A customer's buckets at this gateway, and this gateway's view of the totals over the customer's set.
 
-    `set_level` is the level of the quota over all of its gateways, in units; below 0 is what they owe. At the
-    quota owner it is complete. `local_bucket` is the share that needs nobody's answer.
+    `set_level` is the level of the quota over all gateways of the set, in units; a negative level is owed. At
+    the quota owner it includes all reported spending. `local_bucket` is the share that this gateway spends
+    without an answer of the quota owner.
     """
 
     __slots__ = (
@@ -59,7 +69,11 @@
     def __init__(
         self, plan: Plan, key: CustomerKey, settings: Settings, now_us: int, started_us: int
     ) -> None:
-        """Ceilings are empty at `started_us`, the gateway's start, as a restart looks like a first start."""
+        """Create the customer with a full quota.
+
+        Its ceiling was empty at `started_us`, the start of the gateway, which cannot tell a restart from a
+        first start.
+        """
         self.plan = plan
         self.key = key
         self.refilled_at_us = now_us
@@ -68,17 +82,17 @@
         self.owner_answered_at_us = -NEVER_US
         self.set_level = plan.burst
         self.local_bucket = TokenBucket(plan.rate, plan.burst, 1 / key.set_size, plan.burst / key.set_size)
-        self.local_demand = 0.0  # units requested here, aged
+        self.local_demand = 0.0  # units requested at this gateway, with exponential decay
         self.peer_demand = 0.0  # the same at the other gateways of the set
-        self.unreported_demand = 0.0  # not yet reported to the quota owner
+        self.unreported_demand = 0.0  # units not yet reported to the quota owner
         self.unreported_spending = 0.0
 
         self.leased = leased_budgets_of(plan, key.set_size, settings, now_us)
         is_shared = settings.may_message_peers and key.set_size > 1
         split_share = (CEILING_SPLIT_SHARE if is_shared else 1.0) / key.set_size
         owner_share = CEILING_OWNER_SHARE if is_shared and self.owner == settings.gateway_index else 0.0
-        since_start = plan.ceiling_rate * (now_us - started_us) / MICROSECONDS_PER_SECOND
-        level = min(plan.ceiling_burst, since_start)
+        refilled_since_start = plan.ceiling_rate * (now_us - started_us) / MICROSECONDS_PER_SECOND
+        level = min(plan.ceiling_burst, refilled_since_start)
         if BudgetKind.CEILING in self.leased:
             split_share = 0.0
             owner_share = 0.0
@@ -88,27 +102,30 @@
 
     @property
     def set_size(self) -> int:
-        """How many gateways share the customer."""
+        """The number of gateways that share the customer."""
         return self.key.set_size
 
-    def limit_to_arrivals_since(self, restarted_us: int) -> None:
-        """What was spent before a restart is not known: there is only what can have come in since then."""
-        arrived = self.plan.rate * (self.refilled_at_us - restarted_us) / MICROSECONDS_PER_SECOND
-        arrived = min(self.plan.burst, arrived)
-        self.local_bucket.level = min(self.local_bucket.level, arrived / self.set_size)
-        self.set_level = min(self.set_level, arrived)
+    def limit_to_refill_since(self, restarted_us: int) -> None:
+        """Limit the quota to what its rate has brought since a restart.
+
+        What was spent before the restart is not known, so all of the burst may be spent.
+        """
+        refilled = self.plan.rate * (self.refilled_at_us - restarted_us) / MICROSECONDS_PER_SECOND
+        refilled = min(self.plan.burst, refilled)
+        self.local_bucket.level = min(self.local_bucket.level, refilled / self.set_size)
+        self.set_level = min(self.set_level, refilled)
 
     def empty(self) -> None:
-        """Nothing of quota and ceiling is here: it is counted under another key."""
+        """Empty the quota and the ceiling, as for a customer whose units are counted under another key."""
         self.local_bucket.level = 0.0
         self.set_level = 0.0
         self.ceiling_bucket.level = 0.0
 
     def refill(self, now_us: int) -> "CustomerQuota":
-        """Fill the buckets and age the demand up to now.
+        """Refill the buckets and decay the demand up to `now_us`; return the customer itself.
 
-        The set's level and the peers' demand stay as the quota owner reported them while that is fresh; after
-        that they are what they may be by now.
+        The set's level and the peers' demand stay as the quota owner reported them for OWNER_ANSWER_FRESH_US.
+        After that they are estimated: the level rises at the plan's rate, and the demand decays.
         """
         elapsed_s = (now_us - self.refilled_at_us) / MICROSECONDS_PER_SECOND
         self.refilled_at_us = now_us
@@ -116,7 +133,7 @@
             budget.refill(now_us)
         self.ceiling_bucket.refill(elapsed_s)
         self.ceiling_grants.refill(elapsed_s)
-        remaining = math.exp(-elapsed_s * MICROSECONDS_PER_SECOND / DEMAND_SPAN_US)
+        remaining = math.exp(-elapsed_s * MICROSECONDS_PER_SECOND / DEMAND_TIME_CONSTANT_US)
         self.local_demand *= remaining
         if now_us - self.owner_answered_at_us > OWNER_ANSWER_FRESH_US:
             self.set_level = min(self.plan.burst, self.set_level + self.plan.rate * elapsed_s)
@@ -126,13 +143,13 @@
         return self
 
     def apply_owner_answer(self, level: float, demand: float, now_us: int) -> None:
-        """Go by the quota owner's figures: the set's level, and the demand of all its gateways."""
+        """Adopt the quota owner's figures: the set's level, and the demand at all gateways of the set."""
         self.owner_answered_at_us = now_us
         self.set_level = level
         self.peer_demand = max(0.0, demand - self.local_demand)
 
     def limit_local_share(self, level: float) -> None:
-        """Have no more here than an even share of the level that the quota owner reports."""
+        """Limit the local share to an even share of the level that the quota owner reports."""
         self.local_bucket.level = min(self.local_bucket.level, max(0.0, level / self.set_size))
 
     def restore(self, share: float, level: float, ceiling: float, grants: float) -> None:
@@ -145,33 +162,36 @@
 
     @property
     def demand(self) -> float:
-        """Units requested lately at all gateways of the set, as far as it is known."""
+        """Units requested at all gateways of the set, with exponential decay, as far as known here."""
         return self.local_demand + self.peer_demand
 
     def add_local_demand(self, units: float) -> None:
-        """Count a request's units in the demand here and in the next report to the quota owner."""
+        """Add a request's units to the local demand and to the next report to the quota owner."""
         self.local_demand += units
         self.unreported_demand += units
 
     def admission_chance(self, units: float) -> float:
-        """The chance with which a request is inside the quota: the quota over the demand of all.
+        """The probability with which a request of that many units is admitted: available quota over demand.
 
-        The quota is what comes in while demand ages, and what the set has left or owes.
+        The available quota is the set's level, less any units owed, and the refill of one
+        DEMAND_TIME_CONSTANT_US. A leased quota admits the request with 1.0 where its level suffices.
         """
         if not self.has_in_flight_room():
             return 0.0
         if budget := self.leased.get(BudgetKind.QUOTA):
             return float(budget.level >= units)
-        reserve = units * self.plan.over_quota_cost  # held in reserve: to find the bucket empty costs so much
-        quota = self.set_level - reserve + self.plan.rate * DEMAND_SPAN_US / MICROSECONDS_PER_SECOND
+        # A reserve in proportion to the cost of serving units that turn out to be beyond the quota.
+        reserve = units * self.plan.over_quota_cost
+        refill = self.plan.rate * DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
+        quota = self.set_level - reserve + refill
         return max(0.0, min(1.0, quota / max(units, self.demand))) if self.plan.rate else 1.0
 
     def has_local_share(self, units: float) -> bool:
-        """Whether the share here suffices; with a bound on requests in flight it never does."""
+        """Whether the local share has that many units; False for a plan that limits requests in flight."""
         return not self.plan.max_in_flight and self.local_bucket.level >= units
 
     def has_in_flight_room(self) -> bool:
-        """Whether one more of its requests may be in flight from here."""
+        """Whether this gateway may have one more of the customer's requests in flight."""
         max_in_flight = self.plan.max_in_flight
         if not max_in_flight:
             return True
@@ -180,23 +200,23 @@
         return self.in_flight < max(1, max_in_flight // self.set_size)
 
     def has_ceiling_room(self, units: float) -> bool:
-        """Whether the ceiling's share here has room for that many units."""
+        """Whether this gateway's share of the ceiling has that many units; True without a ceiling."""
         if not self.plan.ceiling_rate:
             return True
         budget = self.leased.get(BudgetKind.CEILING)
         return (budget.level if budget else self.ceiling_bucket.level) >= units
 
     def use_ceiling(self, units: float) -> None:
-        """Take units from the ceiling's share here, as a request is sent on."""
+        """Take the units of a request that is forwarded from this gateway's share of the ceiling."""
         if budget := self.leased.get(BudgetKind.CEILING):
             budget.level -= units
         else:
             self.ceiling_bucket.level -= units
 
     def grant_ceiling(self, units: float, chance: float) -> bool:
-        """At the quota owner: whether its share of the ceiling has room for a request of that many units.
+        """As the quota owner, grant a request that many units of the reserved ceiling; False without room.
 
-        The request is sent on by `chance`, and so much of the units is counted.
+        The request is forwarded with the probability `chance`, so that fraction of the units is taken.
         """
         if not self.plan.ceiling_rate or self.ceiling_grants.level < units:
             return False
@@ -204,84 +224,97 @@
         return True
 
     def spend(self, units: float) -> None:
-        """Take units from the set's quota; what it owes is bounded, so that it does not owe for long."""
-        max_owed = self.plan.rate * DEMAND_SPAN_US / MICROSECONDS_PER_SECOND
+        """Take units from the set's level, which may become negative.
+
+        The debt is bounded to what DEMAND_TIME_CONSTANT_US refills, so that it is soon paid.
+        """
+        max_owed = self.plan.rate * DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
         self.set_level = max(self.set_level - units, -max_owed)
 
     def settle(self, units: float) -> None:
-        """Take units that were used here, from what is leased as well."""
+        """Take units that were used at this gateway from the set's level and from a leased quota."""
         self.spend(units)
         if budget := self.leased.get(BudgetKind.QUOTA):
             budget.level -= units
 
     def spend_locally(self, units: float) -> None:
-        """Take a request's units here, and note them for the quota owner; negative ones are given back."""
+        """Take a request's units here, and add them to the next report to the quota owner.
+
+        A negative number of units is given back.
+        """
         self.settle(units)
         self.local_bucket.level = max(0.0, self.local_bucket.level - units)
         self.unreported_spending += units
 
-    def clear_reports(self) -> None:
-        """Demand and spending have been reported to the quota owner."""
+    def clear_unreported(self) -> None:
+        """Reset the demand and spending that are yet to be reported, as after a report."""
         self.unreported_demand = 0.0
         self.unreported_spending = 0.0
 
 
 def quota_owner(key: CustomerKey, settings: Settings) -> int:
-    """The gateway that adds up the customer's quota over its set; without peer messages, each for itself."""
+    """The gateway that adds up the customer's quota over its set.
+
+    Without peer messages, each gateway is the quota owner of its own customers.
+    """
     if not settings.may_message_peers:
         return settings.gateway_index
     return (key.set_first + key.customer % key.set_size) % settings.gateway_count
 
 
 def ceiling_share(plan: Plan, share: float, level: float) -> TokenBucket:
-    """A share of a customer's ceiling, of which `level` units are there in all."""
+    """A share of a customer's ceiling, where the whole ceiling is at `level` units."""
     return TokenBucket(plan.ceiling_rate, plan.ceiling_burst, share, level * share)
 
 
 def refill_time_us(plan: Plan) -> int:
-    """How long a customer's buckets take at most to be full, from what it may owe."""
+    """The longest time that a customer's buckets take to refill, from the maximum debt."""
     quota_s = 0.0
     if plan.rate:
-        quota_s = plan.burst / plan.rate + DEMAND_SPAN_US / MICROSECONDS_PER_SECOND
+        quota_s = plan.burst / plan.rate + DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
     ceiling_s = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0
     return round(MICROSECONDS_PER_SECOND * max(quota_s, ceiling_s))
 
 
 class CustomerQuotas:
-    """The customers that are known here; the one seen last at the end."""
+    """The customers that this gateway has in memory, from the least to the most recently used."""
 
     def __init__(self, settings: Settings, context: EventContext, incarnations: Incarnations) -> None:
         self.settings = settings
         self.context = context
         self.incarnations = incarnations
         self.by_key: dict[CustomerKey, CustomerQuota] = {}
-        self.first_keys: dict[tuple[int, int], CustomerKey] = {}  # under which a customer came first
+        # The first key of each customer and plan, by `(customer, plan_index)`.
+        self.first_keys: dict[tuple[int, int], CustomerKey] = {}
         self.started_us = 0
         self.retention_us = max(MIN_RETENTION_US, *map(refill_time_us, settings.plans))
 
     def start(self) -> None:
-        """The gateway starts with the event at hand."""
+        """Record the present event as the start of the gateway."""
         self.started_us = self.context.now_us
 
     def get(self, key: CustomerKey) -> CustomerQuota:
-        """The customer of that key, refilled; a new one where it is not known."""
-        known = self.by_key.pop(key, None) or self.create(key)
-        self.by_key[key] = known
-        return known.refill(self.context.now_us)
+        """The customer of that key, refilled up to now; one that is not in memory is created."""
+        customer = self.by_key.pop(key, None) or self.create(key)
+        self.by_key[key] = customer  # the most recently used customer is the last one
+        return customer.refill(self.context.now_us)
 
     def create(self, key: CustomerKey) -> CustomerQuota:
-        """A customer that was not known here: full, unless what it has spent can have been forgotten."""
+        """A new customer, with a full quota unless this gateway may have lost the record of its spending."""
         plan = self.settings.plans[key.plan_index]
-        new = CustomerQuota(plan, key, self.settings, self.context.now_us, self.started_us)
+        customer = CustomerQuota(plan, key, self.settings, self.context.now_us, self.started_us)
         if self.incarnations.has_restarted:
-            new.limit_to_arrivals_since(self.incarnations.first_request_us)
-        # The same name with another set of gateways must not open a fresh burst.
+            customer.limit_to_refill_since(self.incarnations.first_request_us)
+        # The same customer with another set of gateways must not get a second burst.
         if self.first_keys.setdefault(key[:2], key) != key:
-            new.empty()
-        return new
+            customer.empty()
+        return customer
 
     def forget_idle(self) -> None:
-        """Drop those whose buckets are full again; customers that come only once would never end."""
+        """Remove idle customers whose buckets are full again.
+
+        Without this, memory would grow with every customer that sends a single request.
+        """
         while self.by_key:
             key, oldest = next(iter(self.by_key.items()))
             if oldest.in_flight or self.context.now_us - oldest.refilled_at_us <= self.retention_us:
@@ -290,9 +323,9 @@
             if self.first_keys.get(key[:2]) == key:
                 del self.first_keys[key[:2]]
 
-    def limit_to_restart(self) -> None:
-        """This gateway has learned that it restarted: limit those that the quota owner has not reported."""
+    def limit_after_restart(self) -> None:
+        """Limit the customers without an answer of their quota owner, as this gateway has restarted."""
         for customer in self.by_key.values():
             if customer.owner_answered_at_us < 0:
                 customer.refill(self.context.now_us)
-                customer.limit_to_arrivals_since(self.incarnations.first_request_us)
+                customer.limit_to_refill_since(self.incarnations.first_request_us)
--- a/thistletrail/policy/quota_admission.py
+++ b/thistletrail/policy/quota_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is inside its customer's quota: by the local share, the quota owner, or a lease."""
+"""Quota admission: decides on requests by the local share, the quota owner's figures or a lease."""
 
 import random
 
@@ -10,21 +10,28 @@
 from thistletrail.policy.overload_control import OverloadController
 from thistletrail.policy.pending_request import PendingRequest
 from thistletrail.policy.pending_requests import PendingRequests
-from thistletrail.policy.quota import DEMAND_SPAN_US, OWNER_ANSWER_FRESH_US, CustomerQuota
+from thistletrail.policy.quota import DEMAND_TIME_CONSTANT_US, OWNER_ANSWER_FRESH_US, CustomerQuota
 from thistletrail.policy.quota_exchange import QuotaExchange
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.traffic_estimates import TrafficEstimates
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 
-MAX_OWNER_WAIT_US = 160_000  # for the quota owner's answer
-OWNER_WAIT_DIVISOR = 3  # such a wait is a third of the latency objective at most
-MAX_QUOTA_REQUESTS = 2  # to the quota owner for one request, as messages may be lost
-REQUEST_INTAKE_SHARE = 0.25  # of a gateway's intake that requests for one customer's quota may take
-CEILING_GRANT_FRESH_US = 500_000  # for which the quota owner's grant holds
+# The maximum wait for the quota owner's answer. It is also at most a third of the latency objective.
+MAX_OWNER_WAIT_US = 160_000
+OWNER_WAIT_DIVISOR = 3
+
+# Messages that may be sent to the quota owner for one request: the second one makes up for a lost message.
+MAX_QUOTA_REQUESTS = 2
+
+# The share of a gateway's message intake that quota requests for one customer may take.
+MAX_INTAKE_SHARE_PER_CUSTOMER = 0.25
+
+# A quota owner's grant of ceiling units is valid for this long.
+CEILING_GRANT_FRESH_US = 500_000
 
 
 class QuotaAdmission:
-    """Decides on each request once, and owns those that wait for an answer or a lease to decide by."""
+    """Decides on each request once; holds the requests that wait for the quota owner's answer or a lease."""
 
     def __init__(
         self,
@@ -49,18 +56,18 @@
         self.exchange = exchange
         self.traffic = traffic
         self.gateway_index = settings.gateway_index
-        # Where demand is more than this, the quota owner's last answer must do for part of it.
-        self.max_requested_demand = (
-            REQUEST_INTAKE_SHARE * settings.peer_messages_per_s * DEMAND_SPAN_US / MICROSECONDS_PER_SECOND
-        )
+        # Demand above this would take too much of the quota owner's message intake: for the excess, the
+        # owner's last answer is used.
+        max_requests_per_s = MAX_INTAKE_SHARE_PER_CUSTOMER * settings.peer_messages_per_s
+        self.max_requested_demand = max_requests_per_s * DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
         self.waiting: list[PendingRequest] = []
 
     def admit(self, request: PendingRequest) -> None:
-        """Decide on a request, or let it wait for what decides on it."""
+        """Decide on a request, or defer the decision to the quota owner's answer or a lease."""
         customer = request.customer
         units = request.arrival.units
         if request.is_late_retry and customer.admission_chance(units) < 1:
-            # What is scarce goes to those that come in time.
+            # Where the quota is scarce, requests that are not late take precedence.
             self.pending.reject(request, RejectReason.LATE_RETRY)
             return
         for budget in customer.leased.values():
@@ -85,28 +92,28 @@
             self.request_owner_answer(request)
 
     def admit_by_lease(self, request: PendingRequest) -> None:
-        """Decide by the units that a lease has brought, or wait for more."""
+        """Admit the request by leased units, or defer the decision until a lease grants enough."""
         self.exchange.report(request.customer)
         if request.customer.admission_chance(request.arrival.units):
             self.decide(request, 1.0, QuotaBasis.LEASE)
         else:
-            self.wait(request)
+            self.defer_decision(request)
 
     def request_owner_answer(self, request: PendingRequest) -> None:
-        """Request the quota owner's answer, and wait for it."""
+        """Request the quota owner's answer, and defer the decision until it arrives."""
         request.quota_requests_sent += 1
-        self.wait(request)
+        self.defer_decision(request)
         self.exchange.request_units(request.customer, request.arrival.units)
 
-    def wait(self, request: PendingRequest) -> None:
-        """Wait for the quota owner's answer or for a lease, for a part of the request's time."""
+    def defer_decision(self, request: PendingRequest) -> None:
+        """Hold a request for the quota owner's answer or a lease, for a fraction of its latency objective."""
         objective_us = request.request_class.latency_objective_us
         wait_us = min(MAX_OWNER_WAIT_US, objective_us // OWNER_WAIT_DIVISOR)
         request.quota_wait_until_us = min(self.context.now_us + wait_us, latest_decision_us(request))
         self.waiting.append(request)
 
     def decide(self, request: PendingRequest, chance: float, basis: QuotaBasis) -> None:
-        """Admit the request by that chance; one beyond the quota only where it earns more than it costs."""
+        """Admit the request with that probability, or else only where a request beyond the quota pays."""
         customer = request.customer
         units = request.arrival.units
         request.is_in_quota = self.draws.random() < chance
@@ -122,18 +129,21 @@
         self.enqueue(request)
 
     def admits_over_quota(self, customer: CustomerQuota) -> bool:
-        """Whether a request beyond the quota is served: it earns more than it costs, and there is room."""
+        """Whether a request beyond the quota is served.
+
+        It is where its value exceeds its cost and overload control is not engaged.
+        """
         plan = customer.plan
         return plan.over_quota_value > plan.over_quota_cost and self.overload.admission_limit is None
 
     def enqueue(self, request: PendingRequest) -> None:
-        """Queue an admitted request, and send what may leave."""
+        """Queue an admitted request, and dispatch the queued requests that may be sent."""
         self.traffic.record_admission()
         self.queue.add(request)
         self.dispatcher.dispatch_queued()
 
     def on_lease_granted(self, customer: CustomerQuota) -> None:
-        """Units have come by a lease: whoever waits for them goes on, as far as they go."""
+        """Admit the customer's waiting requests, in their order, as far as the granted units suffice."""
         if BudgetKind.QUOTA not in customer.leased:
             return
         for request in [request for request in self.waiting if request.customer is customer]:
@@ -143,23 +153,30 @@
                     self.decide(request, 1.0, QuotaBasis.LEASE)
 
     def on_owner_answer(self, customer: CustomerQuota, granted: float) -> None:
-        """The quota owner has answered: decide on the first that waits for it, and on those out of time."""
+        """Decide on the customer's first waiting request by the quota owner's answer, and on overdue ones.
+
+        `granted` is the number of ceiling units that came with the answer.
+        """
         first = next((request for request in self.waiting if request.customer is customer), None)
         if first is None:
-            self.settle_waiting([], customer)
+            self.decide_waiting([], customer)
             return
         is_granted = granted >= first.arrival.units
         first.ceiling_granted_until_us = (
             self.context.now_us + CEILING_GRANT_FRESH_US if is_granted else -NEVER_US
         )
-        self.settle_waiting([first], customer)
+        self.decide_waiting([first], customer)
+
+    def decide_overdue(self) -> None:
+        """Decide on the requests whose wait is over, by what is known at this gateway."""
+        self.decide_waiting([], None)
 
-    def settle_overdue(self) -> None:
-        """Decide on those that have waited for long enough, by what is known here."""
-        self.settle_waiting([], None)
+    def decide_waiting(self, ready: list[PendingRequest], answered: CustomerQuota | None) -> None:
+        """Decide on the requests in `ready` and on those whose wait is over.
 
-    def settle_waiting(self, ready: list[PendingRequest], answered: CustomerQuota | None) -> None:
-        """Decide on those that are ready and those whose wait is over; or request an answer once more."""
+        `answered` is the customer whose quota owner has just answered. Where it is None, a request that has
+        enough time requests the answer once more instead.
+        """
         for request in self.waiting:
             if request.quota_wait_until_us <= self.context.now_us and request not in ready:
                 ready.append(request)
@@ -174,23 +191,23 @@
             self.decide_after_wait(request, basis)
 
     def may_request_again(self, request: PendingRequest) -> bool:
-        """Whether there is time to request the quota owner's answer once more, as messages may be lost."""
+        """Whether the quota owner's answer may be requested once more, in case a message was lost."""
         if not 0 < request.quota_requests_sent < MAX_QUOTA_REQUESTS:
             return False
         return self.context.now_us + MAX_OWNER_WAIT_US < latest_decision_us(request)
 
     def decide_after_wait(self, request: PendingRequest, basis: QuotaBasis) -> None:
-        """Decide on a request that has waited, by the figures of now."""
+        """Decide on a request that has waited, by the present figures."""
         customer = request.customer
         units = request.arrival.units
-        if customer.leased:  # a lease may be over by now
+        if customer.leased:  # a lease may have expired during the wait
             customer.refill(self.context.now_us)
         chance = customer.admission_chance(units)
-        # The quota owner has counted so much already, with each request for its answer.
+        # The quota owner has already counted these units, with each request for its answer.
         customer.unreported_spending -= units * chance * request.quota_requests_sent
         self.decide(request, chance, basis)
 
 
 def latest_decision_us(request: PendingRequest) -> int:
-    """When a request's quota must be decided for it to be served or rejected in time."""
+    """The latest time for the quota decision on a request that is still served or rejected in time."""
     return min(request.deadline_at_us - 4 * TICK_US, request.reject_by_us - 2 * TICK_US)
--- a/thistletrail/policy/quota_exchange.py
+++ b/thistletrail/policy/quota_exchange.py
@@ -1,4 +1,4 @@
-"""Messages between the gateways of a customer's set and its quota owner: what leaves, and who is silent."""
+"""Outgoing messages between the gateways of a customer's set and its quota owner."""
 
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.event_context import EventContext
@@ -10,13 +10,13 @@
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
-SILENT_US = 500_000  # a peer that has answered no request for so long counts as silent
-SILENT_RETRY_US = 300_000  # a silent peer is sent a request all the same so often
-MAX_SPACING_US = 80_000  # between messages to one peer at most
+SILENCE_THRESHOLD_US = 500_000  # A peer is silent after this long without any message since a request.
+SILENT_PEER_RETRY_US = 300_000  # The interval between requests to a silent peer.
+MAX_MESSAGE_SPACING_US = 80_000  # Upper bound of the interval that is kept between messages to one peer.
 
 
 class QuotaExchange:
-    """Collects quota messages by peer, sends them spaced, and knows which peers do not answer."""
+    """Collects quota messages by peer, sends them at intervals, and tracks which peers do not answer."""
 
     def __init__(
         self,
@@ -31,26 +31,29 @@
         self.gossip = gossip
         self.incarnations = incarnations
         self.gateway_index = settings.gateway_index
-        # So that all peers of a small set together take half of a gateway's intake of messages.
-        half_intake_us = (
+        # With this interval, all peers together take half of a gateway's message intake.
+        half_intake_spacing_us = (
             2 * MICROSECONDS_PER_SECOND * (settings.gateway_count - 1) / max(1, settings.peer_messages_per_s)
         )
-        self.spacing_us = min(MAX_SPACING_US, half_intake_us)
+        self.message_spacing_us = min(MAX_MESSAGE_SPACING_US, half_intake_spacing_us)
         self.outgoing: dict[int, list[QuotaMessage]] = {}  # by peer
         self.last_sent_us: dict[int, int] = {}  # by peer
-        self.unanswered_since_us: dict[int, int] = {}  # by peer: the first request without an answer since
+        self.unanswered_since_us: dict[int, int] = {}  # by peer: the oldest request with no message since
         self.last_requested_us: dict[int, int] = {}  # by peer
 
     def record_message_from(self, peer: int) -> None:
-        """A peer that sends anything is not silent."""
+        """Note a message of a peer, which is no longer silent whatever the message is."""
         self.unanswered_since_us.pop(peer, None)
 
     def is_silent(self, peer: int) -> bool:
-        """Whether a peer has answered nothing for long, as one that restarts, and is not yet due a retry."""
+        """Whether a peer has not answered for SILENCE_THRESHOLD_US, and no request to it is due.
+
+        A peer that restarts is silent, for example. It is sent a request every SILENT_PEER_RETRY_US.
+        """
         now_us = self.context.now_us
-        if now_us - self.unanswered_since_us.get(peer, now_us) <= SILENT_US:
+        if now_us - self.unanswered_since_us.get(peer, now_us) <= SILENCE_THRESHOLD_US:
             return False
-        return now_us - self.last_requested_us.get(peer, 0) < SILENT_RETRY_US
+        return now_us - self.last_requested_us.get(peer, 0) < SILENT_PEER_RETRY_US
 
     def request_units(self, customer: CustomerQuota, units: float) -> None:
         """Request the quota owner's decision on a request of that many units."""
@@ -59,7 +62,10 @@
         self.report(customer, units)
 
     def report(self, customer: CustomerQuota, requested: float = 0.0) -> None:
-        """Report to the quota owner demand and spending here since the last report."""
+        """Report this gateway's demand and spending since the last report to the quota owner.
+
+        `requested` is the number of units of a request for the owner to decide on; 0.0 is a report alone.
+        """
         if customer.owner != self.gateway_index:
             message = QuotaMessage(
                 *customer.key,
@@ -69,11 +75,11 @@
                 requested=requested,
                 level=customer.set_level,
             )
-            self.post(customer.owner, message)
-        customer.clear_reports()
+            self.enqueue(customer.owner, message)
+        customer.clear_unreported()
 
     def answer(self, peer: int, customer: CustomerQuota, requested: float, granted: float) -> None:
-        """As the quota owner: answer a peer with what is known, and the units granted of its ceiling."""
+        """As the quota owner, answer a peer with the customer's figures and the ceiling units granted."""
         message = QuotaMessage(
             *customer.key,
             is_answer=True,
@@ -82,25 +88,29 @@
             requested=requested,
             level=customer.set_level,
         )
-        self.post(peer, message)
-        customer.clear_reports()
+        self.enqueue(peer, message)
+        customer.clear_unreported()
 
-    def post(self, peer: int, message: QuotaMessage) -> None:
-        """Add a message to those that wait for a peer; none goes to this gateway itself."""
+    def enqueue(self, peer: int, message: QuotaMessage) -> None:
+        """Queue a message for a peer; one to this gateway itself is dropped."""
         if peer != self.gateway_index:
             self.outgoing.setdefault(peer, []).append(message)
 
     def schedule_message(self, peer: int) -> None:
-        """Send a peer a message soon, if only for what goes along with it."""
+        """Have a message sent to a peer even if none is queued, to carry announcements and health digests."""
         self.outgoing.setdefault(peer, [])
 
     def send_due(self) -> None:
-        """Send what waits, at once but for the spacing by peer; restarts and observed health go along."""
+        """Send the queued messages of each peer whose spacing is over.
+
+        Each message also carries this gateway's announcement and its health digest, where the peer is to get
+        them.
+        """
         now_us = self.context.now_us
         due = [
             peer
             for peer in self.outgoing
-            if now_us - self.last_sent_us.get(peer, -MICROSECONDS_PER_SECOND) >= self.spacing_us
+            if now_us - self.last_sent_us.get(peer, -MICROSECONDS_PER_SECOND) >= self.message_spacing_us
         ]
         for peer in due:
             self.last_sent_us[peer] = now_us
--- a/thistletrail/policy/quota_receiver.py
+++ b/thistletrail/policy/quota_receiver.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of the quota messages of its peers: as the quota owner, and as one of the set."""
+"""Incoming quota messages of peers: reports to the quota owner, its answers, and announcements of starts."""
 
 from thistletrail.policy.event_context import EventContext
 from thistletrail.policy.events import QuotaMessage
@@ -10,7 +10,7 @@
 
 
 class QuotaReceiver:
-    """Takes quota messages in; whatever cannot be true of this fleet is passed over."""
+    """Handles the quota messages of peers; a message that cannot apply to this fleet is ignored."""
 
     def __init__(
         self,
@@ -44,12 +44,13 @@
             self.receive_answer(sender, message, customer)
         elif customer.owner == self.gateway_index:
             if is_new:
-                # The lesser: what others knew before an owner was away is more than what is left.
+                # The lower level applies: a peer's level from before this owner restarted does not include
+                # what others have spent since.
                 customer.set_level = min(customer.set_level, message.level)
             self.receive_report(sender, message, customer)
 
     def is_valid(self, message: QuotaMessage) -> bool:
-        """Whether the plan is known, and the set is one of this fleet that this gateway belongs to."""
+        """Whether the plan exists, and the set is one of this fleet that includes this gateway."""
         if message.plan_index >= self.plan_count or message.set_first >= self.gateway_count:
             return False
         if not 0 < message.set_size <= self.gateway_count:
@@ -57,9 +58,9 @@
         return (self.gateway_index - message.set_first) % self.gateway_count < message.set_size
 
     def receive_answer(self, sender: int, message: QuotaMessage, customer: CustomerQuota) -> None:
-        """The quota owner's figures hold here for a while, and decide on a request that waits for them."""
+        """Adopt the quota owner's figures, and decide on a request that waits for them."""
         now_us = self.context.now_us
-        # An owner that has lost its state knows less than what it reported before.
+        # An owner that has lost its state does not know all spending, so its level must not raise this one.
         has_lost_state = self.incarnations.has_lost_state(sender, now_us)
         level = min(customer.set_level, message.level) if has_lost_state else message.level
         customer.apply_owner_answer(level, message.demand, now_us)
@@ -67,12 +68,12 @@
         if message.requested:
             self.admission.on_owner_answer(customer, message.spent)
         else:
-            self.admission.settle_overdue()
+            self.admission.decide_overdue()
 
     def receive_report(self, sender: int, message: QuotaMessage, customer: CustomerQuota) -> None:
-        """As the quota owner: count a peer's demand and spending, and answer.
+        """As the quota owner, count a peer's demand and spending, and answer where it needs the figures.
 
-        What it requests is counted by the chance with which the peer is to admit it.
+        Units that the peer requests count with the probability with which it is to admit the request.
         """
         customer.peer_demand += message.demand
         customer.spend(message.spent)
@@ -85,12 +86,13 @@
         customer.spend(message.requested * chance)
 
     def receive_announcement(self, sender: int, message: QuotaMessage) -> None:
-        """A peer announces its start, and gets this gateway's: either may learn so that it has restarted.
+        """Handle a peer's announcement of its start, and schedule this gateway's own if the peer needs it.
 
-        If this gateway is the later one, what it knows of customers here is not to be trusted.
+        By comparing the two, either gateway may learn that it has restarted. If this one has, the levels of
+        its customers do not include what was spent before, and are limited.
         """
         had_restarted = self.incarnations.has_restarted
         if self.incarnations.receive(sender, message, self.context.now_us):
             self.exchange.schedule_message(sender)
         if self.incarnations.has_restarted and not had_restarted:
-            self.customers.limit_to_restart()
+            self.customers.limit_after_restart()
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -199,7 +199,7 @@
 
     def on_tick(self) -> None:
         """Decide on what has waited for its quota, send what may leave, give up what is out of time."""
-        self.admission.settle_overdue()
+        self.admission.decide_overdue()
         self.dispatcher.dispatch_queued()
         turn_us = 0.0 if self.overload.may_send() else self.overload.time_per_admission_us()
         for entry in self.queue.take_all():
--- a/thistletrail/policy/retry_policy.py
+++ b/thistletrail/policy/retry_policy.py
@@ -3,7 +3,7 @@
 from thistletrail.policy.actions import WriteLog
 from thistletrail.policy.event_context import EventContext
 from thistletrail.policy.events import AttemptResult, RequestArrived
-from thistletrail.policy.leased_budgets import FLOOR, LeasedBudget
+from thistletrail.policy.leased_budgets import FLOOR_SHARE, LeasedBudget
 from thistletrail.policy.pending_request import PendingRequest
 from thistletrail.policy.retry_detection import RetryDetector
 from thistletrail.policy.settings import Settings
@@ -27,7 +27,7 @@
         self.refused_in_period = 0
         self.leased: LeasedBudget | None = None
         if settings.retry_rate:
-            floor = FLOOR / settings.gateway_count
+            floor = FLOOR_SHARE / settings.gateway_count
             self.leased = LeasedBudget(settings.retry_rate, settings.retry_burst, floor, 0)
 
     def start(self) -> None:
--- a/thistletrail/policy/token_bucket.py
+++ b/thistletrail/policy/token_bucket.py
@@ -1,8 +1,11 @@
-"""A gateway's share of a token bucket that several gateways keep."""
+"""A gateway's share of a token bucket that several gateways divide among them."""
 
 
 class TokenBucket:
-    """`share` of a bucket of `burst` units that fills at `rate` units a second; `level` units are in it."""
+    """A share of a bucket that holds `burst` units and is refilled with `rate` units a second.
+
+    `share` is a fraction from 0 to 1 of both; `level` is the number of units in the share.
+    """
 
     __slots__ = ("burst", "level", "rate", "share")
 
@@ -14,9 +17,9 @@
 
     @property
     def capacity(self) -> float:
-        """The most units that this share holds."""
+        """The maximum number of units in this share."""
         return self.burst * self.share
 
     def refill(self, elapsed_s: float) -> None:
-        """Add what has come in since the last call."""
+        """Add the units that `elapsed_s` seconds bring, up to the capacity."""
         self.level = min(self.capacity, self.level + self.rate * elapsed_s * self.share)
--- a/thistletrail/policy/traffic_estimates.py
+++ b/thistletrail/policy/traffic_estimates.py
@@ -1,18 +1,21 @@
-"""Running means of the traffic here: latency by request class, and first attempts a second."""
+"""Running means of this gateway's traffic: latency by request class, and first attempts a second."""
 
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
-LATENCY_SMOOTHING = 0.1  # weight of a new latency in a running mean
-RATE_SMOOTHING = 0.3  # weight of a control period's attempts in a running mean
-USUAL_OBJECTIVE_US = 1.5 * MICROSECONDS_PER_SECOND  # for which the figures for a second are meant
+# Smoothing factors of exponential running means: the weight of a new value.
+LATENCY_SMOOTHING = 0.1
+RATE_SMOOTHING = 0.3
+
+# Constants that are given for a second apply as they are where the mean latency objective is this long.
+REFERENCE_OBJECTIVE_US = 1.5 * MICROSECONDS_PER_SECOND
 
 
 class TrafficEstimates:
-    """What requests have taken, and how many there are, as running means.
+    """Running means of request latency and of the rate of first attempts.
 
-    `scaled_second_us` is the second of this deployment: where latency objectives are shorter than usual,
-    everything goes faster, and what is meant for a second holds for less.
+    `scaled_second_us` is the length of a scaled second: shorter than a second, in proportion, where the mean
+    latency objective is below REFERENCE_OBJECTIVE_US, so that control reacts as fast as requests do.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -20,29 +23,30 @@
         self.mean_latency_us: list[float] = [objective_us / 4 for objective_us in objectives_us]
         mean_objective_us = sum(objectives_us) / max(1, len(objectives_us))
         self.scaled_second_us = round(
-            MICROSECONDS_PER_SECOND * min(1.0, mean_objective_us / USUAL_OBJECTIVE_US)
+            MICROSECONDS_PER_SECOND * min(1.0, mean_objective_us / REFERENCE_OBJECTIVE_US)
         )
         self.first_attempts_per_s = 0.0
-        self.admitted_in_period = 0  # requests that their quotas let through in this control period
+        self.admitted_in_period = 0  # requests admitted by quota in this control period
 
     def record_admission(self) -> None:
-        """A request is inside its quota, and is to be sent."""
+        """Count a request that quota admission has let through to be sent."""
         self.admitted_in_period += 1
 
     def record_latency(self, class_index: int, latency_us: int) -> None:
-        """Count a successful attempt in the mean of its class."""
+        """Include a successful attempt's latency in the mean of its class."""
         mean_us = self.mean_latency_us[class_index]
         self.mean_latency_us[class_index] += LATENCY_SMOOTHING * (latency_us - mean_us)
 
     def overall_mean_latency_us(self) -> float:
-        """The mean over the classes."""
+        """The unweighted mean of the classes' mean latencies; 0.0 without classes."""
         return sum(self.mean_latency_us) / max(1, len(self.mean_latency_us))
 
     def end_period(self, accepted: int, limit: int | None, period_us: int) -> None:
-        """Count a control period in which `accepted` first attempts were sent, of `limit` allowed ones.
+        """Include a control period in the rate: `accepted` first attempts were sent, with N at `limit`.
 
-        What was to be sent counts, not what was: a fleet of cold servers, each spaced by this rate, would
-        never be sent more than before.
+        `limit` is None where the control is not engaged. Admitted requests up to the limit count even if they
+        were not sent: slow start spaces attempts to servers that are warming up by this rate, so a rate of
+        sent attempts alone would keep such a fleet at its present load.
         """
         admitted = self.admitted_in_period
         sent = max(accepted, admitted if limit is None else min(admitted, limit))
