--- a/tests/test_health_gossip.py
+++ b/tests/test_health_gossip.py
@@ -88,9 +88,9 @@
     )
     fleet.accept(1, HealthDigest(2, observations=(ServerObservation(6, in_flight=4),)), S)
     assert (fleet.in_flight_at(5), fleet.in_flight_at(6)) == (0.0, 8.0)
-    fleet.forget_stale(S + DIGEST_FRESH_US)
+    fleet.discard_stale(S + DIGEST_FRESH_US)
     assert fleet.in_flight_at(6) == 8.0
-    fleet.forget_stale(S + DIGEST_FRESH_US + 1)  # its sender may have gone: a restart tells anew
+    fleet.discard_stale(S + DIGEST_FRESH_US + 1)  # its sender may have gone: a restart tells anew
     assert fleet.in_flight_at(6) == 0.0 and not fleet.in_flight_totals and not fleet.in_flight_reports
 
 
--- a/thistletrail/policy/engine.py
+++ b/thistletrail/policy/engine.py
@@ -268,7 +268,7 @@
             overload.accepted_in_period, overload.admission_limit, overload.control_period_us
         )
         self.retry_budget.report_refused()
-        self.gossip.forget_stale(self.context.now_us)
+        self.gossip.discard_stale(self.context.now_us)
         self.customers.forget_idle()
         overload.end_period()
 
--- a/thistletrail/policy/health_gossip.py
+++ b/thistletrail/policy/health_gossip.py
@@ -1,12 +1,12 @@
 """Gossip between gateways about the health of the servers that they share.
 
-Where many gateways share the servers, each one alone sends too few attempts to a server to judge it by; all
-of them together send plenty. Each gateway therefore sums up what it observed during a short span in a
-`HealthDigest`, and sends it along with the quota messages that it has for its peers anyway, once to each.
+Where many gateways share the servers, a single gateway sends too few attempts to a server to judge its
+health; all of them together send enough. Each gateway therefore summarizes what it observed during a short
+span in a `HealthDigest`, and sends it once to each peer, in the datagrams that carry its quota messages.
 
 A digest holds only what its sender observed itself, so that no observation is relayed and counted twice. A
-lost digest is missed by one peer, and the next one makes up for it. Times are microseconds of the host's
-clock.
+lost digest is missed by one peer only, and the next digest makes up for it. Times are microseconds of the
+host's clock.
 """
 
 import zlib
@@ -15,45 +15,47 @@
 
 from thistletrail.policy.events import HealthDigest, ServerObservation
 
-# What a digest spans: long enough for some attempts of one gateway, shorter than an overload takes to build.
+# The span that a digest covers. It is long enough for one gateway to make some attempts, and shorter than an
+# overload takes to build up.
 DIGEST_SPAN_US = 600_000
 
-# For how long a sender's last digest and its in-flight counts are remembered. It is well below the time after
-# which serial numbers repeat (SERIAL_COUNT spans), so that a repeated serial within it is a duplicate.
+# A sender's last digest and its in-flight counts are kept for this long. It is well below the time after
+# which serial numbers repeat (SERIAL_COUNT spans), so that a repeated number within it marks a duplicate.
 DIGEST_FRESH_US = 2_000_000
 
-# For how long a lasting failure is reported: a digest reaches only some of the peers, and one that has
-# restarted since knows of none, so it takes a few digests until all have been told.
+# A lasting failure is reported for this long. A digest may reach only some of the peers, and a peer that has
+# restarted since has lost it, so it takes several digests until all peers have been notified.
 FAILURE_REPORTED_US = 2_400_000
 
-SERIAL_COUNT = 256  # serial numbers of digests; they are one byte in a peer datagram
+SERIAL_COUNT = 256  # The serial number of a digest is one byte of a peer datagram.
 
-FINGERPRINT_MASK = 0xFFFF  # two bytes a server in a peer datagram, as observations are most of a digest
+# A fingerprint is two bytes of a peer datagram: observations take up most of a digest, so they must be short.
+FINGERPRINT_MASK = 0xFFFF
 
 
 def fingerprint(name: str) -> int:
-    """The checksum (16 bits) by which peers refer to the server `name`; several names may share one."""
+    """The checksum (16 bits) that identifies the server `name` to peers; several names may share one."""
     return zlib.crc32(name.encode()) & FINGERPRINT_MASK
 
 
 def by_fingerprint(names: Iterable[str]) -> dict[int, str]:
     """Server names by their fingerprints, without the names that share a fingerprint with another."""
-    names_of: dict[int, list[str]] = {}
+    names_by_fingerprint: dict[int, list[str]] = {}
     for name in names:
-        names_of.setdefault(fingerprint(name), []).append(name)
-    return {number: same[0] for number, same in names_of.items() if len(same) == 1}
+        names_by_fingerprint.setdefault(fingerprint(name), []).append(name)
+    return {number: matches[0] for number, matches in names_by_fingerprint.items() if len(matches) == 1}
 
 
 @dataclass(slots=True)
 class ServerTotals:
-    """What was observed of one server since the last digest was closed."""
+    """This gateway's observations of one server since the last digest was closed."""
 
-    latency_ratio_sum: float = 0.0  # of the answers' latencies, each over its class's latency objective
+    latency_ratio_sum: float = 0.0  # each answer adds its latency over its class's latency objective
     successes: int = 0
     failures: int = 0
 
     def to_observation(self, name: str, in_flight: int) -> ServerObservation:
-        """These totals as they stand in a digest, with the attempts that are in flight at the server."""
+        """An observation of the server `name` for a digest, with the attempts in flight to it."""
         mean_latency_ratio = self.latency_ratio_sum / max(1, self.successes)
         return ServerObservation(
             fingerprint(name), mean_latency_ratio, self.successes, self.failures, in_flight
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDigest:
-    """The last digest that came from a peer: its serial number, and when it came."""
+    """The serial number of the last digest that a peer sent, and the time of its arrival."""
 
     serial: int
     received_us: int
@@ -70,17 +72,17 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightReport:
-    """The attempts that a peer had in flight, by server, and when it reported them."""
+    """A peer's observations of servers to which it had attempts in flight, and the time of their arrival."""
 
     received_us: int
     observations: tuple[ServerObservation, ...]
 
 
 class HealthGossip:
-    """Collects this gateway's digest, tracks which peers have it, and keeps what peers have in flight."""
+    """Builds this gateway's digests, tracks which peers were sent them, and sums peers' in-flight counts."""
 
     def __init__(self, peer_count: int, first_serial: int) -> None:
-        """`peer_count` counts the other gateways.
+        """Start without observations; `peer_count` is the number of other gateways.
 
         `first_serial` should differ from one start of this process to the next, so that peers do not take
         its first digest for a duplicate.
@@ -88,62 +90,62 @@
         self.peer_count = peer_count
 
         self.serial = first_serial % SERIAL_COUNT
-        self.digest: HealthDigest | None = None  # the digest that is being sent; None: nothing was observed
-        self.peers_sent: set[int] = set()  # peers that this digest was sent to
-        self.closed_us = 0  # when it was closed
+        self.digest: HealthDigest | None = None  # the digest being sent; None if nothing was observed
+        self.peers_sent: set[int] = set()  # peers to which this digest was sent
+        self.closed_us = 0  # the time at which this digest was closed
 
         self.totals: dict[str, ServerTotals] = {}  # by server name, since the last digest
         self.occupancy_sum = 0.0
         self.occupancy_samples = 0
-        self.lasting_failures: dict[
-            str, int
-        ] = {}  # by server name: when it last failed, with no answer since
+        # By server name: the time of the last lasting failure, if the server has not answered since.
+        self.lasting_failures: dict[str, int] = {}
 
         self.received: dict[int, ReceivedDigest] = {}  # by sender
         self.in_flight_reports: dict[int, InFlightReport] = {}  # by sender
         self.in_flight_totals: dict[int, int] = {}  # by fingerprint, over all senders; no entry for 0
 
     def record_answer(self, name: str, latency_ratio: float) -> None:
-        """A server answered, `latency_ratio` being its latency over the latency objective of the class."""
+        """Count a server's answer; `latency_ratio` is its latency over the class's latency objective."""
         totals = self.totals.setdefault(name, ServerTotals())
         totals.latency_ratio_sum += latency_ratio
         totals.successes += 1
         self.lasting_failures.pop(name, None)
 
-    def record_failure(self, name: str, now: int, lasts: bool) -> None:
-        """An attempt at a server failed.
+    def record_failure(self, name: str, now_us: int, is_lasting: bool) -> None:
+        """Count a failed attempt at a server.
 
-        `lasts` where the cause lies with the server, as it rejects requests or accepts no connection: this is
-        reported again in the next digests, until the server answers or FAILURE_REPORTED_US are over.
+        `is_lasting` marks a failure that is caused by the server, which rejects requests or accepts no
+        connection. It is reported in the following digests as well, until the server answers or
+        FAILURE_REPORTED_US have passed.
         """
         self.totals.setdefault(name, ServerTotals()).failures += 1
-        if lasts:
-            self.lasting_failures[name] = now
+        if is_lasting:
+            self.lasting_failures[name] = now_us
 
     def record_occupancy(self, occupancy: float) -> None:
-        """A sample of the occupancy signal of overload control, from 0 to 1."""
+        """Add a sample of the occupancy signal of overload control, from 0 to 1."""
         self.occupancy_sum += occupancy
         self.occupancy_samples += 1
 
-    def close_digest(self, now: int, in_flight: Iterable[tuple[str, int]]) -> None:
-        """Make a digest of what was observed, unless the last one is younger than DIGEST_SPAN_US.
+    def close_digest(self, now_us: int, in_flight: Iterable[tuple[str, int]]) -> None:
+        """Make a digest of the observations, unless the last one is younger than DIGEST_SPAN_US.
 
-        `in_flight` are the attempts of this gateway in flight, by server name.
+        `in_flight` pairs server names with this gateway's attempts in flight to them.
         """
-        if now - self.closed_us < DIGEST_SPAN_US:
+        if now_us - self.closed_us < DIGEST_SPAN_US:
             return
-        self.closed_us = now
+        self.closed_us = now_us
         self.peers_sent.clear()
-        self._repeat_lasting_failures(now)
+        self._repeat_lasting_failures(now_us)
         self.digest = self._make_digest({name: count for name, count in in_flight if count})
         self._discard_totals()
 
-    def _repeat_lasting_failures(self, now: int) -> None:
-        """Count a lasting failure in each digest for as long as it is to be reported."""
+    def _repeat_lasting_failures(self, now_us: int) -> None:
+        """Count each lasting failure in the digest that is being closed, and drop those that have expired."""
         self.lasting_failures = {
             name: failed_us
             for name, failed_us in self.lasting_failures.items()
-            if now - failed_us < FAILURE_REPORTED_US
+            if now_us - failed_us < FAILURE_REPORTED_US
         }
         for name in self.lasting_failures:
             totals = self.totals.setdefault(name, ServerTotals())
@@ -152,7 +154,7 @@
     def _make_digest(self, in_flight: dict[str, int]) -> HealthDigest | None:
         """A digest with the next serial number, or None where there is nothing to report.
 
-        Observations with the most failures come first, as a datagram may not have room for all.
+        Observations are sorted by failures, most first, as a datagram may not have room for all of them.
         """
         if not (self.totals or self.occupancy_samples or in_flight):
             return None
@@ -171,62 +173,66 @@
         self.occupancy_samples = 0
 
     def digest_for(self, peer: int) -> HealthDigest | None:
-        """The present digest, if there is one and it was not yet sent to this peer; it counts as sent now."""
+        """The present digest, which counts as sent to this peer; None if it was sent before or is empty."""
         if peer in self.peers_sent:
             return None
         self.peers_sent.add(peer)
         return self.digest
 
-    def accept(self, sender: int, digest: HealthDigest, now: int) -> bool:
-        """Take in the in-flight counts of a peer's digest; False, and no change, for a duplicate."""
-        last = self.received.get(sender)
-        if last and last.serial == digest.serial and now - last.received_us < DIGEST_FRESH_US:
+    def accept(self, sender: int, digest: HealthDigest, now_us: int) -> bool:
+        """Replace a sender's in-flight counts by those of its digest.
+
+        A duplicate of the sender's last digest changes nothing and returns False.
+        """
+        previous = self.received.get(sender)
+        if previous and previous.serial == digest.serial and now_us - previous.received_us < DIGEST_FRESH_US:
             return False
-        self.received[sender] = ReceivedDigest(digest.serial, now)
-        self._forget_in_flight(sender)
-        self._add_in_flight(sender, digest, now)
+        self.received[sender] = ReceivedDigest(digest.serial, now_us)
+        self._remove_in_flight(sender)
+        self._add_in_flight(sender, digest, now_us)
         return True
 
-    def _add_in_flight(self, sender: int, digest: HealthDigest, now: int) -> None:
+    def _add_in_flight(self, sender: int, digest: HealthDigest, now_us: int) -> None:
         observations = tuple(observation for observation in digest.observations if observation.in_flight)
-        self.in_flight_reports[sender] = InFlightReport(now, observations)
+        self.in_flight_reports[sender] = InFlightReport(now_us, observations)
         for observation in observations:
-            others = self.in_flight_totals.get(observation.server, 0)
-            self.in_flight_totals[observation.server] = others + observation.in_flight
+            in_flight_at_others = self.in_flight_totals.get(observation.server, 0)
+            self.in_flight_totals[observation.server] = in_flight_at_others + observation.in_flight
 
-    def _forget_in_flight(self, sender: int) -> None:
+    def _remove_in_flight(self, sender: int) -> None:
         report = self.in_flight_reports.pop(sender, None)
         if report is None:
             return
         for observation in report.observations:
-            left = self.in_flight_totals[observation.server] - observation.in_flight
-            self.in_flight_totals[observation.server] = left
-            if not left:
+            remaining = self.in_flight_totals[observation.server] - observation.in_flight
+            self.in_flight_totals[observation.server] = remaining
+            if not remaining:
                 del self.in_flight_totals[observation.server]
 
-    def forget_stale(self, now: int) -> None:
-        """Forget in-flight counts and own observations that are older than DIGEST_FRESH_US.
+    def discard_stale(self, now_us: int) -> None:
+        """Discard peers' in-flight counts and this gateway's observations older than DIGEST_FRESH_US.
 
-        In-flight counts that old are no longer true, or their sender has ended. Own observations grow that
-        old where no message went out that could carry them; they would pile up with every new server.
+        In-flight counts of that age are no longer true, or their sender has ended. Observations reach that
+        age where no message was sent that could carry them; they would accumulate with every new server.
         """
         stale = [
             sender
             for sender, report in self.in_flight_reports.items()
-            if now - report.received_us > DIGEST_FRESH_US
+            if now_us - report.received_us > DIGEST_FRESH_US
         ]
         for sender in stale:
-            self._forget_in_flight(sender)
-        if now - self.closed_us > DIGEST_FRESH_US:
-            self.closed_us = now
+            self._remove_in_flight(sender)
+        if now_us - self.closed_us > DIGEST_FRESH_US:
+            self.closed_us = now_us
             self.digest = None
             self.lasting_failures = {}
             self._discard_totals()
 
     def in_flight_at(self, server: int) -> float:
-        """The attempts that all peers have in flight at a server (by its fingerprint), as an estimate.
+        """An estimate of the attempts that all peers have in flight at a server, given by its fingerprint.
 
-        Peers without a fresh report are taken to be like those that have one; 0.0 where no peer has.
+        Peers without a recent report are assumed to have as many as the mean of those with one. The estimate
+        is 0.0 if no peer has reported.
         """
         reporting_peers = len(self.in_flight_reports)
         if not reporting_peers:
--- a/thistletrail/policy/load_report_codec.py
+++ b/thistletrail/policy/load_report_codec.py
@@ -1,7 +1,7 @@
-"""Load reports of servers: names and values as text, read into a `LoadReport`.
+"""Reads the load reports of servers from names and values as text into `LoadReport`.
 
-What a server reports of itself is not trusted: only plain decimal numbers from 0 on are read, and a value
-that no server can mean counts as not reported.
+Reports are not trusted: only plain decimal numbers from 0 on are accepted, and a value beyond the plausible
+range of its field counts as not reported.
 """
 
 import re
@@ -10,7 +10,7 @@
 from thistletrail.policy.errors import MalformedReportError
 from thistletrail.policy.events import LoadReport
 
-# The fields of a `LoadReport` by the names of the simulator's wire, and by those that servers themselves use.
+# The fields of a `LoadReport` by their names on the simulator's wire and by the names that servers use.
 FIELDS_BY_NAME = {
     "busy_reqs": "inflight",
     "pending": "queue",
@@ -25,19 +25,25 @@
     "qps": "served_per_s",
     "eps": "errors_per_s",
 }
-ABSENT = ("", "-")  # values that stand for none
+ABSENT = ("", "-")  # Values that mean that a field is not reported.
 
 NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?(e[-+]?[0-9]{1,2})?", re.ASCII)
-MAX_BY_FIELD = {"util": 2.0}  # busy cores over all cores: up to 1, and measured with some noise
-MAX_VALUE = 1e9  # of all other fields: counts, milliseconds and rates of one server stay far below
-MAX_QUOTED = 20  # characters of a malformed value that are quoted in an error
+
+# The largest plausible values by field. Utilization is busy cores over all cores, so it is at most 1 but for
+# noise in the servers' reports.
+MAX_BY_FIELD = {"util": 2.0}
+
+# The largest plausible value of the other fields. Counts, milliseconds and rates of a server are far below.
+MAX_VALUE = 1e9
+
+MAX_QUOTED_CHARS = 20  # An error quotes at most this many characters of a malformed value.
 
 
 def read_load_report(values: Iterable[tuple[str, str]]) -> LoadReport:
-    """A load report from pairs of a name and a value.
+    """Read a load report from pairs of a name and a value.
 
-    Unknown names and absent values are passed over; of a name that comes twice, the last value holds. Raises
-    MalformedReportError for a value that is no number.
+    Unknown names and absent values are ignored; if a field is given twice, its last value applies. Raises
+    MalformedReportError for a value that is not a number.
     """
     fields: dict[str, float | None] = {}
     for name, text in values:
@@ -48,10 +54,10 @@
 
 
 def _read_value(field: str, text: str) -> float | None:
-    """The value of one field; None where it is larger than any server can mean."""
+    """The value of one field; None where it exceeds the plausible range."""
     if not NUMBER.fullmatch(text):
         raise MalformedReportError(
-            f"{field} of a load report is malformed: expected a number, found {text[:MAX_QUOTED]!r}"
+            f"{field} of a load report is malformed: expected a number, found {text[:MAX_QUOTED_CHARS]!r}"
         )
     value = float(text)
     return value if value <= MAX_BY_FIELD.get(field, MAX_VALUE) else None
--- a/thistletrail/policy/settings_codec.py
+++ b/thistletrail/policy/settings_codec.py
@@ -1,8 +1,8 @@
-"""Settings of a gateway, as texts by their paths, read into `Settings`.
+"""Reads the settings of a gateway from texts by their paths into `Settings`.
 
-A path is the names from the top of the settings down, joined by dots, with places in lists counted from 0
-(`plans.0.burst`). The simulator's wire sends settings in this form; the gateway process flattens the settings
-of its configuration file to it. Paths that nobody reads may be present, and most have a default.
+A path consists of the names from the top level of the settings down, joined by dots; list items are numbered
+from 0 (`plans.0.burst`). The simulator's wire sends settings in this form, and the gateway process flattens
+those of its configuration file to it. Unknown paths are ignored, and most paths have a default.
 """
 
 from collections.abc import Mapping
@@ -12,10 +12,10 @@
 from thistletrail.policy.errors import MalformedSettingError
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
-ABSENT = "-"  # the value of a path that is present and stands for none
+ABSENT = "-"  # A path with this value takes its default.
 TRUE_VALUES = ("true", "1")
-MAX_NUMBER = 1e15  # of any setting; a day in microseconds is about 1e11
-MAX_QUOTED = 80  # characters of a malformed value that are quoted in an error
+MAX_NUMBER = 1e15  # The maximum of any setting; a day in microseconds is about 1e11.
+MAX_QUOTED_CHARS = 80  # An error quotes at most this many characters of a malformed value.
 
 EFFECTS_BY_NAME = {
     "read_like": Effect.IDEMPOTENT,
@@ -32,13 +32,13 @@
 
 
 class SettingValues:
-    """The values of settings by their paths; each reader takes the default of a path that is absent."""
+    """The values of settings by their paths; each method returns the default for an absent path."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
 
     def text(self, path: str, default: str = "") -> str:
-        """The value as it stands."""
+        """The value as an unchanged text."""
         value = self.values.get(path, ABSENT)
         return default if value == ABSENT else value
 
@@ -49,37 +49,37 @@
             value = float(text)
         except ValueError as error:
             raise MalformedSettingError(
-                f"{path} is malformed: expected a number, found {text[:MAX_QUOTED]!r}"
+                f"{path} is malformed: expected a number, found {text[:MAX_QUOTED_CHARS]!r}"
             ) from error
         if not 0 <= value <= MAX_NUMBER:  # also false for "nan"
             raise MalformedSettingError(
-                f"{path} is out of range: expected 0 to {MAX_NUMBER:g}, found {text[:MAX_QUOTED]!r}"
+                f"{path} is out of range: expected 0 to {MAX_NUMBER:g}, found {text[:MAX_QUOTED_CHARS]!r}"
             )
         return value
 
     def integer(self, path: str, default: int = 0) -> int:
-        """As `number`, without its fraction."""
+        """As `number`, with the fraction dropped."""
         return int(self.number(path, default))
 
     def flag(self, path: str) -> bool:
-        """Whether the value is one of TRUE_VALUES; any other, and an absent one, is False."""
+        """Whether the value is one of TRUE_VALUES; any other value, or an absent one, is False."""
         return self.text(path, "false") in TRUE_VALUES
 
     def choice(self, path: str, choices: Mapping[str, Choice], default: str) -> Choice:
-        """The member that the value names; raises MalformedSettingError for a name that none has."""
+        """The member of `choices` that the value names; raises MalformedSettingError for an unknown name."""
         name = self.text(path, default)
         if name not in choices:
             expected = ", ".join(choices)
             raise MalformedSettingError(
-                f"{path} is malformed: expected one of {expected}, found {name[:MAX_QUOTED]!r}"
+                f"{path} is malformed: expected one of {expected}, found {name[:MAX_QUOTED_CHARS]!r}"
             )
         return choices[name]
 
 
 def read_settings(seed: int, values: SettingValues) -> Settings:
-    """The settings of one gateway; raises MalformedSettingError for a value that a path cannot have.
+    """Read the settings of one gateway; raises MalformedSettingError for a malformed value.
 
-    `seed` is that of the gateway's random draws, which is not part of the settings.
+    `seed` is the seed of the gateway's random draws. It is not one of the values.
     """
     return Settings(
         seed=seed,
@@ -114,7 +114,7 @@
 
 
 def _read_max_retry_after_us(values: SettingValues) -> int:
-    """0 where clients are not told when to come again."""
+    """The maximum Retry-After; 0 where rejections carry no Retry-After."""
     if not values.flag("ceilings.retry-after"):
         return 0
     return values.integer("ceilings.max-retry-after-us")
--- a/thistletrail/policy/simulator_adapter.py
+++ b/thistletrail/policy/simulator_adapter.py
@@ -1,11 +1,11 @@
-"""Hosts the decisions of many gateways for the simulator, on standard input and output.
+"""Runs the policy engines of many simulated gateways for the simulator, on standard input and output.
 
-The simulator writes batches of events, each for one of the instances of this process, and reads one reply
-with the actions for each batch. There is one `PolicyEngine` for each instance, which shares nothing with the
-others; the only clock is the batch's. The lines themselves are read and written in `simulator_wire`.
+The simulator writes batches of events, each for one of the instances in this process, and reads one reply
+with the actions for each batch. Each instance has a `PolicyEngine` of its own and shares no state with the
+others; the time of a batch is the only clock. `simulator_wire` parses and formats the lines.
 
-Malformed input ends the process with one line on standard error and exit code 2. An exception in the
-decisions is reported on the wire instead, and the next event is read.
+Malformed input ends the process with one line on standard error and exit code 2. An exception in a policy
+engine is reported in the reply instead, and processing continues with the next event.
 """
 
 import sys
@@ -33,38 +33,38 @@
 
 
 class DecisionError(PolicyError):
-    """The decisions raised an exception while they handled an event."""
+    """A policy engine raised an exception while it handled an event."""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One simulated gateway: its decisions, and the names of its load reports' values in their order."""
+    """One simulated gateway: its policy engine, and the names of the values in load reports, in order."""
 
     gateway: PolicyEngine
     report_names: tuple[str, ...]
 
 
 class Host:
-    """The instances of this process, and the numbered server lists that their events refer to."""
+    """The instances in this process, and the numbered server lists that their events refer to."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}  # by number
-        self.server_lists: dict[int, tuple[Server, ...]] = {}  # by number; a new list replaces an older one
-        self.now_us = 0  # the batch's clock
-        self.target: int | None = None  # the instance that the batch's next events are for
-        self.context: int | None = None  # the instance that the reply's last actions are of
+        self.server_lists: dict[int, tuple[Server, ...]] = {}  # by number, which may be reused for a new list
+        self.now_us = 0  # the time of the batch
+        self.target: int | None = None  # the instance that handles the next events of the batch
+        self.context: int | None = None  # the instance of the last actions in the reply
 
     def start_batch(self, now_us: int) -> None:
-        """Begin a batch, in which no instance has been named yet."""
+        """Begin a batch at `now_us`; it has to name an instance before the first event."""
         self.now_us = now_us
         self.target = None
         self.context = None
 
     def event(self, name: str, values: list[str], following_lines: Iterator[str]) -> list[str]:
-        """Apply one line of a batch; the reply's lines for it.
+        """Apply one line of a batch, and return the lines of the reply to it.
 
-        A server list goes on over `following_lines`. Raises WireError or another ValueError for malformed
-        input, and DecisionError where the decisions fail.
+        The entries of a server list are read from `following_lines`. Raises WireError or another ValueError
+        for malformed input, and DecisionError if the policy engine raises an exception.
         """
         if name == "TARGET_INSTANCE":
             self.target = Fields(values).integer()
@@ -73,12 +73,12 @@
             self._store_server_list(Fields(values), following_lines)
             return []
         if self.target is None:
-            raise WireError("no instance is named")
+            raise WireError(f"no instance is named for message '{name}'")
         if name == "NEW_INSTANCE":
             self.instances[self.target] = start_instance(values)
             return []
         if self.target not in self.instances:
-            raise WireError(f"there is no instance {self.target}")
+            raise WireError(f"there is no instance {self.target} for message '{name}'")
         if name == "KILLED":
             del self.instances[self.target]
             return []
@@ -91,7 +91,9 @@
         for _ in range(size):
             line = next(lines, None)
             if line is None:
-                raise WireError(f"a list is cut off: expected {size} entries, found {len(servers)}")
+                raise WireError(
+                    f"server list {number} is cut off: expected {size} entries, found {len(servers)}"
+                )
             servers.append(read_server(line))
         self.server_lists[number] = tuple(servers)
 
@@ -102,17 +104,20 @@
         return read_event(name, fields)
 
     def _read_endpoint_update(self, fields: Fields) -> EndpointUpdate:
-        kind = fields.word(UPDATE_KINDS)
+        kind = fields.choice(UPDATE_KINDS)
         version = fields.integer(0)
         number = fields.integer(0)
         if kind is EndpointUpdateKind.FAILED:
             return EndpointUpdate(kind, version)
         if number not in self.server_lists:
-            raise WireError(f"there is no list {number}")
+            raise WireError(f"there is no server list {number} for an endpoint update")
         return EndpointUpdate(kind, version, self.server_lists[number])
 
     def _handle(self, target: int, event: Event) -> list[str]:
-        """Hand an event to an instance; the lines of its actions, after one that names the instance."""
+        """Have an instance handle an event, and return the lines of its actions.
+
+        A line that names the instance precedes them, unless the last actions in the reply were its own.
+        """
         try:
             actions = self.instances[target].gateway.handle(self.now_us, event)
         except Exception as error:
@@ -125,7 +130,7 @@
 
 
 def start_instance(values: list[str]) -> Instance:
-    """A new instance, from the values of NEW_INSTANCE: the seed of its random draws, then its settings."""
+    """Create an instance from the values of NEW_INSTANCE: the seed of its random draws, and its settings."""
     setting_values = read_setting_values(part for part in values[1:] if part)
     report_names = setting_values.text("stats.names")
     seed = Fields(values).integer()
@@ -134,13 +139,13 @@
 
 
 def run_batch(host: Host, lines: Iterator[str]) -> list[str] | None:
-    """The lines of the reply to the next batch, or None at the end of the input."""
+    """Process the next batch, and return the lines of the reply; None at the end of the input."""
     first = next(lines, None)
     if first is None:
         return None
     name, *values = first.split(" ")
     if name != "MARK":
-        raise WireError("a batch starts with MARK")
+        raise WireError(f"expected a batch to start with MARK, found {name!r}")
     host.start_batch(Fields(values).integer())
     reply: list[str] = []
     for line in lines:
@@ -151,11 +156,11 @@
             reply += host.event(name, values, lines)
         except DecisionError as error:
             reply += [f"CONTEXT {host.target}", f"FAULT {to_one_line(str(error))}"]
-    raise WireError("the input ends within a batch")
+    raise WireError("the input ends within a batch: expected EOF_BATCH")
 
 
 class LineReader:
-    """The lines of the input without their ends, counted for error messages."""
+    """Iterates over the lines of the input without line feeds, and counts them for error messages."""
 
     def __init__(self, source: Iterable[str]) -> None:
         self.lines = iter(source)
@@ -171,7 +176,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer batches until the input ends; the exit code of the process."""
+    """Answer batches until the input ends, and return the exit code of the process."""
     host, lines = Host(), LineReader(source)
     try:
         while (reply := run_batch(host, lines)) is not None:
@@ -184,7 +189,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output, as UTF-8 with plain line feeds on every platform."""
+    """Serve standard input and output, in UTF-8 and with line feeds as line ends on every platform."""
     for stream in (sys.stdin, sys.stdout):
         if isinstance(stream, TextIOWrapper):
             stream.reconfigure(encoding="utf-8", newline="\n")
--- a/thistletrail/policy/simulator_wire.py
+++ b/thistletrail/policy/simulator_wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: lines of text to events, and actions to lines of text.
+"""The simulator's wire protocol: parses lines of text into events, and formats actions as lines of text.
 
-A line is the name of a message and its values, separated by one space; `-` stands for an absent value. Each
-reader below takes the values of one message in the order of the wire's page. Nothing is decided here, and no
-state is kept from one line to the next.
+A line consists of the name of a message and its values, separated by single spaces; `-` is an absent value.
+Each reader below takes the values of one message in the order of the protocol's page. This module is
+stateless and makes no decisions.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -45,9 +45,9 @@
 from thistletrail.policy.peer_codec import PeerDatagram, pack_datagrams, unpack_datagram
 from thistletrail.policy.settings_codec import SettingValues
 
-ABSENT = ("", "-")  # values that stand for none
+ABSENT = ("", "-")  # Values that mean that a field is absent.
 
-# The wire's words for an outcome, a server's state and the kind of a list.
+# The wire's names for the result of an attempt, the state of a server and the kind of an endpoint update.
 RESULTS = {
     "served": AttemptResult.OK,
     "server_error": AttemptResult.ERROR,
@@ -66,28 +66,31 @@
     "error": EndpointUpdateKind.FAILED,
 }
 
-# Bits of a request's `marks`; the wire's page names no others.
+# Bits of the field `marks` of a request; the protocol's page defines no others.
 RETRY_MARK = 2
 WRITE_MARK = 4
 
-Word = TypeVar("Word", bound=Enum)
+Choice = TypeVar("Choice", bound=Enum)
 
 
 class WireError(PolicyError):
-    """A line is not what the wire's page describes; the message says what is wrong with it."""
+    """A line does not follow the wire protocol; the message says what was expected and what was found."""
 
 
 class Fields:
-    """The values of one line, taken one after the other; WireError where one is missing or malformed."""
+    """The values of one line, read in order.
+
+    The methods raise WireError for a missing or malformed value.
+    """
 
     def __init__(self, values: Sequence[str], report_names: Sequence[str] = ()) -> None:
-        """`report_names` are the instance's names for the values of a load report, in their order."""
+        """Start at the first value; `report_names` are the names of the values in a load report, in order."""
         self.values = values
         self.report_names = report_names
-        self.position = 0  # of the next value
+        self.position = 0  # the index of the next value
 
     def has_value(self) -> bool:
-        """Whether an optional value comes next; an absent one is passed over."""
+        """Whether the next optional value is present; one that is marked as absent is skipped."""
         if self.position >= len(self.values):
             return False
         if self.values[self.position] in ABSENT:
@@ -96,28 +99,28 @@
         return True
 
     def text(self) -> str:
-        """A value that must be there, as it stands."""
+        """The next value, which is required, as an unchanged text."""
         if self.position >= len(self.values) or self.values[self.position] in ABSENT:
             raise WireError(f"field {self.position + 1} is missing")
         self.position += 1
         return self.values[self.position - 1]
 
     def optional_text(self) -> str:
-        """A value as it stands, or an empty text where it is absent."""
+        """The next value as an unchanged text, or an empty text if it is absent."""
         return self.text() if self.has_value() else ""
 
     def integer(self, default: int | None = None) -> int:
-        """A whole number; without a default it must be there."""
+        """The next value as an integer; it is required if there is no default."""
         if default is not None and not self.has_value():
             return default
         text = self.text()
         try:
             return int(text)
         except ValueError as error:
-            raise self._malformed("a whole number", text) from error
+            raise self._malformed("an integer", text) from error
 
     def number(self, default: float) -> float:
-        """A number, or the default where it is absent."""
+        """The next value as a number, or the default if it is absent."""
         if not self.has_value():
             return default
         text = self.text()
@@ -127,22 +130,22 @@
             raise self._malformed("a number", text) from error
 
     def flag(self) -> bool:
-        """A value that is 0 or 1."""
+        """The next value, which is required and has to be 0 or 1, as a boolean."""
         text = self.text()
         if text not in ("0", "1"):
             raise self._malformed("0 or 1", text)
         return text == "1"
 
-    def word(self, words: Mapping[str, Word]) -> Word:
-        """What one of the given words stands for."""
-        text = self.text()
-        if text not in words:
-            expected = ", ".join(words)
-            raise WireError(f"field {self.position} is an unknown word {text!r}: expected one of {expected}")
-        return words[text]
+    def choice(self, choices: Mapping[str, Choice]) -> Choice:
+        """The member of `choices` that the next value names; the value is required."""
+        name = self.text()
+        if name not in choices:
+            expected = ", ".join(choices)
+            raise WireError(f"field {self.position} is an unknown word {name!r}: expected one of {expected}")
+        return choices[name]
 
     def data(self) -> bytes:
-        """Bytes in hex digits; none where they are absent."""
+        """The next value, in hex digits, as bytes; empty if it is absent."""
         text = self.optional_text()
         try:
             return bytes.fromhex(text)
@@ -150,21 +153,24 @@
             raise self._malformed("hex digits", text) from error
 
     def load_report(self) -> LoadReport | None:
-        """A load report, whose values stand in the order of their names; None where it is absent."""
+        """The next value as a load report, with values in the order of `report_names`; None if absent."""
         if not self.has_value():
             return None
         values = self.text().split(",")
         if len(values) > len(self.report_names):
-            raise WireError(f"the load report has {len(values)} values for {len(self.report_names)} names")
+            raise WireError(
+                f"field {self.position} is invalid: expected a load report of at most "
+                f"{len(self.report_names)} values, found {len(values)}"
+            )
         return read_load_report(zip(self.report_names, values, strict=False))
 
-    def _malformed(self, expected: str, found: str) -> WireError:
-        """The error for the value that was taken last."""
-        return WireError(f"field {self.position} is invalid: expected {expected}, found {found!r}")
+    def _malformed(self, expected: str, text: str) -> WireError:
+        """The error for `text`, the value that was read last."""
+        return WireError(f"field {self.position} is invalid: expected {expected}, found {text!r}")
 
 
 def read_setting_values(parts: Iterable[str]) -> SettingValues:
-    """The settings of an instance, from `path=value` each."""
+    """Read the settings of an instance from parts of the form `path=value`."""
     values: dict[str, str] = {}
     for part in parts:
         path, equals_sign, value = part.partition("=")
@@ -175,24 +181,24 @@
 
 
 def read_server(line: str) -> Server:
-    """An entry of a server list, from a line `M ...`."""
+    """Read an entry of a server list from a line `M ...`."""
     name, *values = line.split(" ")
     if name != "M":
-        raise WireError("a list entry is missing: expected a line M")
+        raise WireError(f"a server list entry is missing: expected a line M, found {name!r}")
     fields = Fields(values)
     return Server(
         name=fields.text(),
         zone=fields.integer(),
         kind=fields.integer(),
         cell=fields.integer(),
-        state=fields.word(SERVER_STATES),
+        state=fields.choice(SERVER_STATES),
         size=fields.number(1.0),
         started_us=fields.integer(0),
     )
 
 
 def read_event(name: str, fields: Fields) -> Event:
-    """An event of an instance, other than its start, its end and a server list."""
+    """Read an event of an instance; the start and end of one, and server lists, are not events."""
     reader = EVENT_READERS.get(name)
     if reader is None:
         raise WireError(f"unknown message '{name}'")
@@ -229,7 +235,7 @@
         request_ended=fields.flag(),
         attempt=fields.integer(),
         server=fields.text(),
-        result=fields.word(RESULTS),
+        result=fields.choice(RESULTS),
         latency_us=fields.integer(0),
         used_percent=fields.integer(0),
         true_units=fields.number(0.0),
@@ -257,14 +263,14 @@
 def _read_probe_ended(fields: Fields) -> ProbeEnded:
     return ProbeEnded(
         server=fields.text(),
-        result=fields.word(RESULTS),
+        result=fields.choice(RESULTS),
         latency_us=fields.integer(0),
         report=fields.load_report(),
     )
 
 
 def _read_peer_message(fields: Fields) -> PeerMessageReceived:
-    """A datagram of another form arrives as a message without contents: its sender is alive."""
+    """A malformed datagram becomes an empty message, as it still shows that its sender is alive."""
     sender = fields.integer()
     datagram = unpack_datagram(fields.data()) or PeerDatagram((), None)
     return PeerMessageReceived(sender, datagram.quota_messages, datagram.digest)
@@ -273,7 +279,7 @@
 def _read_counter_reply(fields: Fields) -> CounterReply:
     return CounterReply(
         name=fields.integer(),
-        result=fields.word(RESULTS),
+        result=fields.choice(RESULTS),
         total=fields.number(0.0),
         latency_us=fields.integer(0),
     )
@@ -292,7 +298,10 @@
 
 
 def write_action(action: Action) -> str:
-    """The line for an action; a SendPeerMessage takes one line a datagram. TypeError for anything else."""
+    """Format an action as a line, or as a line for each datagram of a SendPeerMessage.
+
+    Raises TypeError for any other object.
+    """
     match action:
         case StartAttempt(request_id, server, timeout_us):
             return f"TRY {request_id} {server} {timeout_us}"
@@ -319,9 +328,9 @@
             return "SNAPSHOT"
         case WriteLog(text):
             return f"EMIT {to_one_line(text)}"
-    raise TypeError(f"not an action: {action!r}")
+    raise TypeError(f"expected an action of the policy, found {action!r}")
 
 
 def to_one_line(text: str) -> str:
-    """A text with each run of white space replaced by one space, as a line can hold it."""
+    """The text with each run of white space, which includes line feeds, replaced by a single space."""
     return " ".join(text.split())
--- a/thistletrail/policy/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -1,7 +1,7 @@
-"""What a gateway leaves to the next start of its process: collected now and then, and restored.
+"""Snapshots of a gateway's state, which the next start of its process restores.
 
-Times in a snapshot are from its making on, as nobody's clock goes on over a restart. Each part of it has a
-bound on its age, past which it is not used.
+Times in a snapshot are relative to its collection, as the event clock does not continue over a restart. Each
+part of a snapshot has a maximum age, beyond which it is not restored.
 """
 
 from thistletrail.policy.event_context import EventContext
@@ -19,14 +19,15 @@
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 from thistletrail.policy.upstream_server import UpstreamServer
 
-MAX_CUSTOMERS = 5_000  # the ones seen last: some 100 bytes each
-# Bounds on age: N follows load within some control periods; an ejected server is half-open by then.
-ADMISSION_RATE_MAX_AGE_US = 5_000_000
-SERVER_HEALTH_MAX_AGE_US = 8_000_000
+# Customers in a snapshot, the most recently used ones. Each takes up about 100 bytes.
+MAX_CUSTOMERS = 5_000
+
+ADMISSION_RATE_MAX_AGE_US = 5_000_000  # N has followed a change of load within this many control periods.
+SERVER_HEALTH_MAX_AGE_US = 8_000_000  # An ejected server has become half-open within this time.
 
 
 class SnapshotKeeper:
-    """Collects what would be of use to a successor, and restores what a predecessor left."""
+    """Collects snapshots of this gateway's state, and restores the snapshot of its predecessor."""
 
     def __init__(
         self,
@@ -45,20 +46,20 @@
         self.plan_count = len(settings.plans)
 
     def collect(self) -> PolicySnapshot:
-        """What this gateway knows, as of the last event."""
-        last_seen = list(self.customers.by_key.values())[-MAX_CUSTOMERS:]
+        """A snapshot of this gateway's state as of the last event."""
+        recently_used = list(self.customers.by_key.values())[-MAX_CUSTOMERS:]
         ejected = [server for server in self.servers.by_name.values() if server.is_ejected]
         return PolicySnapshot(
-            customers=tuple(customer_snapshot(customer) for customer in last_seen),
+            customers=tuple(customer_snapshot(customer) for customer in recently_used),
             ejected_servers=tuple(ejected_server_snapshot(server, self.context.now_us) for server in ejected),
             admission_rate_per_s=self.overload.limit_per_scaled_second(),
         )
 
     def restore(self, event: SnapshotFound) -> str:
-        """Restore each part that is young enough; a line for the log that names them.
+        """Restore each part that is not beyond its maximum age, and return a log line that names them.
 
-        What came in since is not credited: others have gone on spending meanwhile. A customer that is not in
-        it had sent nothing for long; as little is known of it here as after a restart without a snapshot.
+        Buckets are not refilled for the time since the snapshot, as other gateways continued to spend
+        meanwhile. A customer that is not in the snapshot is treated as after a restart without one.
         """
         self.incarnations.note_restart(self.context.now_us)
         snapshot = event.snapshot
@@ -79,7 +80,10 @@
         return f"takes up a snapshot of {age_s:.1f} s ago: {', '.join(restored) or 'nothing is young enough'}"
 
     def restore_customer(self, stored: CustomerSnapshot) -> None:
-        """Set a customer's buckets to their stored levels, within their present capacity."""
+        """Set a customer's buckets to their stored levels, within their present capacity.
+
+        A customer with an unknown plan or without a set of gateways is ignored.
+        """
         if not 0 <= stored.plan_index < self.plan_count or stored.set_size < 1:
             return
         key = CustomerKey(stored.customer, stored.plan_index, stored.set_first, stored.set_size)
@@ -87,7 +91,7 @@
         customer.restore(stored.share, stored.level, stored.ceiling, stored.grants)
 
     def restore_server(self, stored: EjectedServerSnapshot, age_us: int) -> None:
-        """Eject a server that was ejected, for the time that was left, if it is known."""
+        """Eject a server for the rest of its ejection time, if it is in the endpoint list."""
         server = self.servers.by_name.get(stored.server)
         if server is None:
             return
@@ -100,7 +104,7 @@
 
 
 def customer_snapshot(customer: CustomerQuota) -> CustomerSnapshot:
-    """A customer's buckets as they were when it was last looked at."""
+    """The levels of a customer's buckets as of its last refill."""
     return CustomerSnapshot(
         *customer.key,
         share=customer.local_bucket.level,
@@ -111,7 +115,7 @@
 
 
 def ejected_server_snapshot(server: UpstreamServer, now_us: int) -> EjectedServerSnapshot:
-    """An ejected server, and for how much longer it gets no attempts."""
+    """An ejected server, with the time for which it is to get no more attempts."""
     return EjectedServerSnapshot(
         server=server.entry.name,
         ejected_for_us=max(0, server.avoid_until_us - now_us),
