--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -1,4 +1,4 @@
-"""Ceilings by leases: what a gateway asks for, what it makes of grants, and doors with a real steward."""
+"""Leased budgets: a gateway's demand, its use of grants, and gateways with a running lease service."""
 
 import sys
 from dataclasses import replace
@@ -23,114 +23,119 @@
 
 
 def gateway() -> World:
-    """One of two, which has been asked for its customer once."""
+    """One of two gateways, with a customer that has sent one request."""
     world = World(LEASED)
     world.ask("first", set_size=2)
     return world
 
 
-def allow(world: World, share: float, units: float = 0.0, lasts_us: int = 3 * S) -> None:
+def grant_ceiling(world: World, share: float, units: float = 0.0, duration_us: int = 3 * S) -> None:
     ((key, _),) = world.gateway.customers.by_key.items()
-    world.tell(BudgetGranted(BudgetKey(BudgetKind.CEILING, *key), share, units, world.now + lasts_us))
+    world.tell(BudgetGranted(BudgetKey(BudgetKind.CEILING, *key), share, units, world.now + duration_us))
 
 
-def ceiling(world: World) -> float:
+def ceiling_level(world: World) -> float:
     ((_, customer),) = world.gateway.customers.by_key.items()
     customer.refill(world.now)
     return customer.leased["ceiling"].level if customer.leased else customer.ceiling_bucket.level
 
 
-def test_a_ceiling_is_the_floor_until_a_part_is_granted_and_after_its_lease() -> None:
+def test_a_leased_ceiling_is_the_floor_before_and_after_a_lease() -> None:
     world = gateway()
     floor = FLOOR_SHARE / 2
     world.now += 100 * S
-    assert ceiling(world) == pytest.approx(40.0 * floor)
-    allow(world, 0.5)
+    assert ceiling_level(world) == pytest.approx(40.0 * floor)
+    grant_ceiling(world, 0.5)
     world.now += S
-    assert ceiling(world) == pytest.approx(40.0 * floor + 20.0 * (0.5 + floor))
-    world.now += 10 * S  # two seconds of them within the lease; then what the floor holds
-    assert ceiling(world) == pytest.approx(40.0 * floor)
+    assert ceiling_level(world) == pytest.approx(40.0 * floor + 20.0 * (0.5 + floor))
+    world.now += 10 * S  # the lease expires after two of these seconds; the capacity is the floor's again
+    assert ceiling_level(world) == pytest.approx(40.0 * floor)
 
 
-def test_units_come_at_the_granted_rate_up_to_the_leases_end_and_no_longer() -> None:
+def test_a_leased_ceiling_is_refilled_at_the_granted_rate_until_the_lease_expires() -> None:
     world = gateway()
-    allow(world, 0.25, lasts_us=S)
+    grant_ceiling(world, 0.25, duration_us=S)
     ((_, customer),) = world.gateway.customers.by_key.items()
     customer.leased["ceiling"].expires_us = world.now + S
     world.now += S - 1
-    assert ceiling(world) == pytest.approx(20.0 * (0.25 + FLOOR_SHARE / 2), rel=0.01)
+    assert ceiling_level(world) == pytest.approx(20.0 * (0.25 + FLOOR_SHARE / 2), rel=0.01)
     world.now += 1
-    assert ceiling(world) == pytest.approx(40.0 * FLOOR_SHARE / 2)
+    assert ceiling_level(world) == pytest.approx(40.0 * FLOOR_SHARE / 2)
 
 
-def test_what_a_smaller_part_has_no_room_for_goes_back_in_whole_units() -> None:
+def test_units_beyond_the_capacity_of_a_smaller_share_are_returned_in_whole_units() -> None:
     world = gateway()
-    allow(world, 0.8, units=30.0)
-    assert ceiling(world) == 30.0
-    allow(world, 0.2)
+    grant_ceiling(world, 0.8, units=30.0)
+    assert ceiling_level(world) == 30.0
+    grant_ceiling(world, 0.2)
     ((_, customer),) = world.gateway.customers.by_key.items()
-    most = 40.0 * (0.2 + FLOOR_SHARE / 2)
-    assert customer.leased["ceiling"].returned == int(30.0 - most) and ceiling(world) <= most
-    (want,) = world.gateway.budget_demands(world.now)
-    assert want.returned == customer.leased["ceiling"].returned
-    allow(world, 0.2)
-    assert world.gateway.budget_demands(world.now)[0].returned == 0  # told with one grant, and not again
+    capacity = 40.0 * (0.2 + FLOOR_SHARE / 2)
+    assert customer.leased["ceiling"].returned == int(30.0 - capacity) and ceiling_level(world) <= capacity
+    (reported,) = world.gateway.budget_demands(world.now)
+    assert reported.returned == customer.leased["ceiling"].returned
+    grant_ceiling(world, 0.2)
+    assert world.gateway.budget_demands(world.now)[0].returned == 0  # units are returned only once
 
 
-def test_no_more_is_taken_than_leases_can_grant() -> None:
+def test_a_grant_is_limited_to_the_budget_and_applies_to_known_leased_budgets_only() -> None:
     world = gateway()
-    allow(world, 7.0, units=1e9)
-    assert ceiling(world) <= 40.0 * (1 - FLOOR_SHARE + FLOOR_SHARE / 2) + 1e-9
-    stranger = BudgetGranted(BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2), 0.5, 1.0, world.now + S)
-    world.tell(stranger)  # of a customer that is not known here
+    grant_ceiling(world, 7.0, units=1e9)
+    assert ceiling_level(world) <= 40.0 * (1 - FLOOR_SHARE + FLOOR_SHARE / 2) + 1e-9
+    other_customer = BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2)  # a customer that has sent no request here
+    world.tell(BudgetGranted(other_customer, 0.5, 1.0, world.now + S))
     assert len(world.gateway.customers.by_key) == 1
-    plain = World(replace(LEASED, leases_ceilings=False))
-    plain.ask("first", set_size=2)
-    before = ceiling(plain)
-    allow(plain, 0.9, units=30.0)
-    assert ceiling(plain) == before
+    not_leased = World(replace(LEASED, leases_ceilings=False))
+    not_leased.ask("first", set_size=2)
+    level_before = ceiling_level(not_leased)
+    grant_ceiling(not_leased, 0.9, units=30.0)
+    assert ceiling_level(not_leased) == level_before
 
 
-QUOTAS = replace(LEASED, leases_quotas=True, plans=(Plan(rate=10.0, burst=20.0, over_quota_cost=1.0),))
-OPEN = replace(LEASED, leases_in_flight=True, plans=(Plan(rate=1000.0, burst=1000.0, max_in_flight=10),))
+LEASED_QUOTAS = replace(LEASED, leases_quotas=True, plans=(Plan(rate=10.0, burst=20.0, over_quota_cost=1.0),))
+LEASED_IN_FLIGHT = replace(
+    LEASED, leases_in_flight=True, plans=(Plan(rate=1000.0, burst=1000.0, max_in_flight=10),)
+)
 
 
-def grant(world: World, kind: str, share: float, units: float = 0.0, lasts_us: int = 3 * S) -> list[Action]:
+def grant(
+    world: World, kind: str, share: float, units: float = 0.0, duration_us: int = 3 * S
+) -> list[Action]:
     ((key, _),) = world.gateway.customers.by_key.items()
-    return world.tell(BudgetGranted(BudgetKey(kind, *key), share, units, world.now + lasts_us))
+    return world.tell(BudgetGranted(BudgetKey(kind, *key), share, units, world.now + duration_us))
 
 
-def sent(actions: list[Action]) -> list[str]:
+def started_attempts(actions: list[Action]) -> list[str]:
     return [action.id for action in of(StartAttempt, actions)]
 
 
-def test_a_leased_quota_lets_nothing_through_but_units_that_were_granted() -> None:
-    world = World(QUOTAS)
-    assert sent(world.ask("a", set_size=2)) == []
-    (want,) = world.gateway.budget_demands(world.now)
-    assert want.key.kind == "quota" and want.needed == 1.0 and want.demand > 0
-    assert sent(grant(world, "quota", 0.0, units=2.0)) == ["a"]  # and one is left
-    assert sent(world.ask("b", set_size=2)) == ["b"]
-    assert sent(world.ask("c", set_size=2)) == []
-    assert [action.id for action in of(RejectRequest, world.run(S))] == ["c"]  # no units came in time
-    floor = 10.0 * FLOOR_SHARE / 2  # units a second that nobody grants
-    world.now += round(S / floor)
-    assert sent(world.ask("d", set_size=2)) == ["d"] and sent(world.ask("e", set_size=2)) == []
+def test_a_leased_quota_admits_requests_by_granted_units_and_the_floor_only() -> None:
+    world = World(LEASED_QUOTAS)
+    assert started_attempts(world.ask("a", set_size=2)) == []
+    (reported,) = world.gateway.budget_demands(world.now)
+    assert reported.key.kind == "quota" and reported.needed == 1.0 and reported.demand > 0
+    assert started_attempts(grant(world, "quota", 0.0, units=2.0)) == ["a"]  # one unit remains
+    assert started_attempts(world.ask("b", set_size=2)) == ["b"]
+    assert started_attempts(world.ask("c", set_size=2)) == []
+    assert [action.id for action in of(RejectRequest, world.run(S))] == ["c"]  # no units were granted in time
+    floor_units_per_s = 10.0 * FLOOR_SHARE / 2  # needs no grant
+    world.now += round(S / floor_units_per_s)
+    assert started_attempts(world.ask("d", set_size=2)) == ["d"]
+    assert started_attempts(world.ask("e", set_size=2)) == []
 
 
-def test_units_that_come_go_round_among_those_that_wait_and_no_further() -> None:
-    world = World(QUOTAS)
+def test_granted_units_admit_as_many_waiting_requests_as_they_suffice_for() -> None:
+    world = World(LEASED_QUOTAS)
     names = [f"a{n}" for n in range(5)]
     for name in names:
         world.ask(name, set_size=2)
     assert world.gateway.budget_demands(world.now)[0].needed == 5.0
-    assert sent(grant(world, "quota", 0.0, units=3.0)) == names[:3]
+    assert started_attempts(grant(world, "quota", 0.0, units=3.0)) == names[:3]
     assert world.gateway.budget_demands(world.now)[0].needed == 2.0
-    assert sent(grant(world, "quota", 0.0, units=2.0)) == names[3:]
+    assert started_attempts(grant(world, "quota", 0.0, units=2.0)) == names[3:]
 
 
 def test_a_request_that_is_not_sent_gives_its_leased_unit_back() -> None:
-    world = World(QUOTAS, ())  # nobody to send to
+    world = World(LEASED_QUOTAS, ())  # no servers
     world.ask("a", set_size=2)
     grant(world, "quota", 0.9, units=1.0)
     ((_, customer),) = world.gateway.customers.by_key.items()
@@ -139,112 +144,116 @@
     assert customer.leased["quota"].level == pytest.approx(level + 1.0)
 
 
-def test_no_more_is_open_at_once_than_the_leases_allow() -> None:
-    world = World(OPEN)
+def test_requests_in_flight_are_limited_by_their_lease() -> None:
+    world = World(LEASED_IN_FLIGHT)
     world.ask("a", set_size=2)
-    (want,) = [want for want in world.gateway.budget_demands(world.now) if want.key.kind == "open"]
-    assert want.needed == 1.0 and want.in_use == 0  # the floor of ten over two is half of one
-    assert sent(grant(world, "open", 0.3)) == []  # its home's word is still waited for
+    (reported,) = [
+        reported for reported in world.gateway.budget_demands(world.now) if reported.key.kind == "open"
+    ]
+    assert reported.needed == 1.0 and reported.in_use == 0  # the floor of 10 for two gateways is 0.5
+    assert started_attempts(grant(world, "open", 0.3)) == []  # the request still waits for its quota owner
     world.run(S)
     for number in range(5):
         world.ask(f"b{number}", set_size=2)
         world.run(S)
     ((_, customer),) = world.gateway.customers.by_key.items()
     assert customer.in_flight == 3
-    (want,) = [want for want in world.gateway.budget_demands(world.now) if want.key.kind == "open"]
-    assert want.in_use == 3 and want.demand >= 3
+    (reported,) = [
+        reported for reported in world.gateway.budget_demands(world.now) if reported.key.kind == "open"
+    ]
+    assert reported.in_use == 3 and reported.demand >= 3
     world.now += 10 * S
-    assert not customer.refill(
-        world.now
-    ).has_in_flight_room()  # its lease is over; what is out ends by itself
-    both = World(replace(OPEN, leases_in_flight=False))
-    both.ask("a", set_size=17)  # without leases one is let out at each of 17 doors, of 10
-    ((_, alone),) = both.gateway.customers.by_key.items()
-    assert alone.has_in_flight_room()
+    # The lease has expired: requests in flight may end, and no new one is sent.
+    assert not customer.refill(world.now).has_in_flight_room()
+    not_leased = World(replace(LEASED_IN_FLIGHT, leases_in_flight=False))
+    # Without leases, each of 17 gateways may have one in flight, although the limit is 10 in all.
+    not_leased.ask("a", set_size=17)
+    ((_, customer),) = not_leased.gateway.customers.by_key.items()
+    assert customer.has_in_flight_room()
 
 
-def test_a_lease_that_ends_while_a_request_waits_lets_nothing_be_opened() -> None:
+def test_a_request_that_waits_is_rejected_if_the_in_flight_lease_expires() -> None:
     plan = Plan(rate=1000.0, burst=1000.0, max_in_flight=10)
     world = World(replace(LEASED, leases_in_flight=True, leases_quotas=True, plans=(plan,)))
     world.ask("a", set_size=2)
     grant(world, "quota", 0.9, units=100.0)
-    assert sent(grant(world, "open", 0.1, lasts_us=S // 10)) == ["a"]  # one, with the floor's half
+    # There is room for one request: 1 by the lease and 0.5 by the floor.
+    assert started_attempts(grant(world, "open", 0.1, duration_us=S // 10)) == ["a"]
     world.ask("b", set_size=2)
     world.run(S // 20)
-    world.answer("a")  # there is room for it now, and nobody looks before its time to wait is over
+    world.answer("a")  # makes room for "b", which is reconsidered only when its wait is over
     assert [action.id for action in of(RejectRequest, world.run(S))] == ["b"] and "b" not in world.tries
 
 
-def test_what_is_asked_for_is_the_demand_lately() -> None:
+def test_the_reported_demand_is_the_recent_rate_of_requested_units() -> None:
     world = gateway()
     for number in range(60):
         world.now += S // 10
         world.ask(f"r{number}", set_size=2)
-    (want,) = world.gateway.budget_demands(world.now)
-    assert want.demand == pytest.approx(10.0, rel=0.15)
+    (reported,) = world.gateway.budget_demands(world.now)
+    assert reported.demand == pytest.approx(10.0, rel=0.15)
     assert world.gateway.budget_demands(world.now + DEMAND_REPORTED_US) == []
 
 
-def test_requests_leave_by_the_granted_part() -> None:
+def test_queued_requests_are_sent_as_ceiling_units_are_granted() -> None:
     world = World(LEASED)
     for number in range(10):
         world.ask(f"r{number}")
-    assert world.gateway.overload.accepted_in_period == 0  # the floor's store starts empty
-    allow(world, 0.9, units=4.0)
+    assert world.gateway.overload.accepted_in_period == 0  # the share of the ceiling starts empty
+    grant_ceiling(world, 0.9, units=4.0)
     assert world.gateway.overload.accepted_in_period == 4
 
 
-def test_units_that_requests_wait_for_are_told_and_go_to_them_before_any_goes_back() -> None:
+def test_granted_units_are_used_by_queued_requests_before_any_are_returned() -> None:
     world = World(LEASED)
     for number in range(20):
         world.ask(f"r{number}")
-    (want,) = world.gateway.budget_demands(world.now)
-    held = len(world.gateway.queue)
-    assert held > 10 and want.needed == held  # its store starts empty
-    allow(world, 0.01, units=10.0)  # there is room for four of them; but more wait
-    assert world.gateway.overload.accepted_in_period == 10 and ceiling(world) == 0
+    (reported,) = world.gateway.budget_demands(world.now)
+    queued = len(world.gateway.queue)
+    assert queued > 10 and reported.needed == queued  # the share of the ceiling starts empty
+    grant_ceiling(world, 0.01, units=10.0)  # exceeds the capacity of this share, but more requests are queued
+    assert world.gateway.overload.accepted_in_period == 10 and ceiling_level(world) == 0
     ((_, customer),) = world.gateway.customers.by_key.items()
     assert customer.leased["ceiling"].returned == 0
-    (want,) = world.gateway.budget_demands(world.now)
-    assert want.needed == held - 10
+    (reported,) = world.gateway.budget_demands(world.now)
+    assert reported.needed == queued - 10
 
 
-FURTHER = replace(SETTINGS, gateway_count=4, retry_rate=8.0, retry_burst=40.0, max_attempts=5)
+LEASED_RETRIES = replace(SETTINGS, gateway_count=4, retry_rate=8.0, retry_burst=40.0, max_attempts=5)
 
 
-def failed(world: World, name: str) -> bool:
-    """A request whose attempt fails: whether a further one is begun."""
+def is_retried(world: World, name: str) -> bool:
+    """Send a request whose first attempt fails; whether it is retried."""
     world.ask(name, remaining_us=6 * S)
     return bool(of(StartAttempt, world.answer(name, AttemptResult.ERROR)))
 
 
-def test_further_attempts_of_all_gateways_live_on_what_was_granted_and_on_the_floor() -> None:
-    world = World(FURTHER)
-    assert not failed(world, "a")  # its store starts empty
-    (want,) = world.gateway.budget_demands(world.now)
-    assert want.key is None and want.demand > 0 and want.needed == 1
+def test_a_leased_retry_budget_allows_retries_by_granted_units_and_the_floor() -> None:
+    world = World(LEASED_RETRIES)
+    assert not is_retried(world, "a")  # the share of the budget starts empty
+    (reported,) = world.gateway.budget_demands(world.now)
+    assert reported.key is None and reported.demand > 0 and reported.needed == 1
     world.tell(BudgetGranted(None, 0.25, 2.0, world.now + 3 * S))
-    assert failed(world, "b") and failed(world, "c") and not failed(world, "d")
-    world.now += S // 2  # at 8 a second, a quarter and the floor's fortieth
-    assert failed(world, "e") and not failed(world, "f")
-    world.now += 100 * S  # the lease is over: the floor's share of the burst, one of forty
-    assert failed(world, "g") and not failed(world, "h")
+    assert is_retried(world, "b") and is_retried(world, "c") and not is_retried(world, "d")
+    world.now += S // 2  # refills at 8 units a second times the granted 1/4 and the floor's 1/40
+    assert is_retried(world, "e") and not is_retried(world, "f")
+    world.now += 100 * S  # the lease has expired: the floor's 1/40 of the burst of 40 units
+    assert is_retried(world, "g") and not is_retried(world, "h")
     assert world.gateway.budget_demands(world.now + DEMAND_REPORTED_US) == []
-    world.tell(
-        BudgetGranted(BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2), 0.5, 9.0, world.now + S)
-    )  # of another budget
-    assert not failed(world, "i")
+    other_budget = BudgetKey(BudgetKind.CEILING, 1, 0, 0, 2)
+    world.tell(BudgetGranted(other_budget, 0.5, 9.0, world.now + S))
+    assert not is_retried(world, "i")
 
 
-def test_without_a_budget_further_attempts_live_on_a_share_of_first_ones() -> None:
-    world = World(replace(FURTHER, retry_rate=0.0))
-    assert failed(world, "a") and world.gateway.budget_demands(world.now) == []
+def test_without_a_leased_budget_retries_are_a_share_of_first_attempts() -> None:
+    world = World(replace(LEASED_RETRIES, retry_rate=0.0))
+    assert is_retried(world, "a") and world.gateway.budget_demands(world.now) == []
     world.tell(BudgetGranted(None, 0.25, 2.0, world.now + 3 * S))
     assert world.gateway.retry_budget.leased is None
 
 
 @pytest.mark.parametrize(
-    "values, said",
+    "values, expected_error",
     [
         ([], None),
         (3, "expected an object"),
@@ -281,26 +290,31 @@
         ),
     ],
 )
-def test_what_is_wrong_with_the_part_on_budget_leases_is_one_line(values: object, said: str | None) -> None:
-    if said is None:
+def test_malformed_budget_lease_settings_raise_an_error_that_names_what_was_expected(
+    values: object, expected_error: str | None
+) -> None:
+    if expected_error is None:
         assert read_budget_leases(values) is None
         return
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=expected_error):
         read_budget_leases(values)
 
 
 @pytest.fixture(scope="module")
-def leases() -> Seen:
-    here = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
-    return play_once(load("leases"), 1, here, lambda text: None)
-
-
-def test_front_doors_serve_by_leases_while_doors_and_steward_die(leases: Seen) -> None:
-    """No ceiling is passed over all doors; what the floors hold alone would serve nobody of that plan."""
-    assert check(leases) == []
-    doors = {record["sides"][0] for record in leases.by["open"] if record["link"] == "doors-steward"}
-    assert doors == {f"doors-{number}" for number in range(6)}
-    assert {record["who"] for record in leases.by["died"]} >= {"steward-0"}
-    back = max(record["at"] for record in leases.by["started"] if record["who"] == "steward-0")
-    capped = [record["at"] for record in leases.by["came"] if record["plan"] == "institution"]
-    assert len(capped) > 50 and any(at > back + S for at in capped)
+def lease_run() -> Seen:
+    tree = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+    return play_once(load("leases"), 1, tree, lambda text: None)
+
+
+def test_gateways_serve_by_leases_while_gateways_and_the_lease_service_are_killed(lease_run: Seen) -> None:
+    """The fleet as a whole exceeds no ceiling; the floors alone would admit no request of that plan."""
+    assert check(lease_run) == []
+    gateways = {record["sides"][0] for record in lease_run.by["open"] if record["link"] == "doors-steward"}
+    assert gateways == {f"doors-{number}" for number in range(6)}
+    assert {record["who"] for record in lease_run.by["died"]} >= {"steward-0"}
+    restarted_at = max(record["at"] for record in lease_run.by["started"] if record["who"] == "steward-0")
+    arrivals_with_ceiling = [
+        record["at"] for record in lease_run.by["came"] if record["plan"] == "institution"
+    ]
+    assert len(arrivals_with_ceiling) > 50
+    assert any(at > restarted_at + S for at in arrivals_with_ceiling)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: the wire in, the wire out."""
+"""The simulator adapter as a process, and the codecs of its wire protocol."""
 
 import os
 import subprocess
@@ -65,23 +65,24 @@
     )
 
 
-def day(numbers: list[int]) -> str:
+def workload(numbers: list[int]) -> str:
+    """The input of a workload of 1.2 s, with requests to each of the instances in every batch."""
     text = batch(7, "".join(start(number, number + 10) for number in numbers))
     for step in range(1, 60):
         now = 7 + step * 20_000
-        bells = "".join(f"TARGET_INSTANCE {number}\nBELL 0\n" for number in numbers)
-        text += batch(now, bells + "".join(requests(now, number) for number in numbers))
+        timers = "".join(f"TARGET_INSTANCE {number}\nBELL 0\n" for number in numbers)
+        text += batch(now, timers + "".join(requests(now, number) for number in numbers))
     return text
 
 
 def actions_of(output: str, number: int) -> list[str]:
-    found, current = [], -1
+    actions, current = [], -1
     for line in output.splitlines():
         if line.startswith("CONTEXT "):
             current = int(line.split()[1])
         elif line != "FINISHED" and current == number:
-            found.append(line)
-    return found
+            actions.append(line)
+    return actions
 
 
 def test_empty_batches_and_end_of_input() -> None:
@@ -89,7 +90,7 @@
     assert (done.returncode, done.stdout, done.stderr) == (0, "FINISHED\nFINISHED\n", "")
 
 
-def test_request_is_sent_and_answered() -> None:
+def test_a_request_is_forwarded_to_a_listed_server() -> None:
     body = "TARGET_INSTANCE 0\nNEW_REQUEST rq_a 0 0 cust/x 900000 1 1 0 1\n"
     done = run(batch(5, start(0)) + batch(9, body))
     lines = done.stdout.splitlines()
@@ -97,22 +98,22 @@
     assert lines[3] == "CONTEXT 0" and lines[4].startswith("TRY rq_a 10.0.0.") and lines[-1] == "FINISHED"
 
 
-def test_same_output_under_other_hash_seeds_and_processes() -> None:
-    together, other = run(day([0, 1, 2]), "1"), run(day([0, 1, 2]), "2")
+def test_the_output_depends_neither_on_hash_seeds_nor_on_other_instances() -> None:
+    together, other = run(workload([0, 1, 2]), "1"), run(workload([0, 1, 2]), "2")
     assert together.stdout == other.stdout
     for number in (0, 1, 2):
-        alone = actions_of(run(day([number])).stdout, number)
-        assert alone and alone == actions_of(together.stdout, number)
+        separate = actions_of(run(workload([number])).stdout, number)
+        assert separate and separate == actions_of(together.stdout, number)
 
 
-def test_kill_and_start_in_one_batch_and_reused_sheet() -> None:
+def test_an_instance_is_replaced_within_a_batch_and_a_server_list_number_is_reused() -> None:
     other = "SHEET 0 1\nM 10.0.0.9:5000 0 0 0 U 1 -\nUPDATE snapshot 42 0\n"
     body = f"TARGET_INSTANCE 0\nKILLED\n{start(0)}{other}NEW_REQUEST rq_a 0 0 cust/x 900000 1 3 0\n"
     done = run(batch(5, start(0)) + batch(9, body))
     assert "TRY rq_a 10.0.0.9:5000" in done.stdout
 
 
-def test_report_values_go_by_name() -> None:
+def test_values_of_a_load_report_are_read_by_their_names() -> None:
     host = Host()
     for line in (start(0) + "NEW_REQUEST rq_a 0 0 c 900000 1 1 0 -").splitlines():
         name, *parts = line.split(" ")
@@ -124,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "word"),
+    ("text", "line", "expected_text"),
     [
         ("HELLO\n", 1, "MARK"),
         ("MARK x\n", 1, "invalid"),
@@ -138,21 +139,22 @@
         ("MARK 1\n", 1, "within a batch"),
     ],
 )
-def test_malformed_input_is_one_plain_line(text: str, line: int, word: str) -> None:
+def test_malformed_input_ends_the_process_with_one_line(text: str, line: int, expected_text: str) -> None:
     done = run(batch(0) + text)
     assert done.returncode != 0
     assert done.stdout == "FINISHED\n"
-    assert done.stderr.startswith(f"simulator_adapter: line {line + 2}: ") and word in done.stderr
+    assert done.stderr.startswith(f"simulator_adapter: line {line + 2}: ")
+    assert expected_text in done.stderr
     assert done.stderr.count("\n") == 1
 
 
-def test_exception_in_the_module_is_reported() -> None:
+def test_an_exception_in_a_policy_engine_is_reported_in_the_reply() -> None:
     body = "TARGET_INSTANCE 0\nNEW_REQUEST rq_a 9 0 cust/x 900000 1 1 0\n"
     done = run(batch(5, start(0)) + batch(9, body))
     assert "CONTEXT 0\nFAULT IndexError" in done.stdout and done.stdout.endswith("FINISHED\n")
 
 
-def test_every_action_has_its_line() -> None:
+def test_each_action_is_formatted_as_its_line() -> None:
     actions = [
         (CancelAttempt("a", 1), "CANCEL a 1"),
         (RejectRequest("a", 5), "TURN_AWAY a 5"),
@@ -172,37 +174,39 @@
     assert [write_action(action) for action, _ in actions] == [line for _, line in actions]
 
 
-def test_datagrams_come_back_as_they_went() -> None:
-    words = tuple(QuotaMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
+def test_decoded_datagrams_equal_what_was_encoded() -> None:
+    messages = tuple(QuotaMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
     digest = HealthDigest(300, 0.5, 999, tuple(ServerObservation(n, 0.25, 3, 1) for n in range(60)))
-    datagrams = pack_datagrams(words, digest)
+    datagrams = pack_datagrams(messages, digest)
     assert len(datagrams) > 1 and max(map(len, datagrams)) <= MAX_DATAGRAM_BYTES == 256
-    got = [unpack_datagram(data) for data in datagrams]
-    assert sum((datagram.quota_messages for datagram in got), ()) == words
-    assert [datagram.digest is None for datagram in got] == [False] + [True] * (len(got) - 1)
+    decoded = [unpack_datagram(data) for data in datagrams]
+    assert sum((datagram.quota_messages for datagram in decoded), ()) == messages
+    assert [datagram.digest is None for datagram in decoded] == [False] + [True] * (len(decoded) - 1)
     (data,) = pack_datagrams((), digest)
-    alone = unpack_datagram(data).digest  # alone, more of the observations find room
-    assert (alone.serial, alone.occupancy, alone.samples) == (300 & 255, 0.5, 255)
+    digest_alone = unpack_datagram(data).digest  # without messages there is room for more observations
+    assert (digest_alone.serial, digest_alone.occupancy, digest_alone.samples) == (300 & 255, 0.5, 255)
     assert (
-        alone.observations == digest.observations[: len(alone.observations)] and len(alone.observations) > 40
+        digest_alone.observations == digest.observations[: len(digest_alone.observations)]
+        and len(digest_alone.observations) > 40
     )
     (data,) = pack_datagrams([QuotaMessage(1, 0, 0, 2, level=1e9)])
     assert unpack_datagram(data).quota_messages[0].level == 32767 / 50
 
 
-def test_datagram_of_another_form_is_none() -> None:
+def test_a_datagram_of_another_length_is_not_decoded() -> None:
     (data,) = pack_datagrams(
         (QuotaMessage(1, 0, 0, 2),), HealthDigest(1, 0.5, 3, (ServerObservation(7, 0.25, 3, 1),))
     )
     assert unpack_datagram(data)
-    torn = [data[:end] for end in range(len(data))]
-    complete = [end for end, start_of_data in enumerate(torn) if unpack_datagram(start_of_data)]
-    assert complete == [19, 22]  # the quota message alone, and with a digest that has no observation
+    truncated = [data[:length] for length in range(len(data))]
+    decoded_lengths = [length for length, prefix in enumerate(truncated) if unpack_datagram(prefix)]
+    # The quota message alone, and with a digest that has no observation.
+    assert decoded_lengths == [19, 22]
     assert unpack_datagram(data + b"x") is None and unpack_datagram(b"\xff") is None
 
 
-def test_load_report_out_of_range_says_nothing() -> None:
-    """Not an error: the wire may carry what no server can mean."""
+def test_a_load_report_value_out_of_range_counts_as_not_reported() -> None:
+    """A value that no server can have is not an error, as the wire may carry it."""
     assert read_load_report([("util", "7"), ("queue", "3")]) == LoadReport(queue=3.0)
     with pytest.raises(ValueError, match="nan"):
         read_load_report([("util", "nan")])
