--- a/thistletrail/policy/health_gossip.py
+++ b/thistletrail/policy/health_gossip.py
@@ -19,7 +19,7 @@
 # overload takes to build up.
 DIGEST_SPAN_US = 600_000
 
-# A sender's last digest and its in-flight counts are kept for this long. It is well below the time after
+# A sender's last digest and its in-flight counts are retained for this long. It is well below the time after
 # which serial numbers repeat (SERIAL_COUNT spans), so that a repeated number within it marks a duplicate.
 DIGEST_FRESH_US = 2_000_000
 
--- a/thistletrail/policy/overload_control.py
+++ b/thistletrail/policy/overload_control.py
@@ -22,7 +22,8 @@
 from thistletrail.policy.traffic_estimates import TrafficEstimates
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
-# The control period is extended until it has this many first attempts, so that N can change in small steps.
+# A control period is as long as it takes for this many first attempts, from one scaled second to the maximum,
+# so that N can change in small steps.
 TARGET_ATTEMPTS_PER_PERIOD = 10
 MAX_PERIOD_SCALED_S = 2
 
@@ -36,11 +37,11 @@
 # The paper's min_fraction_calls: a period that accepts a smaller fraction of N is one of low use.
 MIN_FRACTION_CALLS = 0.75
 
-# N as the control engages: first attempts in a scaled second to each fully warmed-up server, over all
+# N when the control engages: first attempts a scaled second for each server at full capacity, over all
 # gateways.
 INITIAL_LIMIT_PER_SERVER = 8
 
-# Attempts in flight to each fully warmed-up server, over all gateways. The bound holds whatever N is.
+# Attempts in flight for each server at full capacity, over all gateways. The bound applies whatever N is.
 IN_FLIGHT_PER_SERVER = 5
 MIN_IN_FLIGHT = 2  # Attempts that one gateway may always have in flight.
 
@@ -55,8 +56,8 @@
     min_occup: float
 
 
-# The targets of utilization are below full use, as servers report their busy cores with a delay. Those of
-# latency are far below the objective: at a mean of half the objective, the slowest answers already miss it.
+# The targets of utilization are below 1, as servers report their busy cores with a delay. Those of latency
+# are far below 1, as latencies with a mean of half the objective have a tail of much slower answers.
 UTILIZATION_TARGETS = OccupancyTargets(0.92, 0.97, 0.75)
 LATENCY_TARGETS = OccupancyTargets(0.5, 0.7, 0.35)
 
@@ -87,7 +88,7 @@
         self.accepted_in_period = 0
         self.in_flight = 0
 
-        self.capacity = 0.0  # in fully warmed-up servers
+        self.capacity = 0.0  # in servers at full capacity
         self.capacity_at_update = 0.0  # the capacity when N was last updated
         self.utilization_samples: list[float] = []
         self.latency_samples: list[float] = []
@@ -160,7 +161,7 @@
         return self.context.now_us - self.period_start_us >= self.control_period_us
 
     def begin_next_period(self) -> None:
-        """Start the next period where this one ends; `end_period` evaluates the one that has ended."""
+        """Move on to the next period; `end_period` then evaluates the one that is over."""
         self.period_start_us += self.control_period_us
 
     def end_period(self) -> None:
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -17,7 +17,7 @@
 # The quota owner's figures apply for this long after its answer.
 OWNER_ANSWER_FRESH_US = MICROSECONDS_PER_SECOND
 
-# The minimum time for which an idle customer is kept in memory.
+# The minimum time for which an idle customer is retained.
 MIN_RETENTION_US = 10 * MICROSECONDS_PER_SECOND
 
 # Shares of a customer's ceiling: the first is split evenly over its gateways. The second is reserved at its
--- a/thistletrail/policy/quota_admission.py
+++ b/thistletrail/policy/quota_admission.py
@@ -113,7 +113,10 @@
         self.waiting.append(request)
 
     def decide(self, request: PendingRequest, chance: float, basis: QuotaBasis) -> None:
-        """Admit the request with that probability, or else only where a request beyond the quota pays."""
+        """Admit the request with the probability `chance`, and otherwise reject it.
+
+        A request that is beyond the quota is still admitted where `admits_over_quota` allows it.
+        """
         customer = request.customer
         units = request.arrival.units
         request.is_in_quota = self.draws.random() < chance
--- a/thistletrail/policy/quota_exchange.py
+++ b/thistletrail/policy/quota_exchange.py
@@ -12,7 +12,7 @@
 
 SILENCE_THRESHOLD_US = 500_000  # A peer is silent after this long without any message since a request.
 SILENT_PEER_RETRY_US = 300_000  # The interval between requests to a silent peer.
-MAX_MESSAGE_SPACING_US = 80_000  # Upper bound of the interval that is kept between messages to one peer.
+MAX_MESSAGE_SPACING_US = 80_000  # The maximum of the minimum interval between messages to one peer.
 
 
 class QuotaExchange:
@@ -31,7 +31,7 @@
         self.gossip = gossip
         self.incarnations = incarnations
         self.gateway_index = settings.gateway_index
-        # With this interval, all peers together take half of a gateway's message intake.
+        # With this interval, all peers of a small fleet together take half of a gateway's message intake.
         half_intake_spacing_us = (
             2 * MICROSECONDS_PER_SECOND * (settings.gateway_count - 1) / max(1, settings.peer_messages_per_s)
         )
