--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -918,9 +918,9 @@
     job_refused = []
     world.ask("held")
     job = world.gateway.requests_by_id["held"]
-    assert not world.gateway.expiry.give_up_if_late(job, 2.0)
+    assert not world.gateway.expiry.expire_if_too_late(job, 2.0)
     world.gateway.context.actions = job_refused
-    assert world.gateway.expiry.give_up_if_late(job, 2.0, 5.0 * S)
+    assert world.gateway.expiry.expire_if_too_late(job, 2.0, 5.0 * S)
     assert of(RejectRequest, job_refused) == [RejectRequest("held", 300 * MS)]
 
 
@@ -934,7 +934,9 @@
         lambda self, one: asked.append(one.entry.name) or traffic_fraction(self, one),
     )
     monkeypatch.setattr(
-        ServerSelector, "drops_repeats", lambda self, job, first, one: asked.append(one.entry.name) or True
+        ServerSelector,
+        "recognises_repeat",
+        lambda self, job, first, one: asked.append(one.entry.name) or True,
     )
     fleet = [*servers(200, started_us=80 * S), *[replace(servers(1)[0], name="cold", started_us=99 * S)]]
     world = World(fleet=fleet)
@@ -1045,7 +1047,7 @@
     waits = RetryDetector()
     for number in range(5000):
         waits.record(number * 7919 % 6_000_000)
-    assert len(waits.counts) <= 121 and waits.seen <= 400
+    assert len(waits.counts) <= 121 and waits.total_count <= 400
     for _ in range(400):
         waits.record(2 * S)
     assert waits.is_common(2 * S) and not waits.is_common(4 * S)
--- a/thistletrail/policy/__init__.py
+++ b/thistletrail/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a quota-keeping gateway, pure: events in, actions out."""
+"""The decisions of a gateway as a deterministic state machine without I/O: events in, actions out."""
--- a/thistletrail/policy/actions.py
+++ b/thistletrail/policy/actions.py
@@ -1,4 +1,7 @@
-"""What the decisions ask for: each action is carried out by whoever hosts them, in the order given."""
+"""The actions that the policy engine returns; the host process carries them out in the order given.
+
+Times are whole microseconds.
+"""
 
 from dataclasses import dataclass
 
@@ -7,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt of a request at a server; a time-out of 0 lasts until the client gives up."""
+    """Start an attempt of a request at a server.
+
+    The attempt times out after `timeout_us`; 0 means at the time at which its client stops waiting.
+    """
 
     id: str
     server: str
@@ -16,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; attempts of a request are numbered from 0."""
+    """Cancel an attempt in flight; the attempts of a request are numbered from 0."""
 
     id: str
     attempt: int
@@ -24,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not taken, and trying again is harmless, at best after `retry_after_us`."""
+    """Reject a request as its final answer.
+
+    The client may safely send it again, preferably after `retry_after_us`; 0 means that no time is advised.
+    """
 
     id: str
     retry_after_us: int = 0
@@ -32,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about effects."""
+    """Fail a request as its final answer; it may have run, and the client must not assume either way."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver a TimerFired with this token after a delay; it replaces an earlier timer of the same token."""
+    """Deliver a TimerFired with `token` after `delay_us`; it replaces an earlier timer of the same token."""
 
     delay_us: int
     token: int
@@ -47,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeServer:
-    """Check whether a server answers."""
+    """Probe whether a server answers; a ProbeEnded reports the result."""
 
     server: str
 
@@ -61,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send quota messages to one peer, and with them what was observed of the servers."""
+    """Send quota messages to a peer, together with a health digest; None sends no digest.
+
+    `peer` is the peer's gateway index.
+    """
 
     peer: int
     quota_messages: tuple[QuotaMessage, ...]
@@ -70,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number that the shared counter keeps."""
+    """Add `amount` to the shared counter of that name, which expires after `lifetime_us`."""
 
     name: int
     amount: float
@@ -79,19 +91,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Follow the changes of the endpoint list, or stop."""
+    """Start (`enabled`) or stop a watch on the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Request the complete endpoint list once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write a line for those on call."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/thistletrail/policy/admission_queue.py
+++ b/thistletrail/policy/admission_queue.py
@@ -1,4 +1,4 @@
-"""Admitted requests that wait to be sent, the highest priority first."""
+"""The queue of admitted requests that wait to be sent, highest priority first."""
 
 import itertools
 from bisect import insort
@@ -9,7 +9,7 @@
 
 
 class QueueEntry(NamedTuple):
-    """A queued request with its sort key: priority from high to low, then arrival in the queue."""
+    """A queued request with its sort key: descending priority, then the order of arrival in the queue."""
 
     negated_priority: float
     arrival_number: int
@@ -17,7 +17,7 @@
 
 
 class AdmissionQueue:
-    """The queued requests in the order in which they are to leave."""
+    """The queued requests in the order in which they are to be sent."""
 
     def __init__(self) -> None:
         self.entries: list[QueueEntry] = []
@@ -30,15 +30,15 @@
         return (entry.request for entry in self.entries)
 
     def add(self, request: PendingRequest) -> None:
-        """Queue a request by its priority, behind those of the same one."""
+        """Queue a request by its priority, behind requests of equal priority."""
         insort(self.entries, QueueEntry(-request.priority, next(self.arrival_numbers), request))
 
     def take_all(self) -> list[QueueEntry]:
-        """Empty the queue; its entries in order, of which some may be put back."""
+        """Empty the queue and return its entries in order; the caller puts back those that are not sent."""
         entries = self.entries
         self.entries = []
         return entries
 
     def put_back(self, entry: QueueEntry) -> None:
-        """Return an entry that was taken; entries come back in the order in which they were taken."""
+        """Put back an entry from `take_all`; entries must be put back in the order that they had there."""
         self.entries.append(entry)
--- a/thistletrail/policy/attempt_outcomes.py
+++ b/thistletrail/policy/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What is learned from an attempt's end: latency, health of the server, occupancy."""
+"""Records the outcomes of attempts: latency, the health of servers, and occupancy."""
 
 from thistletrail.policy.event_context import EventContext
 from thistletrail.policy.events import AttemptEnded, AttemptResult, HealthDigest, LoadReport
@@ -11,16 +11,16 @@
 from thistletrail.policy.traffic_estimates import LATENCY_SMOOTHING, TrafficEstimates
 from thistletrail.policy.upstream_server import UpstreamServer
 
-AT_CAPACITY_AVOID_US = 300_000  # a server that rejected a request is full for about a service time
-# Bounds on a latency over its class's mean: one outlier counts for little.
+AT_CAPACITY_AVOID_US = 300_000  # a server that rejected a request stays full for about a service time
+# Bounds on one sample of latency over the class's mean, so that a single outlier counts for little.
 MIN_SLOWNESS_SAMPLE = 0.25
 MAX_SLOWNESS_SAMPLE = 4.0
-BROKEN_ANSWERS = (AttemptResult.MALFORMED, AttemptResult.RESET)
-SAY_NOTHING = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.OWNED_ELSEWHERE)
+BROKEN_ANSWER_RESULTS = (AttemptResult.MALFORMED, AttemptResult.RESET)
+NO_HEALTH_SIGNAL_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.OWNED_ELSEWHERE)
 
 
 class OutcomeRecorder:
-    """Passes the outcomes of attempts, here and at peers, to the components that decide by them."""
+    """Passes the outcomes of attempts, here and at peers, to the components that use them."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         self.is_small_fleet = is_small_fleet(settings)
 
     def record(self, request: PendingRequest, server: UpstreamServer, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt."""
+        """Record the result, the latency and the load report of an attempt that ended."""
         if event.report:
             self.record_report(server, event.report)
-        # A time-out on a server that has answered others since is a matter of the request.
+        # A time-out on a server that answered other requests meanwhile is caused by the request.
         is_slow_request = (
             event.result is AttemptResult.TIMEOUT
             and server.last_success_us >= self.context.now_us - event.latency_us
@@ -63,7 +63,11 @@
             self.record_health(server, event)
 
     def record_report(self, server: UpstreamServer, report: LoadReport) -> None:
-        """Busy cores are the occupancy signal; counts only rank servers."""
+        """Record a server's load report.
+
+        Utilization is the occupancy signal of overload control. The first figure present of utilization,
+        requests in flight and queue length serves to compare servers.
+        """
         if report.util is not None:
             self.overload.record_utilization(report.util)
         for load in (report.util, report.inflight, report.queue):
@@ -72,7 +76,7 @@
                 return
 
     def record_success(self, request: PendingRequest, server: UpstreamServer, event: AttemptEnded) -> None:
-        """Learn from an answer: how slow the server is, and what the request has used of its quota."""
+        """Record the latency of a successful attempt, and settle the units that the request really used."""
         server.last_success_us = self.context.now_us
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
         slowness = event.latency_us / max(1.0, mean_us)
@@ -83,26 +87,26 @@
             request.customer.settle(event.true_units - request.arrival.units)
 
     def record_health(self, server: UpstreamServer, event: AttemptEnded) -> None:
-        """Learn whether the server is well."""
+        """Update outlier detection and health gossip by the result of an attempt."""
         now_us = self.context.now_us
         name = server.entry.name
         if event.result is AttemptResult.AT_CAPACITY:
             server.avoid_until_us = max(server.avoid_until_us, now_us + AT_CAPACITY_AVOID_US)
-            if not self.is_small_fleet:  # as one that drains, while the endpoint list is late
+            if not self.is_small_fleet:  # it may be draining already while the endpoint list lags behind
                 self.gossip.record_failure(name, now_us, True)
-        elif event.result in BROKEN_ANSWERS:
+        elif event.result in BROKEN_ANSWER_RESULTS:
             self.outliers.record_broken_answer(server)
         elif event.result is AttemptResult.OK:
             self.outliers.record_success(server, now_us - event.latency_us)
-        elif event.result not in SAY_NOTHING:
+        elif event.result not in NO_HEALTH_SIGNAL_RESULTS:
             self.gossip.record_failure(name, now_us, event.result is AttemptResult.CONNECT_FAILED)
             self.outliers.record_failure(server)
 
     def record_digest(self, digest: HealthDigest) -> None:
-        """What a peer observed counts as if it had been observed here, its failures in part."""
+        """Record what a peer observed as if it had been observed here; its failures have a lower weight."""
         self.overload.record_peer_occupancy(digest.occupancy, digest.samples)
         for observation in digest.observations:
-            server = self.servers.with_fingerprint(observation.server)
+            server = self.servers.find_by_fingerprint(observation.server)
             if server is None:
                 continue
             successes = observation.successes
--- a/thistletrail/policy/dispatcher.py
+++ b/thistletrail/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends requests on: those of the queue that may leave, and the attempts of each."""
+"""Dispatch of queued requests, and the start of each of their attempts."""
 
 from thistletrail.policy.actions import StartAttempt
 from thistletrail.policy.admission_queue import AdmissionQueue
@@ -14,7 +14,7 @@
 
 
 class Dispatcher:
-    """Starts attempts, as far as overload control, ceilings and servers allow."""
+    """Starts attempts as overload control, ceilings and available servers allow."""
 
     def __init__(
         self,
@@ -37,23 +37,25 @@
         self.max_attempts = settings.max_attempts
 
     def dispatch_queued(self) -> None:
-        """Send what may leave the queue now, by priority; the rest stays queued."""
+        """Send the queued requests that may be sent now, by priority; the others stay queued."""
         if not self.overload.may_send() or not self.queue:
             return
-        is_blocked = False  # for all first attempts that follow
+        are_first_attempts_blocked = False
         for entry in self.queue.take_all():
             request = entry.request
             can_leave = not request.is_finished and (
                 bool(request.attempted_servers)
-                or (not is_blocked and request.is_under_ceiling(self.context.now_us))
+                or (not are_first_attempts_blocked and request.is_under_ceiling(self.context.now_us))
             )
             server = self.selector.choose(request) if can_leave else None
             if server:
                 self.start_attempt(request, server)
             elif not request.is_finished:
                 self.queue.put_back(entry)
-            # Where no server takes one request there is no need to look on.
-            is_blocked = is_blocked or not self.overload.may_send() or (can_leave and server is None)
+            # If no server can take one request, the first attempts behind it are not tried either.
+            are_first_attempts_blocked = (
+                are_first_attempts_blocked or not self.overload.may_send() or (can_leave and server is None)
+            )
 
     def start_attempt(self, request: PendingRequest, server: UpstreamServer) -> None:
         """Send the request's next attempt to a server."""
@@ -74,20 +76,24 @@
         self.context.emit(StartAttempt(request.arrival.id, server.entry.name, timeout_us))
 
     def count_first_attempt(self, request: PendingRequest) -> None:
-        """A request leaves: it counts in its customer's ceiling, and earns a part of a retry."""
+        """Count a first attempt in the retry budget, and in the ceiling unless the quota owner granted it."""
         self.retry_budget.record_first_attempt()
         if self.context.now_us >= request.ceiling_granted_until_us:
             request.customer.use_ceiling(request.arrival.units)
 
     def attempt_timeout_us(self, request: PendingRequest) -> int:
-        """How long to wait: a repeatable attempt ends while another can still meet the objective."""
+        """Return how long the next attempt may take, in us.
+
+        An attempt that may be retried times out early enough for another one to meet the latency objective.
+        The last possible attempt may take until the deadline.
+        """
         remaining_us = request.deadline_at_us - self.context.now_us
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
-        early_us = round(request.objective_at_us - self.context.now_us - 2 * mean_us)
-        is_last = (
+        early_timeout_us = round(request.objective_at_us - self.context.now_us - 2 * mean_us)
+        is_last_attempt = (
             request.request_class.effect is Effect.UNSAFE
             or len(request.attempted_servers) >= self.max_attempts
         )
-        if is_last or early_us < 2 * mean_us:
+        if is_last_attempt or early_timeout_us < 2 * mean_us:
             return max(1, remaining_us)
-        return max(1, min(remaining_us, early_us))
+        return max(1, min(remaining_us, early_timeout_us))
--- a/thistletrail/policy/engine.py
+++ b/thistletrail/policy/engine.py
@@ -1,7 +1,8 @@
-"""The decisions of one gateway: events in, actions out.
+"""The policy engine of one gateway: it takes events and returns the actions to carry out.
 
-Here they are wired, events are dispatched, and the wake-up timer is set; each rule is in the module of its
-concern. Events, actions and settings are in `events.py`, `actions.py` and `settings.py`.
+This module creates and connects the components, dispatches events to them, and sets the wake-up timer. Each
+rule is in the module of its concern. Events, actions and settings are in `events.py`, `actions.py` and
+`settings.py`.
 """
 
 import random
@@ -53,14 +54,14 @@
 from thistletrail.policy.upstream_server import UpstreamServer
 
 GOSSIP_SERIAL_BITS = 8
-WAKE_UP_TOKEN = 0  # of the one timer that the engine sets
+WAKE_UP_TIMER_TOKEN = 0  # the engine sets only one timer
 
 
 class PolicyEngine:
-    """One gateway: `handle` takes an event and gives the actions to carry out, in order.
+    """The decisions of one gateway: `handle` takes an event and returns the actions to carry out, in order.
 
-    It has no clock and does no I/O: the same events at the same times, with the same settings, give the same
-    actions. `observer` is called with the basis of decisions.
+    The engine has no clock and does no I/O: the same events at the same times, with the same settings, give
+    the same actions. `observer` is called with the basis of each decision; None observes nothing.
     """
 
     def __init__(self, settings: Settings, observer: DecisionObserver | None = None) -> None:
@@ -68,11 +69,11 @@
         self.observer = observer or NoObserver()
         self.context = EventContext()
         self.wake_up_us = NEVER_US
-        # All random draws come from this generator: the order of draws decides what a run does.
-        self.draws = random.Random(settings.seed)
-        first_serial = self.draws.getrandbits(GOSSIP_SERIAL_BITS)
+        # All components share this generator, so the order of their draws determines the course of a run.
+        self.generator = random.Random(settings.seed)
+        first_serial = self.generator.getrandbits(GOSSIP_SERIAL_BITS)
         self.gossip = HealthGossip(settings.gateway_count - 1, first_serial)
-        self.incarnations = Incarnations(self.draws)
+        self.incarnations = Incarnations(self.generator)
         self.wire_load()
         self.wire_requests()
         self.wire_peers()
@@ -90,16 +91,16 @@
         }
 
     def wire_load(self) -> None:
-        """The servers, and how much may be sent to them."""
+        """Create the components that track the servers and limit the load that is sent to them."""
         settings = self.settings
         context = self.context
         self.traffic = TrafficEstimates(settings)
         self.servers = ServerSet(settings, context)
         self.pending = PendingRequests(settings, context, self.observer)
         self.outliers = OutlierDetector(settings, context, self.servers)
-        self.slow_start = SlowStart(settings, context, self.servers, self.traffic, self.draws)
+        self.slow_start = SlowStart(settings, context, self.servers, self.traffic, self.generator)
         self.selector = ServerSelector(
-            settings, context, self.servers, self.slow_start, self.gossip, self.draws
+            settings, context, self.servers, self.slow_start, self.gossip, self.generator
         )
         self.overload = OverloadController(settings, context, self.traffic, self.slow_start, self.pending)
         self.outcomes = OutcomeRecorder(
@@ -107,7 +108,7 @@
         )
 
     def wire_requests(self) -> None:
-        """The requests, and the quotas of those who send them."""
+        """Create the components that queue requests and check customers' quotas."""
         settings = self.settings
         context = self.context
         self.queue = AdmissionQueue()
@@ -127,7 +128,7 @@
         self.admission = QuotaAdmission(
             settings,
             context,
-            self.draws,
+            self.generator,
             self.observer,
             self.pending,
             self.queue,
@@ -139,13 +140,13 @@
         self.wire_lifecycle()
 
     def wire_lifecycle(self) -> None:
-        """A request's way through all of these."""
+        """Create the components that take each request from its arrival to its final answer."""
         settings = self.settings
         context = self.context
         self.expiry = RequestExpiry(
             settings,
             context,
-            self.draws,
+            self.generator,
             self.observer,
             self.pending,
             self.admission,
@@ -172,7 +173,7 @@
         )
 
     def wire_peers(self) -> None:
-        """What comes from peers, the lease service and predecessors."""
+        """Create the components that handle quota messages, leases and snapshots."""
         settings = self.settings
         context = self.context
         self.quota_receiver = QuotaReceiver(
@@ -185,11 +186,14 @@
             settings, context, self.servers, self.customers, self.overload, self.incarnations
         )
 
-    # --- what hosts use ---
+    # --- interface for the host process ---
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """The actions to carry out, in order, for an event at `now_us`; times never go back."""
-        self.context.begin(now_us)
+        """Return the actions to carry out, in order, for an event at `now_us`.
+
+        `now_us` must not decrease from one call to the next. An event of an unknown type is ignored.
+        """
+        self.context.begin_event(now_us)
         if not self.overload.has_started:
             self.start()
         if handler := self.handlers.get(type(event)):
@@ -199,43 +203,43 @@
         return self.context.actions
 
     def snapshot(self) -> PolicySnapshot:
-        """What to store for the next start of this process."""
+        """Return the state to store for the next start of this process."""
         return self.snapshots.collect()
 
     def budget_demands(self, now_us: int) -> list[BudgetDemand]:
-        """What this gateway needs of the budgets that the lease service divides."""
+        """Return this gateway's demand for each budget that the lease service divides."""
         return self.leases.demands(now_us)
 
     @property
     def servers_by_name(self) -> Mapping[str, UpstreamServer]:
-        """The servers of the endpoint list that are known here."""
+        """The servers of the endpoint list, by name."""
         return self.servers.by_name
 
     @property
     def requests_by_id(self) -> Mapping[str, PendingRequest]:
-        """The requests that are not over: owed an answer, or with an attempt in flight."""
+        """The requests, by id, that have no final answer yet or still have an attempt in flight."""
         return self.pending.by_id
 
     # --- events that concern several components ---
 
     def start(self) -> None:
-        """The first event has come."""
+        """Start the components that count time from the first event."""
         self.overload.start()
         self.customers.start()
         self.retry_budget.start()
 
     def on_request(self, arrival: RequestArrived) -> None:
-        """A client's request has come."""
+        """Handle a client's request."""
         self.incarnations.note_first_request(self.context.now_us)
         self.lifecycle.on_arrival(arrival)
 
     def on_endpoint_update(self, update: EndpointUpdate) -> None:
-        """The endpoint list has changed."""
+        """Apply a change of the endpoint list."""
         self.servers.update(update)
         self.overload.refresh_capacity()
 
     def on_peer_message(self, message: PeerMessageReceived) -> None:
-        """A peer has sent what it observed of the servers, and messages on quotas."""
+        """Handle a peer's health digest and quota messages; a digest that was received before is ignored."""
         now_us = self.context.now_us
         self.incarnations.note_first_request(now_us)
         self.exchange.record_message_from(message.sender)
@@ -245,13 +249,13 @@
             self.quota_receiver.receive(message.sender, quota_message)
 
     def on_snapshot(self, event: SnapshotFound) -> None:
-        """A predecessor has left a snapshot."""
+        """Restore the snapshot of the previous process, and log the result."""
         self.context.emit(WriteLog(self.snapshots.restore(event)))
 
     # --- the wake-up timer ---
 
     def on_timer(self, _: TimerFired) -> None:
-        """End the control periods that are over, and look after what waits."""
+        """End the control periods that are over, then process queued and waiting requests."""
         if self.context.now_us < self.wake_up_us:
             return
         self.wake_up_us = NEVER_US
@@ -260,20 +264,20 @@
         self.lifecycle.on_tick()
 
     def end_period(self) -> None:
-        """A control period is over: running means, idle state and N move on."""
+        """End a control period: update running means and N, and forget idle customers and stale digests."""
         overload = self.overload
         overload.begin_next_period()
-        self.servers.drift_towards_mean()
+        self.servers.decay_towards_mean()
         self.traffic.end_period(
             overload.accepted_in_period, overload.admission_limit, overload.control_period_us
         )
-        self.retry_budget.report_refused()
+        self.retry_budget.log_refused()
         self.gossip.forget_stale(self.context.now_us)
         self.customers.forget_idle()
         overload.end_period()
 
     def set_wake_up(self) -> None:
-        """Wake up at the next tick; an idle gateway does so only to end its periods."""
+        """Set the timer to the next tick, or to the end of the control period while the gateway is idle."""
         now_us = self.context.now_us
         is_busy = bool(self.queue or self.exchange.outgoing or self.pending.by_id)
         due_us = now_us + TICK_US
@@ -281,4 +285,4 @@
             due_us = max(due_us, self.overload.period_end_us)
         if due_us < self.wake_up_us:
             self.wake_up_us = due_us
-            self.context.emit(SetTimer(due_us - now_us, WAKE_UP_TOKEN))
+            self.context.emit(SetTimer(due_us - now_us, WAKE_UP_TIMER_TOKEN))
--- a/thistletrail/policy/events.py
+++ b/thistletrail/policy/events.py
@@ -1,7 +1,8 @@
-"""What comes in to a gateway's decisions.
+"""The events that the policy engine handles.
 
-All times are whole microseconds. Each event is handed to the decisions with the time at which it came, and
-they answer with the actions to carry out, in order.
+Times are whole microseconds, and their names end in `_us`; amounts of quota are in units. The host process
+passes each event to the engine with the time at which it arrived, and carries out the actions that the engine
+returns.
 """
 
 from dataclasses import dataclass
@@ -10,7 +11,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt, a probe or a call of the shared counter ended."""
+    """The result of an attempt, a probe or a call of the shared counter."""
 
     OK = "ok"
     ERROR = "error"
@@ -18,23 +19,22 @@
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    MALFORMED = "spoilt"  # the answer cannot be read: the request ran
+    MALFORMED = "spoilt"  # the answer cannot be parsed, so the request has run
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    OWNED_ELSEWHERE = (
-        "elsewhere"  # not sent: another gateway has the same work, or had it and kept its outcome
-    )
+    OWNED_ELSEWHERE = "elsewhere"  # not sent, as another gateway owns the same work item or has its outcome
 
 
-# Results after which the request never came complete to a server, and after which it has surely not run.
+# Results after which no complete request reached a server.
 NOT_SENT_RESULTS = frozenset(
     {AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT, AttemptResult.OWNED_ELSEWHERE}
 )
+# Results after which the request has certainly not run.
 NEVER_RAN_RESULTS = NOT_SENT_RESULTS | {AttemptResult.AT_CAPACITY}
 
 
 class ServerState(Enum):
-    """What the endpoint list says of a server."""
+    """The state of a server in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -42,17 +42,26 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """The contents of an update of the endpoint list."""
 
     FULL = "full"
-    CACHED = "saved"  # the complete list as it was before this process started: it may be old
+    CACHED = "saved"  # the complete list from before this process started, which may be out of date
     CHANGES = "changes"
-    FAILED = "failed"  # no list: a call of discovery has failed
+    FAILED = "failed"  # no list, as a call of discovery failed
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server reports of itself; None where it reports nothing. `util` is busy cores over all cores."""
+    """A server's report of its own load; a field is None if the server does not report it.
+
+    Attributes:
+        inflight: requests in flight at the server.
+        queue: requests queued at the server.
+        util: busy cores over all cores, as a fraction.
+        service_ms: time to serve a request, in ms.
+        served_per_s: requests served per second.
+        errors_per_s: requests failed per second.
+    """
 
     inflight: float | None = None
     queue: float | None = None
@@ -64,7 +73,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """An entry of the endpoint list. One that comes back with another `started_us` is a new process."""
+    """An entry of the endpoint list; another `started_us` under the same name is a new process.
+
+    Attributes:
+        name: name of the instance.
+        zone: number of its zone.
+        kind: number of its kind of machine.
+        cell: number of its cell.
+        state: whether it may be sent new requests.
+        size: its weight in the endpoint list; 1.0 is the usual one.
+        started_us: when its process started, on the gateway's clock; 0 means long ago.
+    """
 
     name: str
     zone: int
@@ -77,7 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The complete endpoint list, changes to it, or notice that a call of discovery failed."""
+    """The complete endpoint list, changes to it, or the failure of a call of discovery.
+
+    `version` is the revision of the list.
+    """
 
     kind: EndpointUpdateKind
     version: int
@@ -86,11 +108,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; the gateway now owes one final answer.
-
-    `remaining_us` is what its client still waits. The customer's quota is kept by `set_size` gateways, from
-    number `set_first` on. A request that is taken over was admitted, and charged, by another gateway; it
-    may have run at `ran_on_server`.
+    """A client's request, which must get exactly one final answer.
+
+    Attributes:
+        id: id of the request, unique at this gateway.
+        class_index: index of its request class in the settings.
+        plan_index: index of its customer's plan in the settings.
+        customer: name of the customer.
+        remaining_us: how long its client will wait for the answer.
+        units: units of quota that it uses.
+        set_size: number of gateways that share the customer's quota.
+        set_first: index of the first of these gateways; the others follow it.
+        is_retry: whether the client marked it as a retry.
+        is_write: whether the client marked it as a write.
+        is_taken_over: whether another gateway admitted it and charged its units before.
+        ran_on_server: for one that was taken over, the server on which it may have run; otherwise empty.
     """
 
     id: str
@@ -109,7 +141,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun: the attempt belongs to the client."""
+    """A streamed answer has begun, so that its request needs no further answer.
+
+    `latency_us` is the time from the start of the attempt.
+    """
 
     id: str
     attempt: int
@@ -119,7 +154,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; each StartAttempt gets one. `request_ended`: its request is owed nothing more."""
+    """The end of an attempt; there is one for each StartAttempt.
+
+    Attributes:
+        id: id of the request.
+        request_ended: whether the request needs no further answer.
+        attempt: number of the attempt, from 0.
+        server: name of the server.
+        result: how the attempt ended.
+        latency_us: time from the start of the attempt to its end.
+        used_percent: percentage that the simulator reports; the policy does not use it.
+        true_units: units of quota that the request really used; 0.0 if not reported.
+        report: load report that came with the answer, if any.
+    """
 
     id: str
     request_ended: bool
@@ -134,28 +181,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request left; nothing is owed any more."""
+    """The client of a request has disconnected, so that it needs no answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The gateway ends soon: no request, open or new, may last longer than this from now."""
+    """A graceful shutdown has started: all requests, pending and new, must end within `remaining_us`."""
 
     remaining_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the decisions set has come due."""
+    """A timer that a SetTimer action set has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """The result of a ProbeServer."""
+    """The result of a ProbeServer action; `latency_us` is the time that the probe took."""
 
     server: str
     result: AttemptResult
@@ -165,12 +212,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaMessage:
-    """What one gateway reports to another of a customer: to its quota owner, or from there in an answer.
-
-    A customer goes by a checksum of its name. `demand` and `spent` (units) are new to the owner; in an
-    answer, `demand` is that of the whole set, and `spent` what the owner grants of what was requested, from
-    its share of the ceiling. A `requested` amount waits for an answer; `level` is what the set has left, or
-    owes.
+    """A message about a customer's quota: a gateway's report to the quota owner, or the owner's answer.
+
+    With a `set_size` of 0, the message announces an incarnation instead (see `incarnations`).
+
+    Attributes:
+        customer: checksum of the customer's name.
+        plan_index: index of the customer's plan in the settings.
+        set_first: index of the first gateway that shares the quota.
+        set_size: number of gateways that share it.
+        is_answer: whether the quota owner sent the message.
+        demand: in a report, units requested since the last one; in an answer, the demand of the whole set.
+        spent: in a report, units spent since the last one; in an answer, units granted of the requested ones
+            from the owner's share of the ceiling.
+        requested: units for which the sender awaits an answer.
+        level: units that the whole set has left; a negative number is owed.
     """
 
     customer: int
@@ -186,10 +242,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerObservation:
-    """What one gateway observed of one server in a digest's span.
-
-    Successes and their mean latency over their class's objective, failures, and the attempts in flight
-    there. A server goes by a checksum of its name.
+    """What one gateway observed of one server in the span of a digest.
+
+    Attributes:
+        server: fingerprint (checksum) of the server's name.
+        latency_ratio: mean latency of the successes over their class's latency objective.
+        successes: number of successful attempts.
+        failures: number of failed attempts.
+        in_flight: number of attempts in flight at the server when the digest was made.
     """
 
     server: int
@@ -201,10 +261,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthDigest:
-    """What one gateway observed of the servers in a short while, sent along with quota messages.
+    """What one gateway observed of the servers during a short span; it is sent along with quota messages.
 
-    `occupancy` is the mean of `samples` samples of the occupancy signal. `serial` changes from one digest
-    of a sender to its next, so that nobody counts the same one twice.
+    Attributes:
+        serial: serial number, by which receivers recognise a digest that they already have.
+        occupancy: mean of the samples of the occupancy signal, as a fraction.
+        samples: number of these samples.
+        observations: what was observed of each server.
     """
 
     serial: int
@@ -215,7 +278,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """A message from another gateway."""
+    """A message from another gateway; `sender` is its gateway index."""
 
     sender: int
     quota_messages: tuple[QuotaMessage, ...]
@@ -224,7 +287,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The shared counter's reply to an AddToCounter."""
+    """The shared counter's reply to an AddToCounter; `total` is the counter's new value."""
 
     name: int
     result: AttemptResult
@@ -234,7 +297,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerSnapshot:
-    """A customer's buckets as they were when it was last looked at, in units."""
+    """The levels of a customer's buckets, in units, as of its last refill.
+
+    Attributes:
+        customer: checksum of the customer's name.
+        plan_index: index of the customer's plan in the settings.
+        set_first: index of the first gateway that shares the quota.
+        set_size: number of gateways that share it.
+        share: level of this gateway's share of the quota.
+        level: level of the quota over the whole set; a negative number is owed.
+        ceiling: level of this gateway's share of the ceiling.
+        grants: at the quota owner, level of the share of the ceiling that it grants from.
+    """
 
     customer: int
     plan_index: int
@@ -248,7 +322,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectedServerSnapshot:
-    """A server that was ejected: for how much longer, and its latency over the objective."""
+    """An ejected server.
+
+    Attributes:
+        server: name of the server.
+        ejected_for_us: time from the snapshot until half-open attempts are allowed.
+        backoff_us: length of the present ejection.
+        latency_ratio: mean latency over the latency objective.
+    """
 
     server: str
     ejected_for_us: int
@@ -258,23 +339,27 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySnapshot:
-    """What a gateway leaves to its successor; times are from its making on."""
+    """The state that a gateway stores for the next start of its process.
+
+    Times count from the making of the snapshot. `admission_rate_per_s` is N for a scaled second of overload
+    control, in first attempts, or None if overload control was not engaged.
+    """
 
     customers: tuple[CustomerSnapshot, ...] = ()
     ejected_servers: tuple[EjectedServerSnapshot, ...] = ()
-    admission_rate_per_s: float | None = None  # None: overload control was not engaged
+    admission_rate_per_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotFound:
-    """At a start, before any request: what a predecessor left, and how long ago."""
+    """The snapshot of the previous process, made `age_us` ago; it comes before any request."""
 
     snapshot: PolicySnapshot
     age_us: int
 
 
 class BudgetKind(StrEnum):
-    """Which of a customer's budgets the lease service divides."""
+    """The kind of a budget that the lease service divides."""
 
     CEILING = "ceiling"
     QUOTA = "quota"
@@ -282,7 +367,10 @@
 
 
 class BudgetKey(NamedTuple):
-    """A customer's budget that is divided by leases. In place of one, None is the fleet's retry budget."""
+    """The key of a customer's budget that is divided by leases.
+
+    Where such a key is expected, None stands for the retry budget of all gateways.
+    """
 
     kind: BudgetKind
     customer: int
@@ -293,10 +381,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetDemand:
-    """A budget of which a share is needed here.
-
-    `demand` is in units a second, or a count; `returned` are units of the last grant that did not fit;
-    `needed` are units that requests wait for now; `in_use` is what is in use of a count.
+    """This gateway's demand for a share of a budget.
+
+    Attributes:
+        key: the budget; None is the retry budget of all gateways.
+        demand: units per second; for requests in flight, a count.
+        returned: units of the last grant that exceeded the share's capacity.
+        needed: units, or a count, that requests are waiting for.
+        in_use: for requests in flight, how many there are; otherwise 0.
     """
 
     key: BudgetKey | None
@@ -308,7 +400,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetGranted:
-    """The lease service's grant: a share of a budget until a time, and units that come with it."""
+    """A lease on a share of a budget, granted by the lease service.
+
+    Attributes:
+        key: the budget; None is the retry budget of all gateways.
+        share: fraction of the budget's rate and burst.
+        units: units that are available at once.
+        expires_us: when the lease ends, on the gateway's clock.
+    """
 
     key: BudgetKey | None
     share: float
--- a/thistletrail/policy/observer.py
+++ b/thistletrail/policy/observer.py
@@ -1,6 +1,6 @@
-"""What may be observed of decisions beside their actions: on what basis they were made.
+"""The interface for observing on what basis decisions are made, beyond the actions that they emit.
 
-The engine calls its observer, which changes nothing. Without one, it calls `NoObserver`.
+An observer must not change anything. An engine that is given none uses `NoObserver`.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 
 class QuotaBasis(Enum):
-    """By what a request was found inside its customer's quota, or beyond it."""
+    """What decided whether a request is inside its customer's quota."""
 
     LOCAL_SHARE = auto()  # this gateway's share of the quota
-    OWN_ACCOUNT = auto()  # this gateway is the quota owner
-    LAST_ANSWER = auto()  # the quota owner's last answer, which is fresh
-    OWNER_SILENT = auto()  # what is known here, as the quota owner does not answer
-    OWNER_ANSWER = auto()  # the quota owner's answer, which the request has waited for
-    NO_ANSWER = auto()  # what is known here, as no answer came in time
-    LEASE = auto()  # what a lease of the lease service grants
+    OWN_ACCOUNT = auto()  # this gateway's account of the quota, as the quota owner
+    LAST_ANSWER = auto()  # the quota owner's last answer, which is still fresh
+    OWNER_SILENT = auto()  # this gateway's own estimate, as the quota owner is silent
+    OWNER_ANSWER = auto()  # the quota owner's answer, for which the request waited
+    NO_ANSWER = auto()  # this gateway's own estimate, as the wait timed out
+    LEASE = auto()  # the units granted by a lease
 
 
 class RejectReason(Enum):
-    """Why a request was not served."""
+    """Why a request was rejected or failed."""
 
-    LATE_RETRY = auto()  # a retry with little value, while its customer's quota is scarce
+    LATE_RETRY = auto()  # a retry of little value, while its customer's quota is scarce
     QUOTA = auto()
-    EXPIRED = auto()  # out of time; see WaitReason
+    EXPIRED = auto()  # too late to be answered in time; see WaitReason
     ATTEMPTS_FAILED = auto()
-    RAN_ELSEWHERE = auto()  # taken over, and it may have run where it must not run twice
+    RAN_ELSEWHERE = auto()  # taken over and unsafe, and it may have run already
 
 
 class WaitReason(Enum):
-    """What keeps a request from leaving."""
+    """What a request waits for before its next attempt."""
 
     NO_SERVER_FOR_RETRY = auto()
     QUOTA_ANSWER = auto()
-    NOT_ADMITTED = auto()  # it has just arrived
+    NOT_ADMITTED = auto()  # it has just arrived, or is finished
     CEILING = auto()
     OVERLOAD_CONTROL = auto()
     IN_FLIGHT_LIMIT = auto()
@@ -49,30 +49,30 @@
 
 
 WaitReasonOf = Callable[["PendingRequest"], WaitReason]
-"""Returns what a request waits for."""
+"""A function that returns what a request waits for."""
 
 
 class DecisionObserver(Protocol):
-    """Is called with decisions as they are made."""
+    """The methods that the engine calls as it makes decisions."""
 
     def on_quota_decision(self, request: PendingRequest, basis: QuotaBasis, chance: float) -> None:
-        """A request was found in its quota (`is_in_quota`), by that chance, or not."""
+        """Called when a request was decided to be in its quota (`is_in_quota`) or not, with that chance."""
 
     def on_expiry_check(self, request: PendingRequest, wait_reason: WaitReasonOf) -> None:
-        """A request may be given up now; `wait_reason` returns what it waits for."""
+        """Called before a request may expire; `wait_reason` returns what it waits for."""
 
     def on_reject(self, request: PendingRequest, reason: RejectReason) -> None:
-        """A request is about to be rejected, or failed where a rejection would not be true."""
+        """Called before a request is rejected, or failed if it must not be repeated."""
 
 
 class NoObserver:
-    """An observer that notes nothing."""
+    """An observer that does nothing."""
 
     def on_quota_decision(self, request: PendingRequest, basis: QuotaBasis, chance: float) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
     def on_expiry_check(self, request: PendingRequest, wait_reason: WaitReasonOf) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
     def on_reject(self, request: PendingRequest, reason: RejectReason) -> None:
-        """Note nothing."""
+        """Do nothing."""
--- a/thistletrail/policy/pending_request.py
+++ b/thistletrail/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that is owed a final answer, from its arrival on."""
+"""The state of a request from its arrival until its final answer and the end of its attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PendingRequest:
-    """A request, its times and its attempts; `_at_us` names are absolute times."""
+    """A request with its deadlines, attempts and quota decision; names in `_at_us` are absolute times."""
 
     __slots__ = (
         "arrival",
@@ -23,7 +23,6 @@
         "customer",
         "deadline_at_us",
         "in_flight",
-        "inherited_server",
         "is_finished",
         "is_in_quota",
         "is_late_retry",
@@ -38,6 +37,7 @@
         "quota_wait_until_us",
         "reject_by_us",
         "request_class",
+        "server_before_takeover",
     )
 
     def __init__(
@@ -48,7 +48,7 @@
         now_us: int,
         elapsed_us: int,
     ) -> None:
-        """`elapsed_us` is how long ago the client's first attempt was: the objective counts from there."""
+        """`elapsed_us` is the time since the client's first attempt, where the latency objective begins."""
         self.arrival = arrival
         self.request_class = request_class
         self.customer = customer
@@ -57,32 +57,36 @@
         self.objective_at_us = min(
             now_us + request_class.latency_objective_us - elapsed_us, self.deadline_at_us
         )
-        # A rejection after that, with nothing sent completely, comes too late.
+        # A request that never reached a server completely must be rejected by then.
         self.reject_by_us = now_us + arrival.remaining_us // 2
-        self.is_late_retry = False  # its objective has passed at its client: it has only its late value
-        self.is_finished = False  # it has its final answer, or its client has left
+        self.is_late_retry = False  # a client's retry that can only earn its late value
+        self.is_finished = False  # has its final answer, or its client has disconnected
 
-        self.attempted_servers: list[UpstreamServer] = []  # by number of the attempt
-        self.in_flight: dict[int, int] = {}  # by number of the attempt: when it was sent
-        self.may_have_run_on: UpstreamServer | None = None  # the first server on which it may have run
+        self.attempted_servers: list[UpstreamServer] = []  # by attempt number
+        self.in_flight: dict[int, int] = {}  # send time in us, by attempt number
+        self.may_have_run_on: UpstreamServer | None = None  # first server on which it may have run
         self.may_have_run_since_us = 0
-        self.inherited_server: UpstreamServer | None = None  # the same, of another gateway's attempts
-        self.never_ran_count = 0  # attempts that are known not to have run
-        self.not_sent_count = 0  # attempts that never came completely to a server
+        # For a request that was taken over: the server on which the other gateway's attempt may have run.
+        self.server_before_takeover: UpstreamServer | None = None
+        self.never_ran_count = 0  # attempts that certainly did not run
+        self.not_sent_count = 0  # attempts that never reached a server completely
 
         self.is_in_quota = False
         self.is_quota_decided = False
-        self.quota_wait_until_us = NEVER_US  # until when it waits for its quota owner's answer
+        self.quota_wait_until_us = NEVER_US  # when it stops waiting for the quota owner or a lease
         self.quota_requests_sent = 0
-        self.ceiling_granted_until_us = -NEVER_US  # by the quota owner's share of the ceiling
+        self.ceiling_granted_until_us = -NEVER_US  # when the quota owner's grant of ceiling units expires
 
     def limit_deadline(self, deadline_at_us: int) -> None:
-        """End no later than this."""
+        """Move the deadline, and the objective with it, to `deadline_at_us` if they are later."""
         self.deadline_at_us = min(self.deadline_at_us, deadline_at_us)
         self.objective_at_us = min(self.objective_at_us, self.deadline_at_us)
 
     def may_reject(self) -> bool:
-        """Whether a rejection is true: to try again is harmless, as nothing ran or repeats are recognised."""
+        """Return whether the client may safely send the request again.
+
+        That is so if it has not run, is idempotent, or every server recognises its idempotency key.
+        """
         if self.may_have_run_on is None or self.request_class.effect is Effect.IDEMPOTENT:
             return True
         return (
@@ -91,7 +95,7 @@
         )
 
     def is_under_ceiling(self, now_us: int) -> bool:
-        """Whether its customer's ceiling, or a grant from the quota owner's share, has room for it."""
+        """Return whether the customer's ceiling, or a grant of the quota owner, has room for it."""
         if not self.customer.plan.ceiling_rate or now_us < self.ceiling_granted_until_us:
             return True
         return self.customer.refill(now_us).has_ceiling_room(self.arrival.units)
--- a/thistletrail/policy/pending_requests.py
+++ b/thistletrail/policy/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are owed a final answer, and that answer: each gets exactly one."""
+"""The requests without a final answer, and how they get it: exactly one for each request."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class PendingRequests:
-    """Requests by id, from their arrival until they are answered and none of their attempts is in flight."""
+    """Requests by id, from arrival until they are answered and have no attempt in flight."""
 
     def __init__(self, settings: Settings, context: EventContext, observer: DecisionObserver) -> None:
         self.context = context
@@ -21,13 +21,13 @@
         self.by_id: dict[str, PendingRequest] = {}
 
     def add(self, request: PendingRequest) -> None:
-        """Take charge of a request that has arrived."""
+        """Add a request that has arrived."""
         self.by_id[request.arrival.id] = request
 
     def reject(self, request: PendingRequest, reason: RejectReason, retry_after_us: int = NEVER_US) -> None:
-        """Answer a request that is not served: rejected where that is true, else failed.
+        """Reject a request, or fail it if it may have run and must not be repeated.
 
-        The client is to retry after `retry_after_us`, or as late as it will.
+        A rejection advises the client to retry after `retry_after_us`, at most `max_retry_after_us`.
         """
         self.observer.on_reject(request, reason)
         if request.may_reject():
@@ -38,7 +38,7 @@
         self.finish(request)
 
     def finish(self, request: PendingRequest) -> None:
-        """Nothing more is owed: give back what it did not use, and cancel its attempts."""
+        """Finish a request: refund its units if nothing was attempted, and cancel its attempts in flight."""
         was_finished = request.is_finished
         if request.is_in_quota and not request.attempted_servers and not was_finished:
             request.customer.spend_locally(-request.arrival.units)
@@ -50,7 +50,10 @@
             self.by_id.pop(request.arrival.id, None)
 
     def overdue_latency_ratios(self, mean_latency_us: Sequence[float]) -> list[float]:
-        """Of attempts in flight for longer than the mean of their class: their age over the objective."""
+        """Return the age over the latency objective, at most 1, of attempts slower than their class's mean.
+
+        `mean_latency_us` is the mean latency by class index; only attempts in flight are considered.
+        """
         ratios: list[float] = []
         for request in self.by_id.values():
             mean_us = mean_latency_us[request.arrival.class_index]
--- a/thistletrail/policy/request_expiry.py
+++ b/thistletrail/policy/request_expiry.py
@@ -1,4 +1,4 @@
-"""Which requests are given up, as they can no longer be served in time, and when their clients may retry."""
+"""Expiry of requests that can no longer be answered in time, and the Retry-After that their clients get."""
 
 import random
 
@@ -13,24 +13,25 @@
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.traffic_estimates import TrafficEstimates
 
-# Mean latencies that must be left, of a request that arrives and of a queued one: else all that is queued
-# would leave just too late.
-NEEDED_ON_ARRIVAL = 0.5
-NEEDED_IN_QUEUE = 2.0
-# When the client of a request that overload control keeps out should retry, as a part of its objective: soon
-# enough to be served in time.
+# How many mean latencies must remain before the latency objective, for a request that arrives and for a
+# queued one. With a smaller margin, queued requests would all be sent just too late.
+NEEDED_LATENCIES_ON_ARRIVAL = 0.5
+NEEDED_LATENCIES_IN_QUEUE = 2.0
+# Retry-After of an expired request, as a divisor of its latency objective: soon enough for the retry to be
+# answered in time.
 RETRY_AFTER_DIVISOR = 5
-RECOVERY_SPREAD = 1.0  # the part of that time over which clients are spread after restarts
+# Width of the jitter on that Retry-After while the fleet recovers from restarts, as a fraction of it.
+RECOVERY_RETRY_AFTER_SPREAD = 1.0
 
 
 class RequestExpiry:
-    """Gives up requests that are out of time."""
+    """Rejects or fails requests that can no longer be answered in time."""
 
     def __init__(
         self,
         settings: Settings,
         context: EventContext,
-        draws: random.Random,
+        generator: random.Random,
         observer: DecisionObserver,
         pending: PendingRequests,
         admission: QuotaAdmission,
@@ -40,7 +41,7 @@
         traffic: TrafficEstimates,
     ) -> None:
         self.context = context
-        self.draws = draws
+        self.generator = generator
         self.observer = observer
         self.pending = pending
         self.admission = admission
@@ -50,42 +51,50 @@
         self.traffic = traffic
         self.max_retry_after_us = settings.max_retry_after_us
 
-    def give_up_if_late(self, request: PendingRequest, needed_means: float, ahead_us: float = 0.0) -> bool:
-        """Reject a request that is out of time; whether it is finished, by this or before.
+    def expire_if_too_late(
+        self, request: PendingRequest, needed_latencies: float, queue_ahead_us: float = 0.0
+    ) -> bool:
+        """Reject or fail a request that is too late, and return whether it is finished.
 
-        It needs so many mean latencies, after the `ahead_us` that those queued ahead of it take. Where these
-        take too long that is known at once, and its client may still come in time to where there is room.
+        The request needs `needed_latencies` mean latencies of its class, after the `queue_ahead_us` that it
+        takes to send those queued ahead of it. A queue that is too long rejects the request at once, while
+        the client can still retry at another gateway in time.
         """
         self.observer.on_expiry_check(request, self.wait_reason)
-        if not request.is_finished and self.is_too_late(request, needed_means, ahead_us):
+        if not request.is_finished and self.is_too_late(request, needed_latencies, queue_ahead_us):
             self.pending.reject(request, RejectReason.EXPIRED, self.retry_after_us(request))
         return request.is_finished
 
-    def is_too_late(self, request: PendingRequest, needed_means: float, ahead_us: float) -> bool:
-        """Whether its objective is out of reach, or its time to be rejected in is nearly over."""
+    def is_too_late(self, request: PendingRequest, needed_latencies: float, queue_ahead_us: float) -> bool:
+        """Return whether its objective is out of reach, or the time left to reject it is nearly over."""
         now_us = self.context.now_us
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
-        needed_us = min(needed_means * mean_us, request.request_class.latency_objective_us / 2) + ahead_us
+        needed_us = (
+            min(needed_latencies * mean_us, request.request_class.latency_objective_us / 2) + queue_ahead_us
+        )
         if request.may_reject() and now_us + needed_us >= request.objective_at_us:
             return True
-        is_nothing_sent = request.not_sent_count == len(request.attempted_servers)
-        if is_nothing_sent and now_us + TICK_US >= request.reject_by_us:
+        was_never_sent = request.not_sent_count == len(request.attempted_servers)
+        if was_never_sent and now_us + TICK_US >= request.reject_by_us:
             return True
         return now_us + 2 * TICK_US >= request.deadline_at_us
 
     def retry_after_us(self, request: PendingRequest) -> int:
-        """Soon where the client could still be served in time, else as late as it will wait."""
-        soon_us = request.request_class.latency_objective_us // RETRY_AFTER_DIVISOR
+        """Return a short delay if a retry could still meet the objective, else `max_retry_after_us`.
+
+        While the fleet recovers from restarts, the short delay has jitter.
+        """
+        short_delay_us = request.request_class.latency_objective_us // RETRY_AFTER_DIVISOR
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
-        if self.context.now_us + soon_us + mean_us >= request.objective_at_us:
+        if self.context.now_us + short_delay_us + mean_us >= request.objective_at_us:
             return self.max_retry_after_us
         if self.incarnations.is_recovering(self.context.now_us):
-            # Rejected together, they must not come back together.
-            return round(soon_us * (1 + RECOVERY_SPREAD * (self.draws.random() - 0.5)))
-        return soon_us
+            # Clients that were rejected together must not retry together.
+            return round(short_delay_us * (1 + RECOVERY_RETRY_AFTER_SPREAD * (self.generator.random() - 0.5)))
+        return short_delay_us
 
     def wait_reason(self, request: PendingRequest) -> WaitReason:
-        """What a request waits for, for observers."""
+        """Return what a request waits for, for the observer."""
         if request.attempted_servers:
             return WaitReason.NO_SERVER_FOR_RETRY
         if request in self.admission.waiting:
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's way from its arrival to its one final answer."""
+"""The lifecycle of a request, from its arrival to its one final answer."""
 
 import zlib
 
@@ -22,7 +22,11 @@
 from thistletrail.policy.pending_requests import PendingRequests
 from thistletrail.policy.quota import CustomerKey, CustomerQuotas
 from thistletrail.policy.quota_admission import QuotaAdmission
-from thistletrail.policy.request_expiry import NEEDED_IN_QUEUE, NEEDED_ON_ARRIVAL, RequestExpiry
+from thistletrail.policy.request_expiry import (
+    NEEDED_LATENCIES_IN_QUEUE,
+    NEEDED_LATENCIES_ON_ARRIVAL,
+    RequestExpiry,
+)
 from thistletrail.policy.retry_policy import ClientRetryAge, RetryBudget, RetryPolicy
 from thistletrail.policy.server_selection import ServerSelector
 from thistletrail.policy.server_set import ServerSet
@@ -30,7 +34,7 @@
 from thistletrail.policy.traffic_estimates import TrafficEstimates
 from thistletrail.policy.units import NEVER_US
 
-# Results after which the connection is not used again.
+# Results after which the connection is not reused.
 BROKEN_CONNECTION_RESULTS = frozenset(
     {
         AttemptResult.TIMEOUT,
@@ -43,7 +47,7 @@
 
 
 class RequestLifecycle:
-    """Follows each request: arrival, queue, attempts, and its end."""
+    """Takes each request through arrival, admission, attempts and its final answer."""
 
     def __init__(
         self,
@@ -78,52 +82,53 @@
         self.traffic = traffic
         self.retry_policy = RetryPolicy(settings, context, traffic)
         self.client_retry_age = ClientRetryAge(settings)
-        self.shutdown_at_us = NEVER_US  # until when requests may last
+        self.shutdown_at_us = NEVER_US  # the deadline of all requests once a shutdown has started
 
     # --- arrival ---
 
     def on_arrival(self, arrival: RequestArrived) -> None:
-        """A client's request: rejected at once, admitted, or waiting for its quota."""
+        """Reject a client's request at once, admit it, or let it wait for its quota decision."""
         request = self.create(arrival)
         self.pending.add(request)
-        # Some come with no time left: they cost no quota.
-        if self.expiry.give_up_if_late(request, NEEDED_ON_ARRIVAL):
+        # A request that arrives with too little time left is not charged to its customer's quota.
+        if self.expiry.expire_if_too_late(request, NEEDED_LATENCIES_ON_ARRIVAL):
             return
         if arrival.is_taken_over:
-            self.inherit(request)
+            self.enqueue_taken_over(request)
         else:
             self.admission.admit(request)
 
     def create(self, arrival: RequestArrived) -> PendingRequest:
-        """The pending request of an arrival, with its times and its priority."""
+        """Return the pending request for an arrival, with its deadlines and its priority."""
         key = CustomerKey(
             zlib.crc32(arrival.customer.encode()), arrival.plan_index, arrival.set_first, arrival.set_size
         )
         customer = self.customers.get(key)
-        rule = self.classes[arrival.class_index]
+        request_class = self.classes[arrival.class_index]
         elapsed_us = 0
         if not arrival.is_taken_over:
             is_shutting_down = self.shutdown_at_us != NEVER_US
             elapsed_us = self.client_retry_age.elapsed_us(arrival, is_shutting_down)
-        counted_us = 0 if rule.late_value else elapsed_us
-        request = PendingRequest(arrival, rule, customer, self.context.now_us, counted_us)
+        objective_elapsed_us = 0 if request_class.late_value else elapsed_us
+        request = PendingRequest(arrival, request_class, customer, self.context.now_us, objective_elapsed_us)
         request.limit_deadline(self.shutdown_at_us)
-        needed_us = NEEDED_ON_ARRIVAL * self.traffic.mean_latency_us[arrival.class_index]
-        if rule.late_value and elapsed_us + needed_us >= rule.latency_objective_us:
+        needed_us = NEEDED_LATENCIES_ON_ARRIVAL * self.traffic.mean_latency_us[arrival.class_index]
+        if request_class.late_value and elapsed_us + needed_us >= request_class.latency_objective_us:
             request.is_late_retry = True
-            request.priority *= rule.late_value
+            request.priority *= request_class.late_value
         return request
 
-    def inherit(self, request: PendingRequest) -> None:
-        """Queue a request that another gateway has admitted, and whose units are taken there.
+    def enqueue_taken_over(self, request: PendingRequest) -> None:
+        """Queue a request that another gateway admitted and charged to the customer's quota.
 
-        It goes where it may have run. What may not be repeated and may have run is over.
+        It may run only where servers would recognise a repeat, if it may have run before. An unsafe request
+        that may have run is failed.
         """
         request.ceiling_granted_until_us = NEVER_US
         request.may_have_run_since_us = self.context.now_us
-        request.inherited_server = self.servers.by_name.get(request.arrival.ran_on_server)
-        request.may_have_run_on = request.inherited_server
-        if request.inherited_server and request.request_class.effect is Effect.UNSAFE:
+        request.server_before_takeover = self.servers.by_name.get(request.arrival.ran_on_server)
+        request.may_have_run_on = request.server_before_takeover
+        if request.server_before_takeover and request.request_class.effect is Effect.UNSAFE:
             self.pending.reject(request, RejectReason.RAN_ELSEWHERE)
             return
         self.admission.enqueue(request)
@@ -131,41 +136,44 @@
     # --- attempts ---
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt has ended: finish its request, retry it, or reject it."""
+        """Finish the request of an ended attempt, retry it, or reject it."""
         request = self.pending.by_id.get(event.id)
         if request is None or event.attempt not in request.in_flight:
             return
         self.remove_attempt(request, event)
         self.outcomes.record(request, request.attempted_servers[event.attempt], event)
-        self.note_where_it_ran(request, event.result)
+        self.update_may_have_run_on(request, event.result)
         if event.result is AttemptResult.OWNED_ELSEWHERE and request.is_in_quota:
-            request.customer.spend_locally(-request.arrival.units)  # its units are taken there
+            request.customer.spend_locally(-request.arrival.units)  # the other gateway charges its units
         if event.request_ended or request.is_finished:
             self.pending.finish(request)
         elif not request.in_flight and not self.retry(request, event.result):
             self.pending.reject(request, RejectReason.ATTEMPTS_FAILED)
 
     def remove_attempt(self, request: PendingRequest, event: AttemptEnded) -> None:
-        """The attempt is no longer in flight, and its connection may be broken."""
+        """Remove an ended attempt from the counts of attempts in flight and of usable connections."""
         server = request.attempted_servers[event.attempt]
         request.customer.in_flight -= 1
         self.overload.record_attempt_ended()
         del request.in_flight[event.attempt]
         server.remove_attempt(event.id, event.attempt, event.result in BROKEN_CONNECTION_RESULTS)
 
-    def note_where_it_ran(self, request: PendingRequest, result: AttemptResult) -> None:
-        """Count what is known not to have run; if that is all, it may run anywhere."""
+    def update_may_have_run_on(self, request: PendingRequest, result: AttemptResult) -> None:
+        """Count an attempt that cannot have run; once that holds for all, the request may run on any server.
+
+        For a request that was taken over, this leaves the server on which it may have run before.
+        """
         if result in NOT_SENT_RESULTS:
             request.not_sent_count += 1
         if result in NEVER_RAN_RESULTS:
             request.never_ran_count += 1
         if request.never_ran_count == len(request.attempted_servers):
-            request.may_have_run_on = request.inherited_server
+            request.may_have_run_on = request.server_before_takeover
 
     def retry(self, request: PendingRequest, result: AttemptResult) -> bool:
-        """Begin a further attempt, or queue the request for one; False if it may have none.
+        """Start another attempt, or queue the request for one; return False if it may have none.
 
-        A failed connect has cost the servers nothing, and its retry is free.
+        A retry after a failed connect does not use the retry budget, as that attempt put no load on a server.
         """
         if not self.retry_policy.may_attempt_again(request, result):
             return False
@@ -174,7 +182,7 @@
             return False
         if server := self.selector.choose(request):
             if uses_budget:
-                self.retry_budget.take()
+                self.retry_budget.take_retry()
             self.dispatcher.start_attempt(request, server)
             return True
         if request.may_have_run_on is None:
@@ -182,27 +190,27 @@
             return True
         return False
 
-    # --- the end ---
+    # --- end of requests ---
 
     def on_client_left(self, event: ClientDisconnected | StreamStarted) -> None:
-        """The client has left, or its answer has begun: nothing more is owed."""
+        """Finish a request whose client has disconnected or whose streamed answer has begun."""
         if request := self.pending.by_id.get(event.id):
             self.pending.finish(request)
 
     def on_shutdown(self, event: ShutdownStarted) -> None:
-        """What is queued and cannot be answered in the time left is rejected now."""
+        """Limit all deadlines to the shutdown, and reject requests that cannot start and end before it."""
         self.shutdown_at_us = self.context.now_us + event.remaining_us
         for request in list(self.pending.by_id.values()):
             request.limit_deadline(self.shutdown_at_us)
             if not request.attempted_servers:
-                self.expiry.give_up_if_late(request, NEEDED_IN_QUEUE)
+                self.expiry.expire_if_too_late(request, NEEDED_LATENCIES_IN_QUEUE)
 
     def on_tick(self) -> None:
-        """Decide on what has waited for its quota, send what may leave, give up what is out of time."""
+        """Decide overdue quota waits, dispatch queued requests, and expire those that are too late."""
         self.admission.settle_overdue()
         self.dispatcher.dispatch_queued()
-        turn_us = 0.0 if self.overload.may_send() else self.overload.time_per_admission_us()
+        time_per_admission_us = 0.0 if self.overload.may_send() else self.overload.time_per_admission_us()
         for entry in self.queue.take_all():
-            ahead_us = len(self.queue) * turn_us
-            if not self.expiry.give_up_if_late(entry.request, NEEDED_IN_QUEUE, ahead_us):
+            queue_ahead_us = len(self.queue) * time_per_admission_us
+            if not self.expiry.expire_if_too_late(entry.request, NEEDED_LATENCIES_IN_QUEUE, queue_ahead_us):
                 self.queue.put_back(entry)
--- a/thistletrail/policy/retry_detection.py
+++ b/thistletrail/policy/retry_detection.py
@@ -1,51 +1,51 @@
-"""Detection of retries that clients do not mark, by the time that the client still waits.
+"""Detection of retries that clients do not mark, by the remaining time that they state.
 
-Clients state with each request how long they will wait for the answer. First requests of a class nearly all
-state the same time. A retry states what is left of the class's deadline, which its client counts from its
-first request: a time that is seldom stated is that of a retry. Times are microseconds.
+Clients state with each request how long they will wait for the answer. First attempts of a class nearly all
+state the same time. A retry states what remains of the class's deadline, which its client counts from the
+first attempt. A request that states an uncommon time is therefore taken for a retry.
 """
 
-# Waiting times are counted in buckets of this width: it covers what network and client timers add.
+# Width of a bucket of remaining times, which covers the variation from the network and client timers.
 BUCKET_US = 50_000
 
-# Share of the recorded requests from which on a waiting time is one that first requests state.
+# A remaining time is that of first attempts if at least this share of requests state a similar one.
 MIN_COMMON_SHARE = 0.15
 
-# By how many buckets a first request's time may be shorter than stated, where client and gateway were slow.
+# How many buckets of time a first attempt may lose when its client or the gateway is slow.
 MAX_DELAY_BUCKETS = 6
 
-MIN_REQUESTS = 20  # recorded before any request is taken for a retry: fewer show nothing
+MIN_REQUESTS = 20  # requests to record before any is taken for a retry
 
-# Recorded requests at which all counts are halved, so that the table stays small and follows changes.
+# When this many requests are counted, all counts are halved: the table stays small and follows changes.
 MAX_REQUESTS = 400
 
 
 class RetryDetector:
-    """The waiting times that requests of one class stated: a bounded table of counts, by bucket."""
+    """Counts of the remaining times that requests of one class stated: a bounded table, by bucket."""
 
-    __slots__ = ("counts", "seen")
+    __slots__ = ("counts", "total_count")
 
     def __init__(self) -> None:
-        self.counts: dict[int, float] = {}  # by bucket; recent requests count for more
-        self.seen = 0.0  # the sum of the counts
+        self.counts: dict[int, float] = {}  # by bucket; recent requests have more weight
+        self.total_count = 0.0  # the sum of the counts
 
     def record(self, remaining_us: int) -> None:
-        """Count a request whose client still waits for `remaining_us`."""
+        """Count a request whose client will wait for another `remaining_us`."""
         bucket = remaining_us // BUCKET_US
         self.counts[bucket] = self.counts.get(bucket, 0.0) + 1
-        self.seen += 1
-        if self.seen >= MAX_REQUESTS:
+        self.total_count += 1
+        if self.total_count >= MAX_REQUESTS:
             self._halve_counts()
 
     def _halve_counts(self) -> None:
-        """Halve all counts, and drop those that come to half a request or less."""
+        """Halve all counts, and drop those that fall to half a request or less."""
         self.counts = {bucket: count / 2 for bucket, count in self.counts.items() if count > 1}
-        self.seen = sum(self.counts.values())
+        self.total_count = sum(self.counts.values())
 
     def is_common(self, remaining_us: int) -> bool:
-        """Whether first requests state this time or a slightly longer one; True while few were recorded."""
-        if self.seen < MIN_REQUESTS:
+        """Return whether first attempts state about this time; True until MIN_REQUESTS have been recorded."""
+        if self.total_count < MIN_REQUESTS:
             return True
         bucket = remaining_us // BUCKET_US
         similar = sum(self.counts.get(bucket + n, 0.0) for n in range(-1, MAX_DELAY_BUCKETS + 1))
-        return similar >= MIN_COMMON_SHARE * self.seen
+        return similar >= MIN_COMMON_SHARE * self.total_count
--- a/thistletrail/policy/retry_policy.py
+++ b/thistletrail/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: what this gateway may attempt again, and how old a client's retry is when it arrives."""
+"""Retries by this gateway, and the age of retries that arrive from clients."""
 
 from thistletrail.policy.actions import WriteLog
 from thistletrail.policy.event_context import EventContext
@@ -9,16 +9,18 @@
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.traffic_estimates import TrafficEstimates
 
-RETRIES_PER_FIRST_ATTEMPT = 0.1  # retries that a first attempt earns
+RETRIES_PER_FIRST_ATTEMPT = 0.1
 MAX_SAVED_RETRIES = 8.0
-CLIENT_TIMEOUT_STEPS = 200  # first attempts by which the known client timeout can rise by about its double
+# Each first attempt raises the learned client timeout by 1/200 at most; 200 of them nearly triple it.
+CLIENT_TIMEOUT_STEPS = 200
 
 
 class RetryBudget:
-    """The retries that may be begun: a small share of first attempts, so that they cannot feed an overload.
+    """The retry budget: retries stay a small share of first attempts, so that they cannot feed an overload.
 
-    Where the lease service divides a retry budget of all gateways, `leased` is this gateway's share of it,
-    and holds in place of the share of first attempts.
+    `saved_retries` is the number of retries that first attempts have earned and that are not used yet. If the
+    lease service divides a retry budget of all gateways, `leased` is this gateway's share of it and applies
+    in place of `saved_retries`; otherwise it is None.
     """
 
     def __init__(self, settings: Settings, context: EventContext) -> None:
@@ -31,16 +33,19 @@
             self.leased = LeasedBudget(settings.retry_rate, settings.retry_burst, floor, 0)
 
     def start(self) -> None:
-        """The gateway starts with the event at hand."""
+        """Start refilling the leased budget from the time of the first event."""
         if self.leased:
             self.leased.refilled_at_us = self.context.now_us
 
     def record_first_attempt(self) -> None:
-        """Earn a part of a retry."""
+        """Add the fraction of a retry that a first attempt earns."""
         self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + RETRIES_PER_FIRST_ATTEMPT)
 
     def request_retry(self) -> bool:
-        """Ask for a retry: whether it may be begun now. One that may not is counted."""
+        """Return whether a retry may start now; `take_retry` then takes it from the budget.
+
+        A refused retry is counted for the log, and each request counts in the demand for leased retries.
+        """
         if self.leased:
             self.leased.record_request(1.0, self.context.now_us)
         available = self.leased.refill(self.context.now_us) if self.leased else self.saved_retries
@@ -49,16 +54,16 @@
             return False
         return True
 
-    def take(self) -> None:
-        """A retry is begun."""
+    def take_retry(self) -> None:
+        """Take one retry from the budget."""
         self.saved_retries -= 1
         if self.leased:
             self.leased.level -= 1
 
-    def report_refused(self) -> None:
-        """Once a control period: log the retries that the budget did not allow.
+    def log_refused(self) -> None:
+        """Log, once a control period, how many retries the budget refused.
 
-        The words of the line are part of recorded runs, which are compared to the byte.
+        The text of the line is part of recorded runs, which are compared byte for byte.
         """
         if self.refused_in_period:
             text = f"further attempts are spent: {self.refused_in_period} not begun in a period"
@@ -67,7 +72,7 @@
 
 
 class RetryPolicy:
-    """Whether a request whose attempts have all ended may have another one."""
+    """Decides whether a request whose attempts have all ended may have another one."""
 
     def __init__(self, settings: Settings, context: EventContext, traffic: TrafficEstimates) -> None:
         self.context = context
@@ -75,7 +80,10 @@
         self.max_attempts = settings.max_attempts
 
     def may_attempt_again(self, request: PendingRequest, result: AttemptResult) -> bool:
-        """Whether there are attempts and time left, after an attempt that ended so."""
+        """Return whether attempts and time are left after an attempt that ended with `result`.
+
+        More than half the mean latency of its class must remain before the deadline.
+        """
         if result is AttemptResult.NOT_SENT or len(request.attempted_servers) >= self.max_attempts:
             return False
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
@@ -83,27 +91,28 @@
 
 
 class ClientRetryAge:
-    """How long ago a client first sent a request that may be a retry.
+    """Estimates how long ago a client first sent a request that may be a retry.
 
-    What a retry would be served after its objective has little or no value, and takes its customer's quota.
+    A retry that is answered after the latency objective of its first attempt has little or no value, but
+    still uses its customer's quota.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.classes = settings.classes
-        # By class: how long clients wait for their first attempts.
+        # By class: how long clients wait for the answer to a first attempt; 0 until one arrives.
         self.client_timeout_us = [0] * len(settings.classes)
         self.detectors = [RetryDetector() for _ in settings.classes]
 
     def elapsed_us(self, arrival: RequestArrived, is_shutting_down: bool) -> int:
-        """The time since the client's first attempt, as far as it is known; 0 for a first attempt.
+        """Return the time since the client's first attempt, as far as it is known; 0 for a first attempt.
 
-        Retries that are not marked are recognised by a remaining time that first attempts do not have; what
-        a shutdown has cut short shows nothing.
+        An unmarked retry is recognised by a remaining time that is uncommon for first attempts. Remaining
+        times are neither recorded nor judged during a shutdown, which shortens them.
         """
         request_class = self.classes[arrival.class_index]
-        known_us = self.client_timeout_us[arrival.class_index]
+        timeout_us = self.client_timeout_us[arrival.class_index]
         if arrival.is_retry:
-            return 0 if request_class.late_value else max(0, known_us - arrival.remaining_us)
+            return 0 if request_class.late_value else max(0, timeout_us - arrival.remaining_us)
         if not is_shutting_down:
             detector = self.detectors[arrival.class_index]
             detector.record(arrival.remaining_us)
@@ -114,7 +123,9 @@
         return 0
 
     def record_first_attempt(self, arrival: RequestArrived) -> None:
-        """Learn the client timeout: the least seen lately, which rises slowly as clients may differ."""
-        known_us = self.client_timeout_us[arrival.class_index]
-        raised_us = known_us + known_us // CLIENT_TIMEOUT_STEPS + 1 if known_us else arrival.remaining_us
-        self.client_timeout_us[arrival.class_index] = min(arrival.remaining_us, raised_us)
+        """Update the client timeout: the shortest recent one, which rises slowly as clients may differ."""
+        timeout_us = self.client_timeout_us[arrival.class_index]
+        raised_timeout_us = (
+            timeout_us + timeout_us // CLIENT_TIMEOUT_STEPS + 1 if timeout_us else arrival.remaining_us
+        )
+        self.client_timeout_us[arrival.class_index] = min(arrival.remaining_us, raised_timeout_us)
--- a/thistletrail/policy/settings.py
+++ b/thistletrail/policy/settings.py
@@ -1,7 +1,7 @@
-"""What is configured for a gateway's decisions: request classes, plans, limits and prices.
+"""The settings of the policy engine: request classes, plans, limits and prices.
 
-Settings are given once, at start. Times are whole microseconds, rates are per second. Field names of the
-settings file are read in `settings_codec`; the names here are the code's own.
+Settings are fixed at the start of the process. Times are whole microseconds, and their names end in `_us`;
+rates are per second. `settings_codec` maps the paths of the settings file to the fields here.
 """
 
 from dataclasses import dataclass
@@ -12,14 +12,13 @@
     """Whether requests of a class may be attempted more than once."""
 
     IDEMPOTENT = "safe"
-    IDEMPOTENT_BY_KEY = (
-        "keyed"  # servers drop repeats with the same idempotency key, within a scope and a window
-    )
+    # Servers drop repeats with the same idempotency key, within the class's scope and window.
+    IDEMPOTENT_BY_KEY = "keyed"
     UNSAFE = "unsafe"
 
 
 class IdempotencyScope(Enum):
-    """Which servers recognise a repeated idempotency key: all, those of one zone, or those of one cell."""
+    """Which servers recognise a repeated idempotency key: all, or those of the same zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,9 +29,15 @@
 class RequestClass:
     """A class of requests: its times, its value, and whether it may be repeated.
 
-    `latency_objective_us` is the time by which an answer has its full `value`; later ones, up to
-    `deadline_us`, have `late_value` times that. A repeated idempotency key is recognised for
-    `idempotency_window_us`.
+    Attributes:
+        latency_objective_us: time from arrival within which an answer has its full value.
+        deadline_us: time after which an answer has no value.
+        value: value of an answer within the latency objective, for each unit.
+        late_value: fraction of `value` that an answer between the two times has.
+        effect: whether a request may be attempted more than once.
+        idempotency_scope: which servers recognise a repeated idempotency key.
+        idempotency_window_us: how long they recognise it.
+        streamed: whether answers are streamed; attempts at a streamed answer are not cancelled.
     """
 
     latency_objective_us: int
@@ -47,11 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota and ceiling, which hold for each of its customers over all gateways; 0 means none.
-
-    `rate` (units a second) and `burst` (units) are the quota, `ceiling_rate` and `ceiling_burst` the
-    ceiling, and `max_in_flight` bounds a customer's requests in flight. A request beyond the quota has
-    `over_quota_value` of its value and costs `over_quota_cost`.
+    """A plan's limits, which apply to each of its customers over all gateways; a limit of 0 means none.
+
+    Attributes:
+        rate: rate of the quota, in units per second.
+        burst: burst of the quota, in units.
+        max_in_flight: maximum number of a customer's requests in flight.
+        value_factor: factor on the value of a request class.
+        over_quota_value: fraction of its value that a request beyond the quota has.
+        over_quota_cost: cost of a request beyond the quota, as a fraction of its value.
+        ceiling_rate: rate of the ceiling, in units per second.
+        ceiling_burst: burst of the ceiling, in units.
+        ceiling_slack: units by which the ceiling may be exceeded without being violated.
     """
 
     rate: float = 0.0
@@ -67,12 +79,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one gateway is configured with at start.
-
-    `gateway_index` is this gateway's number among `gateway_count`. A server that started serves
-    `cold_capacity` of its capacity at first and all of it after `warm_up_us`; it collapses under more than
-    `overload_multiple` times what it can serve by then, counted over `overload_window_us`. Prices are in
-    units of request value.
+    """The settings of one gateway.
+
+    Prices are in units of request value.
+
+    Attributes:
+        seed: seed of the gateway's random generator.
+        gateway_index: number of this gateway, from 0.
+        gateway_count: number of gateways in the fleet.
+        classes: request classes, by index.
+        plans: plans, by index.
+        zone: number of this gateway's zone.
+        max_attempts: maximum number of attempts for a request, including the first.
+        max_retry_after_us: maximum Retry-After; 0 means that clients are advised no time.
+        may_hedge: whether a request may have several attempts in flight (hedged requests).
+        may_probe: whether servers may be probed.
+        may_cancel: whether attempts may be cancelled.
+        may_message_peers: whether gateways may send messages to each other.
+        has_shared_counter: whether there is a counter that all gateways share.
+        must_subscribe: whether updates of the endpoint list must be requested with a watch.
+        settles_true_units: whether servers report the units that a request really used.
+        peer_messages_per_s: messages from peers that a gateway can take in per second.
+        cross_zone_price: price of an attempt at a server in another zone.
+        handshake_price: price of a new connection.
+        waste_price: price of servers' work that came to no use.
+        late_fail_price: price of a failure that is answered after the latency objective.
+        message_price: price of messages to peers.
+        probe_price: price of a probe.
+        answer_grace_us: time after its deadline within which a final answer still counts as given.
+        ask_within_us: part of the deployment's obligations; the policy does not use it.
+        cold_capacity: fraction of its capacity that a server has when it starts.
+        warm_up_us: time from its start after which a server has its full capacity.
+        overload_multiple: multiple of its present capacity above which a server collapses.
+        overload_window_us: time over which that load is counted.
+        leases_ceilings: whether the lease service divides customers' ceilings, in place of fixed shares.
+        leases_quotas: whether it divides customers' quotas, in place of quota messages.
+        leases_in_flight: whether it divides the limits on requests in flight, in place of fixed shares.
+        retry_rate: rate of the retry budget of all gateways that the lease service divides, in retries per
+            second; 0 gives each gateway a share of its own first attempts as its retry budget instead.
+        retry_burst: burst of that retry budget, in retries.
     """
 
     seed: int
@@ -103,12 +148,8 @@
     warm_up_us: int = 0
     overload_multiple: float = 1.0
     overload_window_us: int = 1
-    # Which of a customer's budgets the lease service divides, in place of fixed shares and quota messages:
-    # its ceiling, its quota, and its requests in flight.
     leases_ceilings: bool = False
     leases_quotas: bool = False
     leases_in_flight: bool = False
-    # The retry budget of all gateways together (retries a second, and at once), divided in the same way;
-    # 0: each gateway lives on a share of its own first attempts.
     retry_rate: float = 0.0
     retry_burst: float = 0.0
--- a/thistletrail/policy/slow_start.py
+++ b/thistletrail/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much of its traffic a server gets that started or came back from ejection recently."""
+"""Slow start: limits the traffic of servers that started or returned from ejection recently."""
 
 import random
 
@@ -9,11 +9,11 @@
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 from thistletrail.policy.upstream_server import UpstreamServer
 
-MIN_CAPACITY_FRACTION = 0.01  # for which attempts are spaced: a server that can do nothing is not waited for
+MIN_CAPACITY_FRACTION = 0.01  # bounds the spacing of attempts to a server without any capacity yet
 
 
 class SlowStart:
-    """Decides by how much servers that warm up are passed over, and how their attempts are spaced."""
+    """Decides how often servers that are warming up are skipped, and how their attempts are spaced."""
 
     def __init__(
         self,
@@ -21,63 +21,64 @@
         context: EventContext,
         servers: ServerSet,
         traffic: TrafficEstimates,
-        draws: random.Random,
+        generator: random.Random,
     ) -> None:
         self.context = context
         self.servers = servers
         self.traffic = traffic
-        self.draws = draws
+        self.generator = generator
         self.gateway_count = settings.gateway_count
         self.is_small_fleet = is_small_fleet(settings)
         self.cold_capacity = settings.cold_capacity
         self.warm_up_us = settings.warm_up_us
 
-    def warm_before_us(self) -> int:
-        """A server whose warm-up started then or earlier is warm."""
+    def warm_up_cutoff_us(self) -> int:
+        """Return the latest time at which a server that is warm by now can have started its warm-up."""
         return self.context.now_us - max(1, self.warm_up_us)
 
     def capacity_fraction(self, server: UpstreamServer) -> float:
-        """The least fraction of its capacity that a started or returned server has by now."""
-        age = (self.context.now_us - server.warm_up_start_us) / max(1, self.warm_up_us)
-        if age >= 1 or not server.warm_up_start_us:
+        """Return the minimum fraction of its full capacity that a server has by now."""
+        warm_up_progress = (self.context.now_us - server.warm_up_start_us) / max(1, self.warm_up_us)
+        if warm_up_progress >= 1 or not server.warm_up_start_us:
             return 1.0
-        return self.cold_capacity + (1 - self.cold_capacity) * age
+        return self.cold_capacity + (1 - self.cold_capacity) * warm_up_progress
 
     def traffic_fraction(self, server: UpstreamServer) -> float:
-        """The fraction of a warm server's traffic that this one may have.
+        """Return the fraction of a warm server's traffic that this server may receive.
 
-        Where many gateways spread it thin, that rises ahead of the least capacity that it has by now, as it
-        is far from the multiple of that at which servers collapse.
+        In a large fleet the fraction rises ahead of the server's minimum capacity: the traffic is spread over
+        many gateways, and stays far below the multiple of capacity at which servers collapse.
         """
         capacity = self.capacity_fraction(server)
         if self.is_small_fleet:
             return capacity
         return min(1.0, 2 * capacity - min(capacity, self.cold_capacity))
 
-    def has_turn(self, server: UpstreamServer) -> bool:
-        """Whether a server that may be cold is not passed over this time."""
+    def may_receive_attempt(self, server: UpstreamServer) -> bool:
+        """Return whether a server may receive an attempt now; a cold one is skipped at random."""
         fraction = self.traffic_fraction(server)
         if fraction >= 1:
             return True
-        return self.context.now_us >= server.next_attempt_us and self.draws.random() < fraction
+        return self.context.now_us >= server.next_attempt_us and self.generator.random() < fraction
 
     def spacing_us(self, server: UpstreamServer) -> int:
-        """How long the next attempt to a server waits after this one.
+        """Return the minimum time between this attempt to a server and the next, in us.
 
-        A server that started or came back gets its fraction of what others are sent here, spaced out. In a
-        large fleet that is an attempt in many seconds: to wait for so long after each would leave it idle.
+        In a small fleet, attempts to a server that is warming up are evenly spaced at its fraction of the
+        other servers' rate. In a large fleet the result is 0: each gateway sends it an attempt only once in
+        many seconds, and waiting for that long after each would leave the server idle.
         """
         if not self.is_small_fleet:
             return 0
-        usual_per_s = max(
+        attempts_per_server_per_s = max(
             1 / self.gateway_count,
             self.traffic.first_attempts_per_s / max(1, len(self.servers.available)),
         )
         capacity = max(MIN_CAPACITY_FRACTION, self.capacity_fraction(server))
-        return round(MICROSECONDS_PER_SECOND / capacity / usual_per_s)
+        return round(MICROSECONDS_PER_SECOND / capacity / attempts_per_server_per_s)
 
     def usable_capacity(self) -> float:
-        """What the available servers can do by now, in warm servers; ejected ones can do nothing."""
+        """Return the capacity of the available servers by now, in warm servers; ejected ones have none."""
         return sum(
             self.traffic_fraction(server) for server in self.servers.available if not server.is_ejected
         )
