--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Legal but odd sequences of events must never break a rule."""
+"""Property tests: no legal sequence of events, however unusual, breaks a rule of the policy."""
 
 from dataclasses import replace
 
@@ -48,21 +48,24 @@
     Plan(max_in_flight=2),
     Plan(rate=9.0, burst=9.0, ceiling_rate=12.0, ceiling_burst=10.0, ceiling_slack=1.0),
 )
-UNRUN = (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
-FAILURES = (*UNRUN, AttemptResult.ERROR, AttemptResult.RESET)
+NEVER_RAN = (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
+FAILURES = (*NEVER_RAN, AttemptResult.ERROR, AttemptResult.RESET)
+# The kind, number and wait of a step; see `play`.
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 400))
 
 
-class Referee(World):
-    """A world that checks each action against the rules."""
+class CheckingWorld(World):
+    """A gateway with its surroundings that checks each action against the rules."""
 
-    def __init__(self, conf: Settings) -> None:
-        self.requests: dict[str, tuple[RequestArrived, int]] = {}
-        self.over: set[str] = set()
-        self.might: dict[str, list[tuple[str, int]]] = {}
+    def __init__(self, policy_settings: Settings) -> None:
+        self.requests: dict[str, tuple[RequestArrived, int]] = {}  # with the time of arrival, by id
+        self.finished_ids: set[str] = set()
+        # By request id: the servers on which it may have run, with the time at which it was sent there.
+        self.possible_runs: dict[str, list[tuple[str, int]]] = {}
         self.states = {server.name: server for server in servers(4)}
-        self.store, self.store_at = 10.0, 100 * S
-        super().__init__(conf)
+        # The units left under the ceiling of plan 2, which has only one customer.
+        self.ceiling_level, self.ceiling_refilled_at = 10.0, 100 * S
+        super().__init__(policy_settings)
 
     def tell(self, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -70,63 +73,76 @@
         actions = super().tell(event)
         for action in actions:
             if isinstance(action, StartAttempt):
-                self.check_send(action)
+                self.check_attempt(action)
             elif isinstance(action, RejectRequest | FailRequest):
-                self.check_end(action)
+                self.check_final_answer(action)
         return actions
 
-    def check_send(self, action: StartAttempt) -> None:
+    def check_attempt(self, action: StartAttempt) -> None:
         request, _ = self.requests[action.id]
-        rule, before = CLASSES[request.class_index], self.might.setdefault(action.id, [])
-        assert action.id not in self.over
+        request_class = CLASSES[request.class_index]
+        runs = self.possible_runs.setdefault(action.id, [])
+        assert action.id not in self.finished_ids
         assert self.states[action.server].state is ServerState.UP
-        outs = [key for key in self.out if key[0] == action.id]
-        assert len(outs) == 1 or (self.gateway.settings.may_hedge and len(outs) == 2)
-        if before and rule.effect is not Effect.IDEMPOTENT:
-            assert rule.effect is Effect.IDEMPOTENT_BY_KEY
-            first, place = self.states[before[0][0]], self.states[action.server]
-            assert rule.idempotency_scope is not IdempotencyScope.ZONE or first.zone == place.zone
-            assert rule.idempotency_scope is not IdempotencyScope.CELL or first.cell == place.cell
-            assert self.now < before[0][1] + rule.idempotency_window_us
-        if not before and self.tries[action.id] == 1 and request.plan_index == 2:
-            self.store = min(10.0, self.store + 12.0 * (self.now - self.store_at) / S) - request.units
-            self.store_at = self.now
-            assert self.store >= -1.0
-        before.append((action.server, self.now))
-
-    def check_end(self, action: RejectRequest | FailRequest) -> None:
-        request, came = self.requests[action.id]
-        rule = CLASSES[request.class_index]
-        assert action.id not in self.over
-        self.over.add(action.id)
-        assert self.now <= came + request.remaining_us + 8 * MS
-        if isinstance(action, RejectRequest) and self.might.get(action.id):
-            keyed = rule.effect is Effect.IDEMPOTENT_BY_KEY and rule.idempotency_scope is IdempotencyScope.ALL
-            assert rule.effect is Effect.IDEMPOTENT or keyed
-
-    def settle(self, key: tuple[str, int], result: AttemptResult) -> None:
-        """An attempt ends; one that a proof says never ran no longer binds its request."""
+        in_flight = [key for key in self.out if key[0] == action.id]
+        assert len(in_flight) == 1 or (self.gateway.settings.may_hedge and len(in_flight) == 2)
+        if runs and request_class.effect is not Effect.IDEMPOTENT:
+            assert request_class.effect is Effect.IDEMPOTENT_BY_KEY
+            first_server, server = self.states[runs[0][0]], self.states[action.server]
+            assert (
+                request_class.idempotency_scope is not IdempotencyScope.ZONE
+                or first_server.zone == server.zone
+            )
+            assert (
+                request_class.idempotency_scope is not IdempotencyScope.CELL
+                or first_server.cell == server.cell
+            )
+            assert self.now < runs[0][1] + request_class.idempotency_window_us
+        if not runs and self.tries[action.id] == 1 and request.plan_index == 2:
+            self.ceiling_level = (
+                min(10.0, self.ceiling_level + 12.0 * (self.now - self.ceiling_refilled_at) / S)
+                - request.units
+            )
+            self.ceiling_refilled_at = self.now
+            assert self.ceiling_level >= -1.0
+        runs.append((action.server, self.now))
+
+    def check_final_answer(self, action: RejectRequest | FailRequest) -> None:
+        request, arrived_at = self.requests[action.id]
+        request_class = CLASSES[request.class_index]
+        assert action.id not in self.finished_ids
+        self.finished_ids.add(action.id)
+        assert self.now <= arrived_at + request.remaining_us + 8 * MS
+        if isinstance(action, RejectRequest) and self.possible_runs.get(action.id):
+            is_recognised_everywhere = (
+                request_class.effect is Effect.IDEMPOTENT_BY_KEY
+                and request_class.idempotency_scope is IdempotencyScope.ALL
+            )
+            assert request_class.effect is Effect.IDEMPOTENT or is_recognised_everywhere
+
+    def end_attempt(self, key: tuple[str, int], result: AttemptResult) -> None:
+        """End an attempt; one that certainly did not run no longer restricts where its request may run."""
         server, sent, _ = self.out.pop(key)
-        if result in UNRUN:
-            self.might[key[0]].remove((server, sent))
-        over = key[0] in self.over or result is AttemptResult.OK
+        if result in NEVER_RAN:
+            self.possible_runs[key[0]].remove((server, sent))
+        request_ended = key[0] in self.finished_ids or result is AttemptResult.OK
         if result is AttemptResult.OK:
-            self.over.add(key[0])
-        self.tell(AttemptEnded(key[0], over, key[1], server, result, self.now - sent))
+            self.finished_ids.add(key[0])
+        self.tell(AttemptEnded(key[0], request_ended, key[1], server, result, self.now - sent))
 
     def pass_time(self, time_us: int) -> None:
-        """Time goes by in steps of a millisecond, with time-outs where they fall due."""
+        """Let time pass in steps of a millisecond, ending attempts that time out."""
         end = self.now + time_us
         while self.now < end:
             self.run(min(MS, end - self.now))
             for key, (_, sent, timeout) in list(self.out.items()):
-                request, came = self.requests[key[0]]
-                if self.now >= min(sent + timeout, came + request.remaining_us) and key in self.out:
-                    self.settle(key, AttemptResult.TIMEOUT)
+                request, arrived_at = self.requests[key[0]]
+                if self.now >= min(sent + timeout, arrived_at + request.remaining_us) and key in self.out:
+                    self.end_attempt(key, AttemptResult.TIMEOUT)
 
     def restart(self) -> None:
-        """The gateway is killed: its requests are void, and it starts again knowing only its list."""
-        self.over.update(self.requests)
+        """Kill the gateway: its requests are lost, and the new process has only the cached endpoint list."""
+        self.finished_ids.update(self.requests)
         self.out.clear()
         self.timers.clear()
         self.gateway = type(self.gateway)(self.gateway.settings)
@@ -140,12 +156,13 @@
         self.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (self.states[name],)))
 
 
-def play(parallel: bool, steps: list[tuple[int, int, int]]) -> Referee:
-    world = Referee(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=parallel))
-    for count, (kind, number, wait) in enumerate(steps):
+def play(may_hedge: bool, steps: list[tuple[int, int, int]]) -> CheckingWorld:
+    """Run a world through steps, each an event of some kind, a number for its details, and a wait."""
+    world = CheckingWorld(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=may_hedge))
+    for step_index, (kind, number, wait) in enumerate(steps):
         if kind <= 4:
             world.ask(
-                f"q{count}",
+                f"q{step_index}",
                 remaining_us=number * 100,
                 class_index=kind,
                 plan_index=number % 3,
@@ -153,7 +170,7 @@
             )
         elif kind <= 7 and world.out:
             key = list(world.out)[number % len(world.out)]
-            world.settle(key, AttemptResult.OK if kind == 5 else FAILURES[number % len(FAILURES)])
+            world.end_attempt(key, AttemptResult.OK if kind == 5 else FAILURES[number % len(FAILURES)])
         elif kind == 8:
             world.change_server(number)
         elif number % 20 == 0:
@@ -165,7 +182,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None, database=None)
 @given(st.booleans(), st.lists(STEP, min_size=5, max_size=50))
-def test_rules_hold_whatever_comes(parallel: bool, steps: list[tuple[int, int, int]]) -> None:
-    world = play(parallel, steps)
-    assert set(world.requests) == world.over
+def test_rules_hold_for_any_sequence_of_events(may_hedge: bool, steps: list[tuple[int, int, int]]) -> None:
+    world = play(may_hedge, steps)
+    assert set(world.requests) == world.finished_ids
     assert not world.gateway.requests_by_id and not world.gateway.queue
