--- a/thistletrail/policy/retry_detection.py
+++ b/thistletrail/policy/retry_detection.py
@@ -14,7 +14,7 @@
 # How many buckets of time a first attempt may lose when its client or the gateway is slow.
 MAX_DELAY_BUCKETS = 6
 
-MIN_REQUESTS = 20  # requests to record before any is taken for a retry
+MIN_REQUESTS = 20  # recorded before any is taken for a retry: fewer do not show a common time
 
 # When this many requests are counted, all counts are halved: the table stays small and follows changes.
 MAX_REQUESTS = 400
--- a/thistletrail/policy/server_set.py
+++ b/thistletrail/policy/server_set.py
@@ -38,7 +38,7 @@
     def update(self, update: EndpointUpdate) -> None:
         """Apply an update of the endpoint list; a server that restarted loses what was observed of it.
 
-        Requests a watch on the list if it must be subscribed to and the update shows that there is none.
+        Request a watch on the list if it must be subscribed to and the update shows that there is none.
         """
         if self.must_subscribe and update.kind in UNWATCHED_UPDATES:
             self.context.emit(WatchEndpoints(True))
--- a/thistletrail/policy/upstream_server.py
+++ b/thistletrail/policy/upstream_server.py
@@ -49,9 +49,8 @@
         self.ejected_at_us = 0
         self.avoid_until_us = 0
         self.backoff_us = 0
-        self.warm_up_start_us = (
-            entry.started_us
-        )  # start of the process; half a warm-up before a return from ejection
+        # Start of the process; after an ejection, half a warm-up before the return if that is later.
+        self.warm_up_start_us = entry.started_us
 
     def add_attempt(self, request_id: str, number: int, sent_us: int) -> None:
         """Add an attempt in flight, which uses a connection of its own."""
