--- a/thistletrail/gateway/__init__.py
+++ b/thistletrail/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway process: sockets, timers, signals and stored state around the decisions of `policy`."""
+"""The gateway process: the sockets, timers, signals and stored state that the decisions of `policy` need."""
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -1,9 +1,9 @@
 """The gateway's client of the lease service for budgets.
 
-Requests shares, and gives the policy what is granted.
+It requests shares of budgets and posts the grants to the policy as events.
 
-Off unless the configuration has `budget_leases`. No request of a client waits for it: renewals are batched
-for all budgets, at a third of the lease with jitter, and what comes back is an event like any other.
+Off unless the configuration has `budget_leases`. No client's request waits for the lease service. One renewal
+covers all budgets; it is due after a third of the lease, with jitter.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 if TYPE_CHECKING:
     from thistletrail.gateway.server import GatewayServer
 
-MAX_BUDGETS = 2000  # in one renewal: as many as the lease service accepts
-POLL_INTERVAL_S = 0.05  # between looks for new customers and requests that wait for units
-RETRY_BUDGET_NAME = "further-attempts"  # the budget of all gateways' retries, at the lease service
-THOUSANDTHS = 1000  # of a unit a second, in which the lease service counts demand of a rate
+MAX_BUDGETS = 2000  # in one renewal; the limit of the lease service
+POLL_INTERVAL_S = 0.05  # between checks for new customers and requests that wait for units
+RETRY_BUDGET_NAME = "further-attempts"  # the retry budget's name at the lease service
+MILLIUNITS_PER_UNIT = 1000  # the lease service measures demand for a rate in milliunits per second
 MICROSECONDS_PER_MILLISECOND = 1000
 MILLISECONDS_PER_SECOND = 1000
 
 
 class BudgetLeaseClient:
-    """One incarnation's shares of customers' budgets, and of the retry budget."""
+    """Leases this gateway's shares of customers' budgets and of the retry budget."""
 
     def __init__(self, gateway_server: GatewayServer, config: Config) -> None:
-        """`config` has `budget_leases`."""
+        """`config` must have `budget_leases`."""
         self.gateway_server = gateway_server
         self.plan_names = {number: name for name, number in config.plan_numbers.items()}
         lease_settings = config.budget_leases
         rng = random.Random(config.settings.seed)
-        # Buckets and floors are the policy's, by a customer's set; the holder's own are of no use here.
+        # The policy has the buckets and floors, by a customer's set; those of the holder are not used.
         self.holder = BudgetHolder(
             config.settings.gateway_index, rng.getrandbits(63), config.settings.gateway_count
         )
-        self.key_by_name: dict[str, BudgetKey | None] = {}  # by name: the budgets that are requested
-        self.posted_fence_by_name: dict[str, int] = {}  # by name: the fence of the grant that was posted last
-        self.needed_units = 0  # that requests waited for at the last renewal
-        self.requested_at_s = 0.0  # when the last renewal was made, on the loop's clock
-        # For how long after a renewal none is hurried for units alone, and the longest that this may grow to.
+        self.key_by_name: dict[str, BudgetKey | None] = {}  # the requested budgets, by name
+        self.posted_fence_by_name: dict[str, int] = {}  # of the last posted grant, by budget name
+        self.needed_units = 0  # units for which requests waited at the last renewal
+        self.requested_at_s = 0.0  # time of the last renewal, on the event loop's clock
+        # For this time after a renewal, needed units alone cause no early renewal.
         self.backoff_s = 0.0
         self.max_backoff_s = lease_settings.lease_ms * RENEW_FRACTION / MILLISECONDS_PER_SECOND
         self.renewer = LeaseRenewer(
@@ -62,39 +62,39 @@
         )
 
     async def run(self) -> None:
-        """Renew until it is cancelled.
+        """Renew leases until cancelled.
 
-        Sooner than due where a customer comes of which nothing is leased, or requests wait for units. Where a
-        renewal for units brings none, the next one waits for twice as long, a usual renewal at most.
+        A renewal is early if a customer without a lease arrives, or requests wait for units. If an early
+        renewal for units grants none, the next one waits twice as long, up to the usual renewal interval.
         """
-        renewing = asyncio.get_running_loop().create_task(self.renewer.run())
+        renewal_task = asyncio.get_running_loop().create_task(self.renewer.run())
         try:
             while True:
                 await asyncio.sleep(POLL_INTERVAL_S)
                 if self._needs_early_renewal():
                     self.renewer.hurry()
         finally:
-            renewing.cancel()
+            renewal_task.cancel()
 
     def _needs_early_renewal(self) -> bool:
-        """Whether the next renewal is needed before it is due."""
-        may_hurry_for_units = asyncio.get_running_loop().time() >= self.requested_at_s + self.backoff_s
+        """Whether a renewal is needed before the next one is due."""
+        is_backoff_over = asyncio.get_running_loop().time() >= self.requested_at_s + self.backoff_s
         for demand in self.gateway_server.policy.budget_demands(now_us()):
             if self._budget_name(demand.key) not in self.key_by_name:
                 return True
-            if may_hurry_for_units and demand.needed > 0:
+            if is_backoff_over and demand.needed > 0:
                 return True
         return False
 
     def _budget_name(self, key: BudgetKey | None) -> str:
-        """A budget's name at the lease service; None is the retry budget."""
+        """A budget's name at the lease service; the key of the retry budget is None."""
         if key is None:
             return RETRY_BUDGET_NAME
         plan_name = self.plan_names[key.plan_index]
         return f"{key.kind}/{plan_name}/{key.set_first}.{key.set_size}/{key.customer:08x}"
 
     def _budget_limits(self, key: BudgetKey | None) -> BudgetLimits:
-        """The rate and burst of a budget, of all gateways together."""
+        """The rate and burst of a budget, for all gateways together."""
         settings = self.gateway_server.settings
         if key is None:
             return BudgetLimits.from_rate(settings.retry_rate, settings.retry_burst)
@@ -102,7 +102,7 @@
         return BudgetLimits.from_rate(rate, burst)
 
     def _update_demand(self) -> None:
-        """Give the holder all budgets of which a share is needed; it lets go of others by itself."""
+        """Set the demand for all budgets of which a share is needed; the holder releases the others."""
         self.requested_at_s = asyncio.get_running_loop().time()
         self.needed_units = 0
         now = now_ms()
@@ -112,7 +112,7 @@
             limits = self._budget_limits(demand.key)
             needed_units = math.ceil(demand.needed)
             self.needed_units += needed_units
-            rate_or_count = round(demand.demand * (THOUSANDTHS if limits.burst else 1))
+            rate_or_count = round(demand.demand * (MILLIUNITS_PER_UNIT if limits.burst else 1))
             self.holder.set_demand(name, limits, Demand(rate_or_count, needed_units, demand.in_use), now)
             self.holder.leases[name].returned_units = demand.returned
         for name in list(self.key_by_name):
@@ -121,7 +121,7 @@
                 self.posted_fence_by_name.pop(name, None)
 
     def _on_renewed(self) -> None:
-        """Post the grants that are new."""
+        """Post new grants to the policy, and update the backoff of early renewals."""
         now = now_ms()
         posted_at_us = now_us()
         new_grants = {
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a gateway: the environment and the JSON file that it names, checked and typed."""
+"""The configuration of a gateway, read from the environment and the JSON file that it names."""
 
 import json
 from collections.abc import Iterator, Mapping
@@ -10,21 +10,21 @@
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.settings_codec import SettingValues, read_settings
 
-MAX_ERROR_CHARACTERS = 200  # of an error's text that are shown: a value of the file may be in it
+MAX_ERROR_CHARACTERS = 200  # an error's text may contain a long value of the file
 MAX_PORT = 65535
 DEFAULT_LEASE_MS = 3000
-MIN_LEASE_MS = 500  # renewed at a third of it: a shorter one would leave a renewal under 170 ms
-MAX_RETRY_BUDGET = 1e6  # of both rate (a second) and burst, in retries; more is taken for a mistake
+MIN_LEASE_MS = 500  # renewed after a third, so a shorter lease would leave a renewal less than 170 ms
+MAX_RETRY_BUDGET = 1e6  # of rate (retries per second) and burst (retries); more is probably a mistake
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 64
-# What holds where the operators' file has no ceiling of this name.
+# Used if the settings have no ceiling of this name.
 DEFAULT_CONNECTION_IDLE_US = 30_000_000
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 DEFAULT_MAX_OPEN_REQUESTS = 20_000
 
 
 class Address(NamedTuple):
-    """A host and port; equal to the plain tuple that the socket module gives."""
+    """A host and port; equal to the plain tuple that the socket module uses."""
 
     host: str
     port: int
@@ -32,43 +32,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """A token bucket for the retries of all gateways together; a rate of 0 divides none."""
+    """The token bucket for the retries of all gateways together; with a rate of 0 there is none."""
 
-    rate: float = 0.0  # retries a second
-    burst: float = 0.0  # retries
+    rate: float = 0.0  # per second
+    burst: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetLeaseSettings:
-    """The lease service that divides budgets among gateways (`budget_leases` of the file)."""
+    """The lease service that divides budgets among gateways (key `budget_leases`)."""
 
-    addresses: tuple[Address, ...]  # one is used at a time, the next where that fails
+    addresses: tuple[Address, ...]  # one is used at a time; after a failure the next one
     secret: bytes  # signs requests to the lease service and its answers
     lease_ms: int
     retry_budget: RetryBudget = RetryBudget()
     divides_quotas: bool = False
-    divides_in_flight: bool = False  # the limits of plans on requests in flight
+    divides_in_flight: bool = False  # plans' limits on requests in flight
 
 
 @dataclass(frozen=True, slots=True)
 class WorkLeaseSettings:
-    """The lease service that records work items (`work_leases` of the file).
+    """The lease service that records work items (key `work_leases`).
 
-    Another gateway finishes the items of one that failed.
+    If a gateway fails, another one finishes its work items.
     """
 
     addresses: tuple[Address, ...]
     secret: bytes
-    classes: frozenset[int]  # the indices of the request classes that are recorded
+    classes: frozenset[int]  # indices of the recorded request classes
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a gateway is configured with. Durations have their unit in their name."""
+    """The configuration of a gateway.
+
+    The names of the fields are part of the log line about values that need a restart.
+    """
 
     name: str
     listen: Address
-    discovery: tuple[Address, ...]  # one is watched at a time, the next where that fails
+    discovery: tuple[Address, ...]  # one is watched at a time; after a failure the next one
     settings: Settings
     class_numbers: Mapping[str, int]
     plan_numbers: Mapping[str, int]
@@ -76,46 +79,45 @@
     kind_numbers: Mapping[str, int]
     conn_idle_us: int
     connect_timeout_us: int
-    max_open: int  # requests
+    max_open: int  # requests without an answer
     sockets: int
     memory_mb: int
-    known: Mapping[str, Any]  # an endpoint list in discovery's form, used until discovery sends one
-    time_stages: bool = False  # measure processor time by stage, which itself takes some
+    known: Mapping[str, Any]  # endpoint list in discovery's format, used until discovery sends one
+    time_stages: bool = False  # measure processor time by stage, which has a cost itself
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     budget_leases: BudgetLeaseSettings | None = None  # None: fixed shares and quota messages
     work_leases: WorkLeaseSettings | None = None  # None: requests in flight are lost with their gateway
-    state_dir: str = ""  # the folder of the snapshot for the next start; empty: nothing is stored
-    clock_offset_ms: int = 0  # added to the system's time, for tests of clocks that are off
+    state_dir: str = ""  # folder of the snapshot for the next start; empty: nothing is stored
+    clock_offset_ms: int = 0  # added to the system's time, for tests of inaccurate clocks
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """The configuration that the environment points to; a ConfigError where it cannot be used."""
+    """Read the configuration file that PROXY_CONFIG names; raises ConfigError if it is unusable."""
     path = env.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("PROXY_CONFIG is not set")
+        raise ConfigError("expected the path of the configuration file in PROXY_CONFIG, which is not set")
     values = _read_file(path)
     try:
         return parse(with_current_keys(values), env)
     except ConfigError as error:
         raise ConfigError(one_line(error)) from error
     except KeyError as error:
-        raise ConfigError(f"the configuration lacks or does not know {one_line(error)}") from error
+        raise ConfigError(f"the configuration has a missing or unknown name: {one_line(error)}") from error
     except (TypeError, ValueError, AttributeError, IndexError, ArithmeticError) as error:
         raise ConfigError(f"the configuration is malformed: {one_line(error)}") from error
 
 
 def reload(env: Mapping[str, str]) -> Config:
-    """The configuration anew.
+    """Read the configuration again, without PROXY_DISCOVERY.
 
-    The environment is as old as the process: in a file that was replaced since, the address of discovery is
-    the newer one.
+    The environment is as old as the process, so the address of discovery in the file is the newer one.
     """
     return load({name: value for name, value in env.items() if name != "PROXY_DISCOVERY"})
 
 
 def parse(values: Mapping[str, Any], env: Mapping[str, str]) -> Config:
-    """The configuration from the file's values, where the environment goes before them."""
+    """Convert the file's values to a configuration; variables of the environment take precedence."""
     settings = values["settings"]
     setting_values = SettingValues(dict(flatten(settings)))
     class_numbers = index_by_name(settings["categories"])
@@ -150,7 +152,7 @@
 
 
 def read_address(text: str) -> Address:
-    """An address from `host:port`; a ConfigError for any other text."""
+    """Parse `host:port`; raises ConfigError for any other text."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"expected an address as host:port, found '{text}'")
@@ -158,7 +160,10 @@
 
 
 def read_addresses(value: object) -> tuple[Address, ...]:
-    """One address, or several: a list of texts, or a text with commas between them. Repeats are dropped."""
+    """Parse a list of addresses, or a text with one or more addresses separated by commas.
+
+    Duplicates are removed.
+    """
     texts = value.split(",") if isinstance(value, str) else value
     if not isinstance(texts, list) or not texts or not all(isinstance(text, str) for text in texts):
         raise ConfigError(f"expected an address or a list of addresses, found '{value}'")
@@ -166,7 +171,7 @@
 
 
 def read_flag(values: Mapping[str, Any], name: str) -> bool:
-    """A value that is true or false; false where there is none."""
+    """Read a boolean; False if it is not set."""
     value = values.get(name, False)
     if not isinstance(value, bool):
         raise ConfigError(f"expected true or false as {name}, found '{value}'")
@@ -174,7 +179,7 @@
 
 
 def read_path(values: Mapping[str, Any], name: str) -> str:
-    """A path; empty where there is none."""
+    """Read a path; empty if it is not set."""
     value = values.get(name) or ""
     if not isinstance(value, str) or "\0" in value:
         raise ConfigError(f"expected a path as {name}, found {value!r}")
@@ -182,17 +187,17 @@
 
 
 def read_secret(values: Mapping[str, Any]) -> bytes:
-    """The secret that gateways and lease service share, which is in a file of its own."""
+    """Read the file with the secret that the gateways and the lease service share."""
     path = read_path(values, "secret_file")
     try:
         with open(path, "rb") as file:
             return file.read().strip()
     except OSError as error:
-        raise ConfigError(f"cannot read the lease service's secret: {error.strerror}") from error
+        raise ConfigError(f"cannot read the lease service's secret in '{path}': {error.strerror}") from error
 
 
 def read_budget_leases(values: object) -> BudgetLeaseSettings | None:
-    """The settings from the file's `budget_leases`; None where nothing is set."""
+    """Read `budget_leases`; returns None if it is not set."""
     if not values:
         return None
     if not isinstance(values, dict):
@@ -212,26 +217,26 @@
 
 
 def read_retry_budget(values: object) -> RetryBudget:
-    """The retry budget from `further_attempts`; none where nothing is set."""
+    """Read `further_attempts`; returns a retry budget with a rate of 0 if it is not set."""
     if not values:
         return RetryBudget()
-    found = values if isinstance(values, dict) else {}
-    figures = {}
+    unchecked = values if isinstance(values, dict) else {}
+    numbers = {}
     for name in ("rate", "burst"):
-        figure = found.get(name)
-        # Not isinstance: a bool is an int, and no figure.
-        if type(figure) not in (int, float) or not 0 <= figure <= MAX_RETRY_BUDGET:
+        number = unchecked.get(name)
+        # isinstance would also accept a bool.
+        if type(number) not in (int, float) or not 0 <= number <= MAX_RETRY_BUDGET:
             raise ConfigError(
-                f"expected a {name} from 0 to {MAX_RETRY_BUDGET:.0f} in further_attempts, found '{figure}'"
+                f"expected a {name} from 0 to {MAX_RETRY_BUDGET:.0f} in further_attempts, found '{number}'"
             )
-        figures[name] = float(figure)
-    if figures["rate"] and figures["burst"] < 1:
-        raise ConfigError(f"expected a burst of at least 1 in further_attempts, found {figures['burst']}")
-    return RetryBudget(**figures)
+        numbers[name] = float(number)
+    if numbers["rate"] and numbers["burst"] < 1:
+        raise ConfigError(f"expected a burst of at least 1 in further_attempts, found {numbers['burst']}")
+    return RetryBudget(**numbers)
 
 
 def read_work_leases(values: object, class_numbers: Mapping[str, int]) -> WorkLeaseSettings | None:
-    """The settings from the file's `work_leases`; None where nothing is set."""
+    """Read `work_leases`; returns None if it is not set."""
     if not values:
         return None
     if not isinstance(values, dict):
@@ -250,7 +255,7 @@
 
 
 def with_budget_leases(settings: Settings, budget_leases: BudgetLeaseSettings | None) -> Settings:
-    """The policy's settings with what the lease service divides."""
+    """Add the budgets that the lease service divides to the policy's settings."""
     if budget_leases is None:
         return settings
     return replace(
@@ -264,14 +269,14 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value setting_values of the simulator's wire."""
+    """Flatten nested JSON to the path and value of each setting, as in the simulator's protocol."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from flatten(inner, f"{path}.{name}" if path else name)
     elif isinstance(value, list) and all(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
-        for number, item in enumerate(value):
-            yield from flatten(item, f"{path}.{number}")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}.{index}")
     elif isinstance(value, list):
         yield path, ",".join(map(str, value))
     elif isinstance(value, bool):
@@ -281,22 +286,22 @@
 
 
 def index_by_name(values: object) -> dict[str, int]:
-    """The index of each name in a list of the settings: of plain names, or of objects with one."""
+    """The index of each name in a list of names, or of objects with a name; empty for any other value."""
     if not isinstance(values, list):
         return {}
     names = [value["name"] if isinstance(value, dict) else value for value in values]
-    return {str(name): number for number, name in enumerate(names)}
+    return {str(name): index for index, name in enumerate(names)}
 
 
 def one_line(error: Exception) -> str:
-    """The text of an error as a part of one line, cut where it is long."""
+    """The text of an error on one line, truncated to `MAX_ERROR_CHARACTERS`."""
     return " ".join(str(error).split())[:MAX_ERROR_CHARACTERS]
 
 
 def _read_file(path: str) -> Mapping[str, Any]:
-    """The JSON object in a file."""
+    """Read a JSON object from a file."""
     try:
-        with open(path, "rb") as file:  # pathlib would be loaded for this alone, and stay
+        with open(path, "rb") as file:  # pathlib would take memory for this use alone
             values = json.loads(file.read())
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"cannot read the configuration: {one_line(error)}") from error
@@ -308,15 +313,28 @@
 
 
 def _validate(config: Config) -> None:
-    """A ConfigError where values that are right by themselves do not fit together."""
+    """Raise ConfigError if values that are valid by themselves contradict each other."""
     settings = config.settings
     if not config.class_numbers or not config.plan_numbers:
-        raise ConfigError("expected at least one class and one plan in the settings, found none")
+        raise ConfigError(
+            "expected at least one class and one plan in the settings,"
+            f" found {len(config.class_numbers)} classes and {len(config.plan_numbers)} plans"
+        )
     has_unique_classes = len(config.class_numbers) == len(settings.classes)
     has_unique_plans = len(config.plan_numbers) == len(settings.plans)
     if not has_unique_classes or not has_unique_plans:
-        raise ConfigError("the settings name a class or a plan twice or not at all")
+        raise ConfigError(
+            "expected a distinct name for each class and plan in the settings,"
+            f" found {len(config.class_numbers)} for {len(settings.classes)} classes"
+            f" and {len(config.plan_numbers)} for {len(settings.plans)} plans"
+        )
     if not 0 <= settings.gateway_index < settings.gateway_count:
-        raise ConfigError(f"there is no gateway {settings.gateway_index} of {settings.gateway_count}")
+        raise ConfigError(
+            f"expected a gateway index ('me') from 0 to less than {settings.gateway_count} ('balancers')"
+            f" in the settings, found {settings.gateway_index}"
+        )
     if config.memory_mb < 1 or config.sockets < 1:
-        raise ConfigError("the limits leave no memory or no sockets")
+        raise ConfigError(
+            "expected at least 1 as memory_mb and as sockets in the limits,"
+            f" found {config.memory_mb} and {config.sockets}"
+        )
--- a/thistletrail/gateway/legacy_settings.py
+++ b/thistletrail/gateway/legacy_settings.py
@@ -1,6 +1,6 @@
-"""Keys of the configuration file that have a new name: the old name is still read, with a warning.
+"""Renamed keys of the configuration file: the old names are still read, with a warning.
 
-Only keys that are this gateway's own are renamed. Those that the operators' pages give keep their names.
+Only keys that are specific to this gateway were renamed. Those that operators' documentation defines are not.
 """
 
 import functools
@@ -21,8 +21,8 @@
 def with_current_keys(values: Mapping[str, Any]) -> dict[str, Any]:
     """The top-level values of a configuration file under the current names of their keys.
 
-    An old key is read like the current one and logged. A ConfigError where a file has both, as it would not
-    be clear which of them holds.
+    An old key is read like the current one, with a warning. Raises ConfigError if a file has both, as it
+    would be unclear which of them applies.
     """
     current = dict(values)
     for old_key, key in CURRENT_KEYS.items():
@@ -37,5 +37,5 @@
 
 @functools.cache
 def _warn_once(old_key: str, key: str) -> None:
-    """Log that an old key was read: once in a process, as the file is read again at each reload."""
+    """Warn about an old key; only once per process, as each reload reads the file again."""
     log.warning("the configuration's key '%s' has a new name: write '%s' in its place", old_key, key)
--- a/thistletrail/gateway/resource_limits.py
+++ b/thistletrail/gateway/resource_limits.py
@@ -1,21 +1,21 @@
-"""How the process's descriptors and memory are divided between clients, servers and requests."""
+"""Divides the process's descriptors and memory among clients, servers and requests."""
 
 import resource
 from dataclasses import dataclass
 
 from thistletrail.gateway.config import Config
 
-MIN_SOCKETS = 16  # below which nothing could be served
-RESERVED_SOCKETS = 32  # for listening, discovery, peers, the loop and log
-CLIENT_SHARE = 0.8  # of the other sockets
-REQUEST_MEMORY_SHARE = 1 / 8  # for commands that are not answered yet
-CLIENT_MEMORY_SHARE = 1 / 8  # for incomplete commands, and answers that clients do not read
-ANSWER_MEMORY_SHARE = 1 / 8  # for incomplete answers of servers
+MIN_SOCKETS = 16  # with fewer, the gateway could not serve
+RESERVED_SOCKETS = 32  # for the listener, discovery, peers, the event loop and the log
+CLIENT_SOCKET_SHARE = 0.8  # of the sockets that are not reserved
+REQUEST_MEMORY_SHARE = 1 / 8  # for unanswered commands
+CLIENT_MEMORY_SHARE = 1 / 8  # for incomplete commands and unsent answers
+ANSWER_MEMORY_SHARE = 1 / 8  # for incomplete answers from servers
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """Upper bounds of one gateway process: numbers of sockets, and bytes."""
+    """The maximum numbers of sockets, and of buffered bytes, of one gateway process."""
 
     client_sockets: int
     server_sockets: int
@@ -25,10 +25,10 @@
 
     @classmethod
     def from_config(cls, config: Config) -> "ResourceLimits":
-        """The limits of a configuration, within the descriptors that the system grants the process."""
+        """The limits of a configuration, within the system's limit on open descriptors."""
         descriptor_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         sockets = max(MIN_SOCKETS, min(config.sockets, descriptor_limit) - RESERVED_SOCKETS)
-        client_sockets = round(sockets * CLIENT_SHARE)
+        client_sockets = round(sockets * CLIENT_SOCKET_SHARE)
         memory_bytes = config.memory_mb << 20
         return cls(
             client_sockets=client_sockets,
--- a/thistletrail/gateway/settings_digest.py
+++ b/thistletrail/gateway/settings_digest.py
@@ -1,10 +1,10 @@
-"""The digest of a gateway's settings that a stored snapshot holds.
+"""The digest of a gateway's settings in a stored snapshot.
 
-A snapshot is used only under the settings that it was made under. The digest is the SHA-256 of the text that
-revision a1df16a's `repr` gave of its settings, so that snapshots of that revision and later ones stay usable.
-The names in that text are stored names: they are fixed in the tables below and do not follow the names of
-classes and fields in the code. After a rename only the second column of a table changes; a setting that is
-added needs a row at the place of its field, and makes every stored snapshot void.
+A snapshot is used only under the settings under which it was made. The digest is the SHA-256 of the text
+that revision a1df16a's `repr` produced for its settings, so that snapshots of that and later revisions stay
+usable. The names in that text are stored names. They are fixed in the tables below, independently of the
+names of classes and fields in the code. After a rename only the second column of a table changes. A new
+setting needs a row at the position of its field, and invalidates all stored snapshots.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
-DIGEST_LENGTH = 16  # hexadecimal digits: 64 bits are enough to tell one configuration from another
+DIGEST_LENGTH = 16  # hexadecimal digits; 64 bits suffice to distinguish configurations
 
 
 @dataclass(frozen=True, slots=True)
 class StoredFields:
-    """How a settings class stands in the stored text.
+    """The representation of a settings class in the stored text.
 
-    Its name, then each field's stored name and the attribute that holds its value, in stored order.
+    `fields` has each field's stored name and the attribute with its value, in stored order.
     """
 
     stored_name: str
@@ -108,7 +108,7 @@
 
 
 def settings_digest(settings: Settings) -> str:
-    """The digest of all settings but the seed, which is drawn anew with each start: 16 hexadecimal digits."""
+    """The digest of all settings except the seed, which differs at each start: 16 hexadecimal digits."""
     text = stored_text(replace(settings, seed=0))
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_LENGTH]
 
@@ -116,8 +116,8 @@
 def stored_text(value: object) -> str:
     """The stored text of settings or of a value in them.
 
-    A TypeError for a kind of value that no setting of revision a1df16a had, as its text is not known to be
-    the same in every version of Python.
+    Raises TypeError for a type that no setting of revision a1df16a had, as its text may differ between
+    versions of Python.
     """
     if type(value) in (bool, int, float):
         return repr(value)
@@ -135,7 +135,7 @@
 
 
 def _stored_tuple(items: tuple[object, ...]) -> str:
-    """The text of a tuple as Python writes one: a single item is followed by a comma."""
+    """The text of a tuple in Python's notation: a single item is followed by a comma."""
     texts = [stored_text(item) for item in items]
     if len(texts) == 1:
         return f"({texts[0]},)"
--- a/thistletrail/gateway/snapshot_file.py
+++ b/thistletrail/gateway/snapshot_file.py
@@ -1,7 +1,7 @@
-"""The bytes of a gateway's snapshot file: a header with a checksum, then one record in msgpack.
+"""The format of a gateway's snapshot file: a header with a checksum, then one record in msgpack.
 
-The record's keys are in snapshot_records.py. The format must not change without a new version: gateways of
-an older and a newer release read each other's files.
+The record's keys are defined in snapshot_records.py. The format must not change without a new version, as
+older and newer releases read each other's files.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """What a gateway leaves to its successor, and where it comes from."""
+    """A gateway's state for its successor, with its origin and time."""
 
     gateway_name: str
-    settings_digest: str  # of the settings that it was made under
+    settings_digest: str  # of the settings under which it was made
     written_at_ms: int  # Unix time
-    incarnation: int  # drawn anew with each start of a gateway
+    incarnation: int  # drawn at each start of a gateway
     policy: PolicySnapshot
-    endpoint_list: dict[str, Any]  # in discovery's form
+    endpoint_list: dict[str, Any]  # in discovery's format
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """The bytes of a file."""
+    """Encode a snapshot as the contents of a file."""
     record = snapshot_records.SnapshotRecord(
         gateway_name=snapshot.gateway_name,
         settings_digest=snapshot.settings_digest,
@@ -49,12 +49,12 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """The snapshot in the bytes of a file; a RejectedSnapshotError where there is none that can be read."""
+    """Decode the contents of a file; raises RejectedSnapshotError if they are not a valid snapshot."""
     body = _verified_body(data)
     try:
         record = snapshot_records.decode(body)
     except msgspec.MsgspecError as error:
-        raise RejectedSnapshotError(f"malformed: {error}") from error
+        raise RejectedSnapshotError(f"malformed record: {error}") from error
     return Snapshot(
         gateway_name=record.gateway_name,
         settings_digest=record.settings_digest,
@@ -66,7 +66,7 @@
 
 
 def _verified_body(data: bytes) -> bytes:
-    """What follows the header, after that was found to be right."""
+    """The record after the header; raises RejectedSnapshotError if the header does not match it."""
     if len(data) < HEADER.size:
         raise RejectedSnapshotError(f"cut off: expected {HEADER.size} bytes at least, found {len(data)}")
     magic, version, length, checksum = HEADER.unpack_from(data)
--- a/thistletrail/gateway/snapshot_records.py
+++ b/thistletrail/gateway/snapshot_records.py
@@ -1,8 +1,8 @@
-"""What a gateway's snapshot file holds, as msgpack: records of their own, apart from the policy's types.
+"""The records of a gateway's snapshot file, as msgpack. They are separate from the policy's types.
 
-The keys in the file are those that revision a1df16a wrote (`name=` of each field). They must not change: an
-older gateway reads what a newer one wrote, and the other way round. The policy's dataclasses may be renamed
-freely; the conversions below are the one place that knows both.
+The keys in the file are those that revision a1df16a wrote (`name=` of each field). They must not change, as
+older and newer gateways read each other's files. The policy's dataclasses may be renamed freely; only the
+conversions below depend on both.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CustomerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A customer's buckets, in units, as they were when it was last looked at."""
+    """The levels of a customer's token buckets, in units, when they were last updated."""
 
     customer: int
     plan_index: int
@@ -28,10 +28,10 @@
 
 
 class EjectedServerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A server that was ejected.
+    """An ejected server.
 
-    For how much longer, in microseconds from the snapshot on, and its latency as a multiple of the
-    objective.
+    `ejected_for_us` counts from the time of the snapshot. `latency_ratio` is the server's latency as a
+    multiple of the objective.
     """
 
     server: str
@@ -41,7 +41,7 @@
 
 
 class PolicyRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What the policy leaves to its successor."""
+    """The state of the policy."""
 
     customers: tuple[CustomerRecord, ...] = ()
     ejected_servers: tuple[EjectedServerRecord, ...] = msgspec.field(name="suspects", default=())
@@ -49,28 +49,28 @@
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """All of a snapshot file behind its header."""
+    """The contents of a snapshot file after its header."""
 
     gateway_name: str = msgspec.field(name="name")
     settings_digest: str = msgspec.field(name="settings")
     written_at_ms: int = msgspec.field(name="at_ms")  # Unix time
     incarnation: int = msgspec.field(name="mark")
     policy: PolicyRecord = msgspec.field(name="memory")
-    endpoint_list: dict[str, Any] = msgspec.field(name="known")  # in the form of the discovery protocol
+    endpoint_list: dict[str, Any] = msgspec.field(name="known")  # in discovery's format
 
 
 def encode(record: SnapshotRecord) -> bytes:
-    """The bytes of a record, as they stand in the file."""
+    """Encode a record as it is stored in the file."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(data: bytes) -> SnapshotRecord:
-    """The record of those bytes; a msgspec.MsgspecError that names the key where they are none."""
+    """Decode a record; raises msgspec.MsgspecError, which names the key, for malformed data."""
     return msgspec.msgpack.decode(data, type=SnapshotRecord)
 
 
 def to_policy_record(snapshot: PolicySnapshot) -> PolicyRecord:
-    """The policy's state as it is stored."""
+    """Convert the policy's state to its stored form."""
     return PolicyRecord(
         customers=tuple(_customer_record(customer) for customer in snapshot.customers),
         ejected_servers=tuple(_ejected_server_record(server) for server in snapshot.ejected_servers),
@@ -79,7 +79,7 @@
 
 
 def from_policy_record(record: PolicyRecord) -> PolicySnapshot:
-    """The policy's state from what was stored."""
+    """Convert a stored record to the policy's state."""
     return PolicySnapshot(
         customers=tuple(_customer(customer) for customer in record.customers),
         ejected_servers=tuple(_ejected_server(server) for server in record.ejected_servers),
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -1,9 +1,9 @@
-"""A gateway's stored state: a small snapshot now and then, for the process that comes after it.
+"""Stores snapshots of a gateway's state, from which the next process of the gateway restores it.
 
-Off unless `state_dir` is set. A snapshot is written in a thread, to a file of its own that then takes the
-old one's place; it says of which gateway and settings it is, and when it was made. Whatever is wrong with
-it is one warning, and then it is as if there were none. The folder also has the times of recent starts
-(start_history.py): a gateway that crashes again and again waits longer each time before it takes load.
+Off unless `state_dir` is set. A thread writes each snapshot to a new file, which then replaces the old one. A
+snapshot contains the name of its gateway, the digest of its settings and its time. An unusable snapshot is
+logged as one warning and ignored. The folder also contains the times of recent starts (start_history.py): a
+gateway that crashes repeatedly waits longer each time before it accepts requests.
 """
 
 from __future__ import annotations
@@ -31,49 +31,53 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SNAPSHOT_BYTES = 8 << 20  # 5,000 customers and 2,000 servers are a tenth of that
-SAVE_INTERVAL_S = 1.0  # between snapshots: what a crash loses
-SAVE_JITTER = 0.25  # of the interval, either way: gateways must not all write at once
-# A customer's buckets are full again within some seconds, and nothing else is stored for as long.
+MAX_SNAPSHOT_BYTES = 8 << 20  # ten times the size with 5,000 customers and 2,000 servers
+SAVE_INTERVAL_S = 1.0  # a crash loses the changes of this time
+SAVE_JITTER = 0.25  # fraction of the interval, in both directions, so that gateways do not write at once
+# After this time customers' buckets are full again, and all else except the endpoint list has expired.
 MAX_AGE_S = 30.0
-# The list is read anew within a second where anybody has it, and an older one names servers that were
-# removed.
+# Discovery sends the list again within a second if it is reachable, and an older one names servers that have
+# been removed.
 MAX_LIST_AGE_S = 600.0
-CRASH_BACKOFF_JITTER = 0.25  # of the wait after crashes, either way
+CRASH_BACKOFF_JITTER = 0.25  # fraction of the backoff, in both directions
 
-SNAPSHOT_NAME = "door"  # the names of files in the folder, as every release has them
+# Names of files in the folder; all releases use them.
+SNAPSHOT_NAME = "door"
 NEW_SNAPSHOT_NAME = "door.new"
 START_TIMES_NAME = "starts"
 LOCK_NAME = "lock"
 
 
 class SnapshotStore:
-    """The folder of one gateway. One that another process has or that is of no use is a ConfigError."""
+    """The folder of snapshots of one gateway."""
 
     def __init__(self, config: Config) -> None:
-        """Lock the folder, and read what a predecessor left in it."""
+        """Lock the folder, and read the predecessor's snapshot and start times.
+
+        Raises ConfigError if another process has locked the folder, or it cannot be used.
+        """
         self.config = config
         folder = Path(config.state_dir)
         self.lock_descriptor = _lock_folder(folder)
         self.snapshot_path = folder / SNAPSHOT_NAME
         self.new_snapshot_path = folder / NEW_SNAPSHOT_NAME
-        self.is_write_failing = False  # whether the last snapshot could not be written
-        self.write_lock = threading.Lock()  # the last write may begin while the one before it goes on
+        self.is_write_failing = False  # the last write failed
+        self.write_lock = threading.Lock()  # the write at the end may overlap a periodic one
         self.rng = random.Random(config.settings.seed)
         self.incarnation = self.rng.getrandbits(32)
         self.start_history = StartHistory(folder / START_TIMES_NAME)
-        self.stored_snapshot = self._read()  # a predecessor's snapshot
+        self.stored_snapshot = self._read()  # the predecessor's; None: no usable one
 
     def unix_ms(self) -> int:
-        """The system's time, in milliseconds."""
+        """The system's time in milliseconds since 1970, with the configured offset."""
         return round(time.time() * 1000) + self.config.clock_offset_ms
 
     # --- at the start ---
 
     def register_start(self) -> float:
-        """Note a start as one that has not ended well yet.
+        """Record this start, which counts as crashed until `finish` removes it.
 
-        For how many seconds it is to wait, with jitter.
+        Returns for how many seconds the gateway must wait before it accepts requests, with jitter.
         """
         now_s = self.unix_ms() / 1000
         backoff_s = crash_backoff_s(self.start_history.start_times_s, now_s)
@@ -82,13 +86,13 @@
         return backoff_s * jitter
 
     def with_stored_list(self, config: Config) -> Config:
-        """The configuration with the endpoint list of the snapshot, where it has none itself."""
+        """The configuration; if it has no endpoint list, with the one of the snapshot."""
         if self.stored_snapshot is None or config.known:
             return config
         return replace(config, known=self.stored_snapshot.endpoint_list)
 
     def restore(self, gateway_server: GatewayServer) -> None:
-        """Give the policy what the snapshot says, where that is young enough."""
+        """Pass the predecessor's snapshot to the policy, unless it is older than `MAX_AGE_S`."""
         if self.stored_snapshot is None:
             return
         age_ms = max(0, self.unix_ms() - self.stored_snapshot.written_at_ms)
@@ -98,7 +102,7 @@
             log.warning("a snapshot of %.1f s ago is too old for all but its list", age_ms / 1000)
 
     def _read(self) -> Snapshot | None:
-        """What a predecessor left, if it may be used."""
+        """Read the predecessor's snapshot; returns None if there is none, or logs why it is rejected."""
         try:
             with self.snapshot_path.open("rb") as file:
                 data = file.read(MAX_SNAPSHOT_BYTES)
@@ -115,7 +119,7 @@
     # --- while it serves ---
 
     async def run(self, gateway_server: GatewayServer) -> None:
-        """Write a snapshot every now and then, until it is cancelled."""
+        """Write a snapshot every `SAVE_INTERVAL_S`, with jitter, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             jitter = self.rng.uniform(1 - SAVE_JITTER, 1 + SAVE_JITTER)
@@ -123,7 +127,7 @@
             await loop.run_in_executor(None, self.write, self.collect(gateway_server))
 
     def collect(self, gateway_server: GatewayServer) -> Snapshot:
-        """A snapshot of what a gateway knows now."""
+        """Create a snapshot of a gateway's current state."""
         return Snapshot(
             gateway_name=self.config.name,
             settings_digest=settings_digest(self.config.settings),
@@ -134,7 +138,7 @@
         )
 
     def write(self, snapshot: Snapshot) -> None:
-        """Put it in the old one's place, complete or not at all. A failure is logged once, until it works."""
+        """Replace the stored snapshot atomically. The first of consecutive failures is logged."""
         try:
             with self.write_lock, self.new_snapshot_path.open("wb") as file:
                 file.write(encode_snapshot(snapshot))
@@ -153,7 +157,10 @@
     # --- at the end ---
 
     def finish(self, gateway_server: GatewayServer | None) -> None:
-        """A planned end: the last state, if any, is written, and the start was none that crashed."""
+        """Record a planned end.
+
+        Writes the gateway's last state, if it has served, and removes this start from the start times.
+        """
         if gateway_server is not None:
             self.write(self.collect(gateway_server))
         self.start_history.remove_last()
@@ -164,13 +171,13 @@
 
 
 def check_snapshot(snapshot: Snapshot, config: Config, now_ms: int) -> None:
-    """A RejectedSnapshotError where not even the endpoint list of a snapshot may be used."""
+    """Raise RejectedSnapshotError if no part of a snapshot may be used, not even its endpoint list."""
     if snapshot.gateway_name != config.name:
         raise RejectedSnapshotError(f"expected one of {config.name}, found one of {snapshot.gateway_name}")
     digest = settings_digest(config.settings)
     if snapshot.settings_digest != digest:
         raise RejectedSnapshotError(
-            f"of other settings: expected digest {digest}, found {snapshot.settings_digest}"
+            f"made under other settings: expected digest {digest}, found {snapshot.settings_digest}"
         )
     age_s = (now_ms - snapshot.written_at_ms) / 1000
     if age_s < -CLOCK_TOLERANCE_S:
@@ -180,7 +187,7 @@
 
 
 def _lock_folder(folder: Path) -> int:
-    """Make a folder and lock it for this process; the descriptor that holds the lock."""
+    """Create a folder if necessary and lock it for this process; returns the descriptor of the lock."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
         lock = os.open(folder / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
--- a/thistletrail/gateway/start_history.py
+++ b/thistletrail/gateway/start_history.py
@@ -1,7 +1,7 @@
-"""When a gateway started lately, to slow down one that crashes again and again.
+"""The recent start times of a gateway, which slow down one that crashes repeatedly.
 
-Each start is written to a file before the gateway takes load, and removed by a planned end: what is in the
-file are the starts that crashed, and the present one. The file is a list of Unix times in msgpack.
+Each start is written to a file before the gateway accepts requests, and a planned end removes it. The file
+thus contains the starts that crashed and the current one. Its format is a list of Unix times in msgpack.
 """
 
 from __future__ import annotations
@@ -11,29 +11,31 @@
 
 import msgspec
 
-CRASH_WINDOW_S = 10.0  # starts within it count together
-MAX_STARTS_WITHOUT_BACKOFF = 1  # of these: one before is a restart, more are a crash that repeats
-FIRST_BACKOFF_S = 1.0  # doubles with each further start
+CRASH_WINDOW_S = 10.0  # older starts cause no backoff
+# One earlier start in the window may be a restart; several mean that the gateway crashes repeatedly.
+MAX_STARTS_WITHOUT_BACKOFF = 1
+FIRST_BACKOFF_S = 1.0  # doubled for each further start
 MAX_BACKOFF_S = 8.0
-CLOCK_TOLERANCE_S = 2.0  # by which a time may be in the future: clocks of one machine step by less
+# How far a stored time may be in the future: steps of a machine's clock are smaller.
+CLOCK_TOLERANCE_S = 2.0
 
 
 class StartHistory:
-    """The start times in one file. One that cannot be read is as an empty one."""
+    """The start times in one file. An unreadable file counts as empty."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.start_times_s = self._read()  # Unix times, the latest last
 
     def add(self, now_s: float) -> None:
-        """Note a start as one that has not ended well yet, and forget those that count no more."""
+        """Add a start, and remove those that are too old to cause a backoff."""
         relevant_s = CRASH_WINDOW_S + MAX_BACKOFF_S
         recent = [start_s for start_s in self.start_times_s if abs(now_s - start_s) < relevant_s]
         self.start_times_s = [*recent, now_s]
         self._write()
 
     def remove_last(self) -> None:
-        """Note that the last start has ended well."""
+        """Remove the last start after a planned end."""
         self.start_times_s = self.start_times_s[:-1]
         self._write()
 
@@ -44,16 +46,16 @@
             return []
 
     def _write(self) -> None:
-        with contextlib.suppress(OSError):  # a folder that takes nothing is reported with the first snapshot
+        with contextlib.suppress(OSError):  # the first snapshot reports an unwritable folder
             self.path.write_bytes(msgspec.msgpack.encode(self.start_times_s))
 
 
 def crash_backoff_s(start_times_s: list[float], now_s: float) -> float:
-    """How long a start is to wait before it takes load, by the times of those before it that crashed."""
+    """For how many seconds a start must wait, given the times of earlier starts that crashed."""
     earliest_s = now_s - CRASH_WINDOW_S
     latest_s = now_s + CLOCK_TOLERANCE_S
-    recent = sum(earliest_s <= start_s <= latest_s for start_s in start_times_s)
-    excess = recent - MAX_STARTS_WITHOUT_BACKOFF
+    recent_starts = sum(earliest_s <= start_s <= latest_s for start_s in start_times_s)
+    excess = recent_starts - MAX_STARTS_WITHOUT_BACKOFF
     if excess <= 0:
         return 0.0
     return min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (excess - 1))
