--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -1,4 +1,4 @@
-"""What requests cost: counters against a count from outside, stages against a clock that is passed in."""
+"""Cost counters against counts of clients and backends, and stage times against a simulated clock."""
 
 import asyncio
 import json
@@ -20,21 +20,21 @@
 from thistletrail.policy.actions import SendPeerMessage
 from thistletrail.policy.events import PeerMessageReceived, QuotaMessage
 
-OPEN = Path("/proc/self/fd")
+DESCRIPTOR_TABLE = Path("/proc/self/fd")
 
 
-def figures(gateway_server: GatewayServer) -> dict[str, object]:
+def read_figures(gateway_server: GatewayServer) -> dict[str, object]:
     first_word, _, rest = gateway_server.cost_line().partition(" ")
     assert first_word == "costs" and "\n" not in rest
     return json.loads(rest)
 
 
-def test_counts_agree_with_a_count_from_outside(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_counters_agree_with_what_clients_and_backends_see(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backends, "REST_US", 0)
 
     async def scenario() -> None:
-        def answer(words: list[bytes]) -> bytes | None:
-            return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(words[2], value(b"ok"))
+        def answer(arguments: list[bytes]) -> bytes | None:
+            return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(arguments[2], value(b"ok"))
 
         backend = Backend(answer)
         async with running_gateway(backend) as (gateway_server, address):
@@ -43,21 +43,22 @@
                 assert await client.ask(query(f"a{number}")) == b"ok"
             assert await client.ask(b"*1\r\n$4\r\nPING\r\n") == b"PONG"
             assert str(await client.ask(query("a!"))).startswith("-ERR")
-            assert await client.ask(query("b1")) == "-BUSY 750"  # a safe class with no try left
+            assert await client.ask(query("b1")) == "-BUSY 750"  # an idempotent class without attempts left
             leaving = await Client.open(address)
             leaving.send(query("z1"))
             await backend.received(1, b"z1")
             leaving.writer.close()
-            while not (found := figures(gateway_server))["gone"]:
+            while not (figures := read_figures(gateway_server))["gone"]:
                 await asyncio.sleep(0.001)
-            assert (found["requests"], found["served"], found["refused"], found["failed"]) == (22, 20, 1, 0)
-            assert found["accepted"] == 2 and found["pings"] == 1 and found["wrong_commands"] == 1
-            assert found["attempts"] == len(backend.commands) and found["handshakes"] == backend.opened
-            assert found["reused"] == len(backend.commands) - backend.opened
-            assert found["handshakes_failed"] == 0 and found["turned_away"] == 0
-            assert found["list_lines"] == 1 and found["watches"] == 1
-            assert found["bytes"] == {"requests": 0, "clients": 0}
-            assert "stages_s" not in found
+            assert [figures[key] for key in ("requests", "served", "refused", "failed")] == [22, 20, 1, 0]
+            assert figures["accepted"] == 2 and figures["pings"] == 1 and figures["wrong_commands"] == 1
+            assert figures["attempts"] == len(backend.commands)
+            assert figures["handshakes"] == backend.opened
+            assert figures["reused"] == len(backend.commands) - backend.opened
+            assert figures["handshakes_failed"] == 0 and figures["turned_away"] == 0
+            assert figures["list_lines"] == 1 and figures["watches"] == 1
+            assert figures["bytes"] == {"requests": 0, "clients": 0}
+            assert "stages_s" not in figures
 
     run(scenario())
 
@@ -67,27 +68,29 @@
         async with running_gateway(addresses=[refusing_address()]) as (gateway_server, address):
             client = await Client.open(address)
             assert str(await client.ask(query("a1"))).startswith("-")
-            found = figures(gateway_server)
-            assert found["handshakes"] == found["handshakes_failed"] == found["attempts"] > 0
-            assert found["refused"] + found["failed"] == 1
+            figures = read_figures(gateway_server)
+            assert figures["handshakes"] == figures["handshakes_failed"] == figures["attempts"] > 0
+            assert figures["refused"] + figures["failed"] == 1
 
     run(scenario())
 
 
-@pytest.mark.skipif(not OPEN.is_dir(), reason="this system tells nobody of a process's descriptors")
-def test_descriptors_agree_with_the_process_s_own_table() -> None:
+@pytest.mark.skipif(
+    not DESCRIPTOR_TABLE.is_dir(), reason="this system does not list the descriptors of a process"
+)
+def test_descriptors_agree_with_the_descriptor_table_of_the_process() -> None:
     async def scenario() -> None:
         backend = Backend()
         async with running_gateway(backend) as (gateway_server, address):
-            before = figures(gateway_server)["descriptors"]
+            before = read_figures(gateway_server)["descriptors"]
             clients = [await Client.open(address) for _ in range(30)]
             for number, client in enumerate(clients):
                 assert await client.ask(query(f"a{number}")) == b"ok"
-            after, listed = figures(gateway_server)["descriptors"], len(os.listdir(OPEN)) - 1
+            after, listed = read_figures(gateway_server)["descriptors"], len(os.listdir(DESCRIPTOR_TABLE)) - 1
             assert after["all"] == listed
             assert after["clients"] - before["clients"] == len(clients)
             assert after["backends"] - before["backends"] == backend.opened
-            # The other ends of all these are this process's too, and have no owner in the gateway.
+            # This process also has the other ends of these connections, which have no owner in the gateway.
             assert after["process"] - before["process"] == len(clients) + backend.opened
             assert after["listener"] == after["discovery"] == 1
 
@@ -99,16 +102,16 @@
 ) -> None:
     monkeypatch.setattr(costs, "DESCRIPTOR_FOLDER", tmp_path / "none")
     monkeypatch.setattr(costs, "STATUS_FILE", tmp_path / "none")
-    found = costs.report(CostCounters(), {}, {"clients": 3})
-    assert found["descriptors"] == {"clients": 3}
-    assert not {"resident_bytes", "resident_most_bytes"} & set(found)
+    figures = costs.report(CostCounters(), {}, {"clients": 3})
+    assert figures["descriptors"] == {"clients": 3}
+    assert not {"resident_bytes", "resident_most_bytes"} & set(figures)
     (tmp_path / "none").write_text("Name:\tx\nVmHWM:\t  9 kB\nVmRSS:\t  7 kB\n")
     assert costs.resident_memory() == {"resident_bytes": 7 * 1024, "resident_most_bytes": 9 * 1024}
     (tmp_path / "none").write_text("VmRSS:\tmuch\n")
     assert costs.resident_memory() == {}
 
 
-def test_each_moment_counts_for_the_innermost_stage() -> None:
+def test_time_counts_for_the_innermost_stage() -> None:
     ticks = iter([0, 10, 13, 20, 27, 30])
     stages = StageTimer(True, clock=lambda: next(ticks))
     inner = stages.wrap("in", lambda text: text * 2)
@@ -117,15 +120,15 @@
     assert stages.report() == {"in": 7e-9, "out": 10e-9, REST: 13e-9}
 
 
-def test_a_stage_ends_with_a_fault_too() -> None:
+def test_a_stage_ends_when_its_function_raises() -> None:
     ticks = iter([0, 10, 15, 16])
     stages = StageTimer(True, clock=lambda: next(ticks))
 
-    def fault() -> None:
+    def fail() -> None:
         raise ValueError("boom")
 
     with pytest.raises(ValueError, match="boom"):
-        stages.wrap("out", fault)()
+        stages.wrap("out", fail)()
     assert stages.stage == REST and stages.report() == {"out": 5e-9, REST: 11e-9}
 
 
@@ -141,11 +144,11 @@
             client = await Client.open(address)
             for number in range(50):
                 assert await client.ask(query(f"a{number}")) == b"ok"
-            gateway_server.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # a stranger
-            spent = figures(gateway_server)["stages_s"]
+            gateway_server.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # an unknown address
+            spent = read_figures(gateway_server)["stages_s"]
             assert {"actions", "backends", "clients", "decisions", "discovery", "peers", "rest"} == set(spent)
             assert all(seconds > 0 for seconds in spent.values())
-            assert figures(gateway_server)["datagrams_dropped"] == 1
+            assert read_figures(gateway_server)["datagrams_dropped"] == 1
 
     run(scenario())
 
@@ -161,9 +164,9 @@
             ports.append(transport.get_extra_info("sockname"))
             transport.close()
         received: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
-        counted = [CostCounters(), CostCounters()]
+        counters = [CostCounters(), CostCounters()]
         ends = [
-            PeerTransport(tuple(ports), number, received.put_nowait, counted[number]) for number in (0, 1)
+            PeerTransport(tuple(ports), number, received.put_nowait, counters[number]) for number in (0, 1)
         ]
         for end, port in zip(ends, ports, strict=True):
             await asyncio.sleep(0)
@@ -172,23 +175,24 @@
             ends[0].send(SendPeerMessage(1, (QuotaMessage(7, 0, 0, 2),)))
             await received.get()
         ends[0].transport.sendto(b"nonsense", ports[1])
-        while not counted[1].datagrams_dropped:
+        while not counters[1].datagrams_dropped:
             await asyncio.sleep(0.001)
-        assert (counted[0].datagrams_out, counted[1].datagrams_in, counted[1].datagrams_dropped) == (3, 3, 1)
+        assert counters[0].datagrams_out == counters[1].datagrams_in == 3
+        assert counters[1].datagrams_dropped == 1
         for end in ends:
             end.close()
 
     run(scenario())
 
 
-def test_setting_is_true_or_false(tmp_path: Path) -> None:
+def test_time_stages_must_be_a_boolean(tmp_path: Path) -> None:
     assert not load(write(tmp_path, config())).time_stages
     assert load(write(tmp_path, config(time_stages=True))).time_stages
     with pytest.raises(ConfigError, match="time_stages"):
         load(write(tmp_path, config(time_stages=1)))
 
 
-def test_signal_and_drain_each_bring_one_line(tmp_path: Path) -> None:
+def test_signal_and_shutdown_each_log_one_cost_line(tmp_path: Path) -> None:
     async def scenario() -> None:
         process, address = await start(tmp_path, Backend())
         client = await Client.open(address)
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -1,4 +1,4 @@
-"""A request's time: what is spent and what is left, over any course of it."""
+"""Deadlines: the time spent and the remaining time, for any sequence of stages and limits."""
 
 import pytest
 from hypothesis import given, settings
@@ -15,10 +15,10 @@
     estimate_unread_us,
 )
 
-S = 1_000_000
-TIMES = st.integers(-S, 10 * S)
-# Steps: time goes by (a clock that stands still or seems to go back takes nothing), then a stage or a drain.
-STEP = st.tuples(st.integers(-50_000, 2 * S), st.one_of(st.sampled_from(Stage), TIMES))
+SECOND_US = 1_000_000
+TIMES = st.integers(-SECOND_US, 10 * SECOND_US)
+# A step: time passes (none if the clock stands still or goes back), then a new stage or a shutdown begins.
+STEP = st.tuples(st.integers(-50_000, 2 * SECOND_US), st.one_of(st.sampled_from(Stage), TIMES))
 STEPS = st.lists(STEP, max_size=12)
 
 
@@ -28,40 +28,41 @@
 
 @settings(derandomize=True)
 @given(TIMES, TIMES, STEPS)
-def test_spent_and_left_are_what_was_given(wait: int, unread: int, steps: list) -> None:
-    now, deadline = 100 * S, Deadline.start(wait, unread, 100 * S)
+def test_spent_and_remaining_time_add_up_to_the_given_time(wait: int, unread: int, steps: list) -> None:
+    now, deadline = 100 * SECOND_US, Deadline.start(wait, unread, 100 * SECOND_US)
     assert deadline.given_us == max(0, wait - ANSWER_MARGIN_US) == total_us(deadline, now)
-    for took, what in steps:
-        now += took
+    for elapsed_us, change in steps:
+        now += elapsed_us
         assert total_us(deadline, now) == deadline.given_us
-        if isinstance(what, Stage):
-            after = deadline.enter(what, now)
+        if isinstance(change, Stage):
+            after = deadline.enter(change, now)
             assert after.given_us == deadline.given_us and after.end_us == deadline.end_us
         else:
-            after = deadline.capped_at(100 * S + what, DeadlineSource.DRAIN)
+            after = deadline.capped_at(100 * SECOND_US + change, DeadlineSource.DRAIN)
             assert after.end_us <= deadline.end_us
             assert after is deadline or after.source is DeadlineSource.DRAIN
         assert all(new >= old for old, new in zip(deadline.spent_us, after.spent_us, strict=True))
         assert 0 <= after.remaining_us(now) <= deadline.remaining_us(now)
         deadline = after
-    assert total_us(deadline, now + 100 * S) == deadline.given_us and not deadline.remaining_us(now + 100 * S)
+    much_later = now + 100 * SECOND_US
+    assert total_us(deadline, much_later) == deadline.given_us and not deadline.remaining_us(much_later)
 
 
 @settings(derandomize=True)
-@given(TIMES, TIMES, st.lists(st.integers(0, S), max_size=10))
-def test_left_never_grows(wait: int, unread: int, steps: list[int]) -> None:
+@given(TIMES, TIMES, st.lists(st.integers(0, SECOND_US), max_size=10))
+def test_remaining_time_never_grows(wait: int, unread: int, steps: list[int]) -> None:
     now, deadline = 0, Deadline.start(wait, unread, 0)
     remaining = deadline.remaining_us(now)
-    for number, took in enumerate(steps):
-        now += took
+    for number, elapsed_us in enumerate(steps):
+        now += elapsed_us
         deadline = deadline.enter(Stage(number % len(Stage)), now)
         assert 0 <= deadline.remaining_us(now) <= remaining
         remaining = deadline.remaining_us(now)
 
 
 @settings(derandomize=True)
-@given(st.integers(-S, 20 * S), st.integers(0, 20 * S))
-def test_text_never_gives_more_than_was_written(remaining: int, max_us: int) -> None:
+@given(st.integers(-SECOND_US, 20 * SECOND_US), st.integers(0, 20 * SECOND_US))
+def test_encoded_time_is_never_decoded_to_more(remaining: int, max_us: int) -> None:
     read = decode_remaining(encode_remaining(remaining).decode(), max_us)
     if read is None:
         assert remaining > max_us
@@ -70,38 +71,38 @@
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", " 1", "1e3", "٣", "9" * 13, "0x1", "1_0", "10001"])
-def test_text_that_is_no_time(text: str) -> None:
-    assert decode_remaining(text, 10 * S) is None
+def test_malformed_or_too_large_text_is_rejected(text: str) -> None:
+    assert decode_remaining(text, 10 * SECOND_US) is None
 
 
-def test_each_moment_is_charged_to_its_stage() -> None:
+def test_time_is_charged_to_the_stage_it_was_spent_in() -> None:
     deadline = Deadline.start(1_025_000, 30_000, 0)
     deadline = (
         deadline.enter(Stage.CONNECTING, 100_000).enter(Stage.WAITING, 150_000).enter(Stage.HELD, 450_000)
     )
     assert deadline.spent_by(500_000) == (30_000, 150_000, 50_000, 300_000, 0)
     assert deadline.remaining_us(500_000) == 470_000 and deadline.longest_stage(500_000) is Stage.WAITING
-    # Past its end nothing is left, and nothing more is charged.
-    assert deadline.spent_by(5 * S) == (30_000, 620_000, 50_000, 300_000, 0) and not deadline.remaining_us(
-        5 * S
-    )
+    # After the end no time remains, and no more is charged.
+    assert deadline.spent_by(5 * SECOND_US) == (30_000, 620_000, 50_000, 300_000, 0)
+    assert not deadline.remaining_us(5 * SECOND_US)
 
 
-def test_drain_shortens_and_never_lengthens() -> None:
+def test_shutdown_shortens_a_deadline_and_never_lengthens_it() -> None:
     deadline = Deadline.start(2_025_000, 0, 0)
-    assert deadline.capped_at(3 * S, DeadlineSource.DRAIN) is deadline
-    short = deadline.capped_at(S, DeadlineSource.DRAIN)
-    assert (short.end_us, short.given_us, short.source) == (S, S, DeadlineSource.DRAIN)
-    assert short.capped_at(2 * S, DeadlineSource.DRAIN) is short
-    assert not short.capped_at(-S, DeadlineSource.DRAIN).remaining_us(0)
+    assert deadline.capped_at(3 * SECOND_US, DeadlineSource.DRAIN) is deadline
+    shortened = deadline.capped_at(SECOND_US, DeadlineSource.DRAIN)
+    assert shortened.end_us == shortened.given_us == SECOND_US
+    assert shortened.source == DeadlineSource.DRAIN
+    assert shortened.capped_at(2 * SECOND_US, DeadlineSource.DRAIN) is shortened
+    assert not shortened.capped_at(-SECOND_US, DeadlineSource.DRAIN).remaining_us(0)
 
 
-def test_time_unread_is_an_estimate_with_bounds() -> None:
-    assert estimate_unread_us(MIN_LATE_US - 1, 0) == 0  # a timer may be as coarse
+def test_unread_time_is_estimated_within_bounds() -> None:
+    assert estimate_unread_us(MIN_LATE_US - 1, 0) == 0  # within the resolution of a timer
     assert (
-        estimate_unread_us(2 * S, 0) == S
+        estimate_unread_us(2 * SECOND_US, 0) == SECOND_US
         and estimate_unread_us(0, 70_000) == 70_000
-        and estimate_unread_us(-S, -S) == 0
+        and estimate_unread_us(-SECOND_US, -SECOND_US) == 0
     )
-    assert Deadline.start(500_000, 9 * S, 0).remaining_us(0) == 0  # never more than was there to lose
-    assert Deadline.start(500_000, -9 * S, 0).remaining_us(0) == 475_000
+    assert Deadline.start(500_000, 9 * SECOND_US, 0).remaining_us(0) == 0  # limited to the given time
+    assert Deadline.start(500_000, -9 * SECOND_US, 0).remaining_us(0) == 475_000
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -20,55 +20,55 @@
 from thistletrail.policy.events import EndpointUpdate, EndpointUpdateKind, Event, QuotaMessage, ServerState
 from thistletrail.policy.peer_codec import pack_datagrams
 
-AT = (HOST, 6379)
+ADDRESS = (HOST, 6379)
 
 
-class Longest(random.Random):
-    """Draws the longest wait."""
+class MaxJitter(random.Random):
+    """Draws the maximum of each range."""
 
-    def uniform(self, a: float, b: float) -> float:
-        return b
+    def uniform(self, low: float, high: float) -> float:
+        return high
 
 
 async def receive_updates(watch: Watch, count: int, version: int = 0) -> list[EndpointListUpdate]:
-    """The first updates that a watch brings."""
+    """The first `count` updates of a watch."""
     received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
     tasks = []
-    found = DiscoveryClient(
+    client = DiscoveryClient(
         (await watch.start(),),
         EndpointListCodec(CONFIG),
         version,
         received.put_nowait,
         lambda coroutine: tasks.append(asyncio.create_task(coroutine)),
-        rng=Longest(),
+        rng=MaxJitter(),
     )
-    found.start()
+    client.start()
     try:
         return [await received.get() for _ in range(count)]
     finally:
         tasks[0].cancel()
 
 
-def script(*pieces: bytes, stay: bool = True) -> object:
+def answer_script(*pieces: bytes, stay: bool = True) -> object:
     async def play(writer: asyncio.StreamWriter) -> None:
         for piece in pieces:
             writer.write(piece)
-            await asyncio.sleep(0.001)  # so that the pieces are read apart
+            await asyncio.sleep(0.001)  # the pieces must arrive separately
         if stay:
             await asyncio.Event().wait()
 
     return play
 
 
-def test_lines_in_pieces_empty_lines_and_unknown_states() -> None:
+def test_updates_are_read_from_pieces_with_empty_lines_and_unknown_states() -> None:
     async def scenario() -> None:
-        odd = [entry("s2", AT, "RESTING"), {"instanceId": "odd"}, entry("s3", AT, "DRAINING")]
-        line = catalog(5, [entry("s1", AT), *odd])
-        gone = catalog(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
+        others = [entry("s2", ADDRESS, "RESTING"), {"instanceId": "odd"}, entry("s3", ADDRESS, "DRAINING")]
+        line = catalog(5, [entry("s1", ADDRESS), *others])
+        removal = catalog(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
         stream = HEAD + chunk(b"\n") + chunk(line[:30])
-        stream += chunk(line[30:] + b"\n" + gone[:9]) + chunk(gone[9:])
-        pieces = [stream[n : n + 50] for n in range(0, len(stream), 50)]
-        first, second = await receive_updates(Watch(script(*pieces)), 2)
+        stream += chunk(line[30:] + b"\n" + removal[:9]) + chunk(removal[9:])
+        pieces = [stream[start : start + 50] for start in range(0, len(stream), 50)]
+        first, second = await receive_updates(Watch(answer_script(*pieces)), 2)
         states = {server.name: server.state for server in first.event.servers}
         assert (first.event.kind, first.event.version) == (EndpointUpdateKind.FULL, 5)
         draining = ServerState.DRAINING
@@ -83,14 +83,14 @@
     return json.dumps(json.loads(listed), indent=2).encode() + b"\n"
 
 
-def test_indented_lists_are_read_as_complete_lists_and_as_changes() -> None:
+def test_indented_lists_and_changes_are_read() -> None:
     async def scenario() -> None:
-        brace = entry("s2", AT) | {"zone": 'a "{" b'}  # braces in strings open nothing
-        complete = indented(catalog(5, [entry("s1", AT), brace]))
-        change = indented(catalog(6, [entry("s1", AT, "DRAINING")], reset=False))
+        brace = entry("s2", ADDRESS) | {"zone": 'a "{" b'}  # braces in strings do not count
+        complete = indented(catalog(5, [entry("s1", ADDRESS), brace]))
+        change = indented(catalog(6, [entry("s1", ADDRESS, "DRAINING")], reset=False))
         stream = HEAD + chunk(complete[:70]) + chunk(complete[70:] + b"\n") + chunk(change)
-        pieces = [stream[n : n + 90] for n in range(0, len(stream), 90)]
-        first, second = await receive_updates(Watch(script(*pieces)), 2)
+        pieces = [stream[start : start + 90] for start in range(0, len(stream), 90)]
+        first, second = await receive_updates(Watch(answer_script(*pieces)), 2)
         assert [server.name for server in first.event.servers] == ["s1", "s2"]
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.DRAINING
@@ -98,40 +98,41 @@
     run(scenario())
 
 
-def test_complete_list_that_is_indented_and_has_no_line_end_is_read() -> None:
+def test_indented_complete_list_without_a_final_line_end_is_read() -> None:
     async def scenario() -> None:
-        body = indented(catalog(5, [entry("s1", AT)])).strip()
+        body = indented(catalog(5, [entry("s1", ADDRESS)])).strip()
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        old, new = Watch(script(HEAD)), Watch(script(answer, stay=False))
-        moved = Moved(await old.start())
-        moved.discovery.change_addresses((await new.start(),))
-        assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        moved.discovery.watcher.close()
+        old, new = Watch(answer_script(HEAD)), Watch(answer_script(answer, stay=False))
+        harness = DiscoveryHarness(await old.start())
+        harness.discovery.change_addresses((await new.start(),))
+        assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def test_complete_list_that_ends_with_its_connection_is_read(caplog: pytest.LogCaptureFixture) -> None:
-    """It has neither a length nor chunks nor a last line's end."""
+def test_complete_list_that_the_end_of_its_connection_ends_is_read(caplog: pytest.LogCaptureFixture) -> None:
+    """The answer has neither a length nor chunks nor a final line end."""
 
     async def scenario() -> None:
         answer = (
-            b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + indented(catalog(5, [entry("s1", AT)])).strip()
+            b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+            + indented(catalog(5, [entry("s1", ADDRESS)])).strip()
         )
-        old, new = Watch(script(HEAD, stay=False)), Watch(script(answer, stay=False))
-        moved = Moved(await old.start())
-        moved.discovery.change_addresses((await new.start(),))
-        assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        moved.discovery.watcher.close()
+        old, new = Watch(answer_script(HEAD, stay=False)), Watch(answer_script(answer, stay=False))
+        harness = DiscoveryHarness(await old.start())
+        harness.discovery.change_addresses((await new.start(),))
+        assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
+        harness.discovery.watcher.close()
 
     run(scenario())
     assert "malformed" not in caplog.text
 
 
-def test_an_object_that_does_not_go_on_is_given_up_though_empty_lines_come(
+def test_an_incomplete_object_times_out_although_empty_lines_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What stands half on the wire must not swallow the changes behind it."""
+    """An incomplete object must not swallow the changes that follow it."""
     monkeypatch.setattr(watch_connection, "OBJECT_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
@@ -141,15 +142,18 @@
                 writer.write(chunk(b"\n"))
                 await asyncio.sleep(0.02)
 
-        watch = Watch(stuck, script(HEAD + chunk(catalog(5, []))))
+        watch = Watch(stuck, answer_script(HEAD + chunk(catalog(5, []))))
         assert (await receive_updates(watch, 1))[0].event.version == 5
 
     run(scenario())
 
 
-def test_all_that_a_call_may_take_to_be_made_anew_fits_in_what_counts_as_notified() -> None:
-    """6 s after a watch fell silent, which may be right after a line, and 6 s after discovery is back, which
-    may be right after a call that will not be answered; 0.25 s are left to carry a change out."""
+def test_a_failed_request_is_repeated_within_the_time_of_notification() -> None:
+    """An update counts as notified 6 s after a watch became silent or discovery recovered.
+
+    Silence may start right after a line, and the recovery right after a request that gets no answer. 0.25 s
+    are reserved for applying an update.
+    """
     notified_s = 6.0 - 0.25
     silent_s = watch_connection.SILENT_TIMEOUT_S + discovery_client.MIN_BACKOFF_S
     failed_s = (
@@ -161,24 +165,25 @@
         + discovery_client.MAX_BACKOFF_S
     )
     assert max(silent_s, failed_s) < notified_s
-    assert watch_connection.FIRST_BYTE_TIMEOUT_S > 2.0  # the first empty line may be all that comes
+    # The first data may be the first empty line, after 2 s.
+    assert watch_connection.FIRST_BYTE_TIMEOUT_S > 2.0
 
 
-def test_watch_that_ends_is_reopened_after_what_was_received() -> None:
+def test_watch_that_ends_is_reopened_after_the_last_received_version() -> None:
     async def scenario() -> None:
         watch = Watch(
-            script(HEAD + chunk(catalog(5, [])), stay=False),
-            script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
-            script(HEAD + chunk(catalog(6, [])[:20]), stay=False),  # breaks within a line: not received
-            script(HEAD + chunk(b"{not json\n")),
-            script(HEAD + chunk(catalog(9, [], reset=False))),
+            answer_script(HEAD + chunk(catalog(5, [])), stay=False),
+            answer_script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
+            answer_script(HEAD + chunk(catalog(6, [])[:20]), stay=False),  # ends within a line: not received
+            answer_script(HEAD + chunk(b"{not json\n")),
+            answer_script(HEAD + chunk(catalog(9, [], reset=False))),
         )
-        started = time.monotonic()
-        found = await receive_updates(watch, 2, version=3)
-        assert [update.event.version for update in found] == [5, 9]
-        afters = [target.partition("after=")[2] for target in watch.targets]
-        assert afters == ["3", "5", "5", "5", "5"]
-        assert time.monotonic() - started > 4 * discovery_client.MIN_BACKOFF_S  # no busy loop
+        started_s = time.monotonic()
+        updates = await receive_updates(watch, 2, version=3)
+        assert [update.event.version for update in updates] == [5, 9]
+        requested_versions = [target.partition("after=")[2] for target in watch.targets]
+        assert requested_versions == ["3", "5", "5", "5", "5"]
+        assert time.monotonic() - started_s > 4 * discovery_client.MIN_BACKOFF_S  # no busy loop
 
     run(scenario())
 
@@ -187,53 +192,52 @@
     monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
+        watch = Watch(answer_script(HEAD), answer_script(HEAD + chunk(catalog(4, []))))
         assert (await receive_updates(watch, 1))[0].event.version == 4
         assert len(watch.targets) == 2
 
     run(scenario())
 
 
-def test_call_that_has_no_answer_is_awaited_while_the_next_one_waits(
+def test_unanswered_request_stays_open_during_the_backoff(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Discovery answers it as it comes back, and what it sends then counts as notified at once."""
+    """Discovery answers the request when it recovers; its updates then count as notified at once."""
     monkeypatch.setattr(watch_connection, "FIRST_BYTE_TIMEOUT_S", 0.1)
-    monkeypatch.setattr(
-        discovery_client, "MIN_BACKOFF_S", 20.0
-    )  # what a test that misses the answer waits for
+    # Without the answer, the test would wait for this time and fail.
+    monkeypatch.setattr(discovery_client, "MIN_BACKOFF_S", 20.0)
 
     async def scenario() -> None:
-        async def back_late(writer: asyncio.StreamWriter) -> None:
+        async def answer_late(writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.4)
             writer.write(HEAD + chunk(catalog(4, [])))
             await asyncio.sleep(0.4)
             writer.write(chunk(catalog(5, [], reset=False)))
             await asyncio.Event().wait()
 
-        watch = Watch(back_late)
+        watch = Watch(answer_late)
         async with asyncio.timeout(10):
             updates = await receive_updates(watch, 2)
         assert [update.event.version for update in updates] == [4, 5]
-        assert len(watch.targets) == 1  # that was answered after all, and goes on
+        assert len(watch.targets) == 1  # it was answered late and continues
 
     run(scenario())
 
 
-def test_watch_that_fell_silent_is_not_awaited(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It would never send what it has missed, and what it sends later would hide that."""
+def test_watch_that_became_silent_is_closed_before_the_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It would never send the updates that it has missed, and later ones would hide that."""
     for name in ("SILENT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S"):
         monkeypatch.setattr(watch_connection, name, 0.2)
     monkeypatch.setattr(discovery_client, "MIN_BACKOFF_S", 1.0)
 
     async def scenario() -> None:
-        async def missing_one(writer: asyncio.StreamWriter) -> None:
+        async def skip_an_update(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(catalog(4, [])))
             await asyncio.sleep(0.6)
             writer.write(chunk(catalog(9, [], reset=False)))
             await asyncio.Event().wait()
 
-        watch = Watch(missing_one, script(HEAD + chunk(catalog(6, [], reset=False))))
+        watch = Watch(skip_an_update, answer_script(HEAD + chunk(catalog(6, [], reset=False))))
         updates = await receive_updates(watch, 2)
         assert [update.event.version for update in updates] == [4, 6]
         assert watch.targets[1].endswith("after=4")
@@ -241,28 +245,28 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
-def test_numbers_out_of_range_say_nothing(odd: object) -> None:
-    listed = {**entry("s1", AT), "weight": odd, "startedAtMs": odd}
+@pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
+def test_numbers_out_of_range_are_ignored(invalid: object) -> None:
+    listed = {**entry("s1", ADDRESS), "weight": invalid, "startedAtMs": invalid}
     update = EndpointListCodec(CONFIG).decode_update({"generation": 1, "instances": [listed]})
     (server,) = update.event.servers
     assert (server.size, server.started_us) == (1.0, 0)
 
 
-def test_start_times_go_over_to_our_clock() -> None:
-    read = EndpointListCodec(CONFIG)
-    assert read.to_monotonic_us(0) == 0
+def test_start_times_are_converted_to_the_monotonic_clock() -> None:
+    codec = EndpointListCodec(CONFIG)
+    assert codec.to_monotonic_us(0) == 0
     now_ms = time.time_ns() // 1_000_000
-    assert abs(read.to_monotonic_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
-    assert read.to_monotonic_us(now_ms) == read.to_monotonic_us(now_ms)
-    assert read.to_monotonic_us(1) < 0  # before this machine's clock began, but not 'long ago'
+    assert abs(codec.to_monotonic_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
+    assert codec.to_monotonic_us(now_ms) == codec.to_monotonic_us(now_ms)
+    assert codec.to_monotonic_us(1) < 0  # before the start of the monotonic clock, but known
 
 
-def test_known_list_serves_while_discovery_is_silent() -> None:
+def test_configured_list_is_used_while_discovery_is_silent() -> None:
     async def scenario() -> None:
-        known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
+        known = {"generation": 3, "reset": True, "instances": [entry("s1", ADDRESS)]}
         gateway_server = GatewayServer(
-            replace(CONFIG, known=known, discovery=(await Watch(script()).start(),))
+            replace(CONFIG, known=known, discovery=(await Watch(answer_script()).start(),))
         )
         received: list[Event] = []
         gateway_server.policy.handle = lambda now, event: received.append(event) or []
@@ -276,32 +280,32 @@
     run(scenario())
 
 
-def test_messages_of_peers_arrive_and_those_of_strangers_are_dropped() -> None:
+def test_datagrams_of_peers_are_received_and_those_of_unknown_addresses_dropped() -> None:
     async def scenario() -> None:
         loop, received = asyncio.get_running_loop(), asyncio.Queue()
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        unknown_sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         ports = [refusing_address(), refusing_address()]
-        own, friend = (PeerTransport(tuple(ports), number, received.put_nowait) for number in (0, 1))
-        for peers, at in zip((own, friend), ports, strict=True):
-            await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
-        messages = tuple(QuotaMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
-        with stranger:
-            stranger.sendto(pack_datagrams(messages[:1])[0], ports[0])
-        friend.transport.sendto(b"x" * 7, ports[0])
-        friend.transport.sendto(pack_datagrams(messages)[0] * 2, ports[0])  # longer than the wire allows
-        friend.send(SendPeerMessage(0, messages))
-        got: tuple[QuotaMessage, ...] = ()
-        while len(got) < len(messages):
+        own, peer = (PeerTransport(tuple(ports), number, received.put_nowait) for number in (0, 1))
+        for transport, address in zip((own, peer), ports, strict=True):
+            await loop.create_datagram_endpoint(lambda transport=transport: transport, local_addr=address)
+        messages = tuple(QuotaMessage(number, 0, 0, 2, demand=1.0) for number in range(30))
+        with unknown_sender:
+            unknown_sender.sendto(pack_datagrams(messages[:1])[0], ports[0])
+        peer.transport.sendto(b"x" * 7, ports[0])
+        peer.transport.sendto(pack_datagrams(messages)[0] * 2, ports[0])  # longer than a valid datagram
+        peer.send(SendPeerMessage(0, messages))
+        quota_messages: tuple[QuotaMessage, ...] = ()
+        while len(quota_messages) < len(messages):
             message = await received.get()
             assert message.sender == 1
-            got += message.quota_messages
-        assert got == messages and received.empty()
+            quota_messages += message.quota_messages
+        assert quota_messages == messages and received.empty()
 
     run(scenario())
 
 
-class Moved:
-    """A gateway's discovery that is moved from one address to others."""
+class DiscoveryHarness:
+    """A discovery client whose addresses a test changes, with the updates that it reports."""
 
     def __init__(self, *addresses: tuple[str, int]) -> None:
         self.received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
@@ -321,105 +325,109 @@
         return event.kind, [server.name for server in event.servers]
 
 
-def listing(*names: str, version: int = 4) -> object:
-    """Answers the question for the whole list, without a line's end."""
-    body = catalog(version, [entry(name, AT) for name in names]).strip()
-    return script(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, stay=False)
+def complete_list_script(*names: str, version: int = 4) -> object:
+    """Answers the request for the complete list, without a final line end."""
+    body = catalog(version, [entry(name, ADDRESS) for name in names]).strip()
+    return answer_script(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, stay=False)
 
 
-def test_new_address_takes_over_with_its_complete_list() -> None:
+def test_new_address_replaces_the_old_one_with_its_complete_list() -> None:
     async def scenario() -> None:
         late = asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(catalog(9, [entry("s1", AT)])))
+            writer.write(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])))
             await late.wait()
-            writer.write(chunk(catalog(10, [entry("s9", AT)])))  # must not undo what the new one has sent
+            # This update must not overwrite the list of the new address.
+            writer.write(chunk(catalog(10, [entry("s9", ADDRESS)])))
             await writer.drain()
 
         old = Watch(old_watch)
-        new = Watch(listing("s2", version=2), script(HEAD + chunk(catalog(3, [], reset=False))))
-        moved = Moved(await old.start())
-        assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        moved.discovery.change_addresses((await new.start(),))
-        assert await moved.names() == (EndpointUpdateKind.FULL, ["s2"])
+        new = Watch(
+            complete_list_script("s2", version=2), answer_script(HEAD + chunk(catalog(3, [], reset=False)))
+        )
+        harness = DiscoveryHarness(await old.start())
+        assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
+        harness.discovery.change_addresses((await new.start(),))
+        assert await harness.names() == (EndpointUpdateKind.FULL, ["s2"])
         late.set()
-        assert await moved.names() == (EndpointUpdateKind.CHANGES, [])
+        assert await harness.names() == (EndpointUpdateKind.CHANGES, [])
         assert new.targets == ["/catalog/members", "/catalog/members?watch=1&after=2"]
         assert len(old.targets) == 1
-        await moved.tasks[0]  # the old watch has ended for good
-        assert moved.received.empty() and moved.discovery.version == 3
-        moved.discovery.watcher.close()
+        await harness.tasks[0]  # the old watch has ended and is not reopened
+        assert harness.received.empty() and harness.discovery.version == 3
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def test_old_watch_goes_on_until_the_new_one_sends_its_list() -> None:
+def test_old_watch_continues_until_the_new_address_sends_its_list() -> None:
     async def scenario() -> None:
         moves, speak = asyncio.Event(), asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(catalog(5, [entry("s1", AT)])))
+            writer.write(HEAD + chunk(catalog(5, [entry("s1", ADDRESS)])))
             await moves.wait()
-            writer.write(chunk(catalog(6, [entry("s2", AT)])))
+            writer.write(chunk(catalog(6, [entry("s2", ADDRESS)])))
 
         async def slow(writer: asyncio.StreamWriter) -> None:
             await speak.wait()
-            await listing("s3")(writer)
-
-        never = Watch(script())
-        last = Watch(slow, script(HEAD))
-        moved = Moved(await Watch(old_watch).start())
-        assert (await moved.names())[1] == ["s1"]
-        moved.discovery.change_addresses((await never.start(),))
-        moved.discovery.change_addresses((await last.start(),))  # twice, as reloads may come in a row
+            await complete_list_script("s3")(writer)
+
+        never = Watch(answer_script())
+        last = Watch(slow, answer_script(HEAD))
+        harness = DiscoveryHarness(await Watch(old_watch).start())
+        assert (await harness.names())[1] == ["s1"]
+        harness.discovery.change_addresses((await never.start(),))
+        # The second change follows at once, as after consecutive reloads.
+        harness.discovery.change_addresses((await last.start(),))
         moves.set()
-        assert (await moved.names())[1] == ["s2"]
+        assert (await harness.names())[1] == ["s2"]
         speak.set()
-        assert (await moved.names())[1] == ["s3"]
-        assert moved.discovery.watcher.address == last.server.sockets[0].getsockname()
-        moved.discovery.watcher.close()
+        assert (await harness.names())[1] == ["s3"]
+        assert harness.discovery.watcher.address == last.server.sockets[0].getsockname()
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def always(*pieces: bytes) -> object:
-    return script(HEAD, *(chunk(piece) for piece in pieces))
+def watch_script(*pieces: bytes) -> object:
+    return answer_script(HEAD, *(chunk(piece) for piece in pieces))
 
 
-async def versions(moved: Moved, count: int) -> list[int]:
-    return [(await moved.received.get()).event.version for _ in range(count)]
+async def versions(harness: DiscoveryHarness, count: int) -> list[int]:
+    return [(await harness.received.get()).event.version for _ in range(count)]
 
 
-def test_another_address_is_watched_where_one_fails() -> None:
+def test_the_next_address_is_watched_after_a_failure() -> None:
     async def scenario() -> None:
-        ends = Watch(script(HEAD + chunk(catalog(5, [entry("s1", AT)])), stay=False))
-        stays = Watch(always(catalog(6, [entry("s2", AT)], reset=False)))
-        moved = Moved(refusing_address(), await ends.start(), await stays.start())
-        assert await versions(moved, 2) == [5, 6]
+        ends = Watch(answer_script(HEAD + chunk(catalog(5, [entry("s1", ADDRESS)])), stay=False))
+        stays = Watch(watch_script(catalog(6, [entry("s2", ADDRESS)], reset=False)))
+        harness = DiscoveryHarness(refusing_address(), await ends.start(), await stays.start())
+        assert await versions(harness, 2) == [5, 6]
         assert stays.targets == ["/catalog/members?watch=1&after=5"]
-        moved.discovery.watcher.close()
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def test_changes_of_an_address_that_lags_are_passed_over() -> None:
+def test_outdated_changes_of_a_lagging_address_are_ignored() -> None:
     async def scenario() -> None:
-        ends = Watch(script(HEAD + chunk(catalog(9, [entry("s1", AT)])), stay=False))
+        ends = Watch(answer_script(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])), stay=False))
         lags = Watch(
-            always(
-                catalog(7, [entry("s1", AT, "DRAINING")], reset=False),
-                catalog(10, [entry("s2", AT)], reset=False),
+            watch_script(
+                catalog(7, [entry("s1", ADDRESS, "DRAINING")], reset=False),
+                catalog(10, [entry("s2", ADDRESS)], reset=False),
             )
         )
-        moved = Moved(await ends.start(), await lags.start())
-        assert await versions(moved, 2) == [9, 10]
-        moved.discovery.watcher.close()
+        harness = DiscoveryHarness(await ends.start(), await lags.start())
+        assert await versions(harness, 2) == [9, 10]
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def test_an_older_list_is_taken_only_when_it_is_all_there_is(
+def test_an_older_list_is_accepted_only_after_the_grace_time(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(discovery_client, "STALE_LIST_GRACE_S", 0.4)
@@ -427,49 +435,52 @@
 
     async def scenario() -> None:
         ends = Watch(
-            script(HEAD + chunk(catalog(9, [entry("s1", AT)])), stay=False), script(HEAD, stay=False)
+            answer_script(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])), stay=False),
+            answer_script(HEAD, stay=False),
         )
-        older = Watch(always(catalog(4, [entry("s2", AT)])))
-        moved = Moved(await ends.start(), await older.start())
-        began = time.monotonic()
-        assert await versions(moved, 2) == [9, 4]
-        assert time.monotonic() - began >= 0.4 and len(older.targets) > 1
-        moved.discovery.watcher.close()
+        older = Watch(watch_script(catalog(4, [entry("s2", ADDRESS)])))
+        harness = DiscoveryHarness(await ends.start(), await older.start())
+        started_s = time.monotonic()
+        assert await versions(harness, 2) == [9, 4]
+        assert time.monotonic() - started_s >= 0.4 and len(older.targets) > 1
+        harness.discovery.watcher.close()
 
     run(scenario())
     assert "the watch sent an older endpoint list: version 4 is older than 9" in caplog.text
     assert "there is only an older list: version 4 after 9" in caplog.text
 
 
-def test_a_list_of_another_history_replaces_all_and_a_single_address_is_always_believed() -> None:
+def test_an_older_list_of_the_same_address_replaces_the_list_in_use() -> None:
     async def scenario() -> None:
         only = Watch(
-            script(HEAD + chunk(catalog(9, [entry("s1", AT)])), stay=False),
-            always(catalog(4, [entry("s2", AT)])),
+            answer_script(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])), stay=False),
+            watch_script(catalog(4, [entry("s2", ADDRESS)])),
         )
-        moved = Moved(await only.start())
-        assert await moved.names() == (EndpointUpdateKind.FULL, ["s1"])
-        assert await moved.names() == (EndpointUpdateKind.FULL, ["s2"])
-        assert moved.discovery.version == 4
-        moved.discovery.watcher.close()
+        harness = DiscoveryHarness(await only.start())
+        assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
+        assert await harness.names() == (EndpointUpdateKind.FULL, ["s2"])
+        assert harness.discovery.version == 4
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def test_the_age_of_the_list_is_known_and_logged(
+def test_the_age_of_the_list_is_reported_and_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(watch_connection, "FIRST_BYTE_TIMEOUT_S", 0.3)
 
     async def scenario() -> None:
-        moved = Moved(await Watch(script(), always(catalog(5, [])), script()).start())
-        assert moved.discovery.age_s() < 0
-        assert await versions(moved, 1) == [5]
-        assert 0 <= moved.discovery.age_s() < 0.3
-        while moved.discovery.age_s() < 0.5:
+        harness = DiscoveryHarness(
+            await Watch(answer_script(), watch_script(catalog(5, [])), answer_script()).start()
+        )
+        assert harness.discovery.age_s() < 0
+        assert await versions(harness, 1) == [5]
+        assert 0 <= harness.discovery.age_s() < 0.3
+        while harness.discovery.age_s() < 0.5:
             await asyncio.sleep(0.02)
-        moved.discovery.watcher.close()
+        harness.discovery.watcher.close()
 
     run(scenario())
     assert "the watch on discovery is silent; the list is the one known at the start" in caplog.text
@@ -482,47 +493,47 @@
         [b"nonsense\r\n\r\n"],
         [b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 100_000],  # a head without an end
         [HEAD + chunk(b"{" * 600_000), chunk(b"{" * 600_000)],  # a line without an end
-        [HEAD + chunk(b'{"generation":')],  # half a line, and then silence
+        [HEAD + chunk(b'{"generation":')],  # half a line, then silence
         [HEAD + b"zz\r\n"],
         [],  # an answer that never starts
     ],
 )
-def test_what_fails_is_bounded_and_the_next_address_serves(
+def test_malformed_or_stuck_answers_end_and_the_next_address_is_used(
     pieces: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("SILENT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "OBJECT_TIMEOUT_S"):
         monkeypatch.setattr(watch_connection, name, 0.3)
 
     async def scenario() -> None:
-        good = Watch(always(catalog(5, [entry("s1", AT)])))
-        moved = Moved(await Watch(script(*pieces)).start(), await good.start())
-        assert await versions(moved, 1) == [5]
-        moved.discovery.watcher.close()
+        good = Watch(watch_script(catalog(5, [entry("s1", ADDRESS)])))
+        harness = DiscoveryHarness(await Watch(answer_script(*pieces)).start(), await good.start())
+        assert await versions(harness, 1) == [5]
+        harness.discovery.watcher.close()
 
     run(scenario())
 
 
-def test_waits_between_attempts_have_full_jitter_and_a_bound() -> None:
+def test_backoff_between_requests_has_full_jitter_and_a_maximum() -> None:
     async def scenario() -> None:
         waits = []
 
-        class Noted(random.Random):
-            def uniform(self, a: float, b: float) -> float:
-                waits.append((a, b))
+        class RecordingRandom(random.Random):
+            def uniform(self, low: float, high: float) -> float:
+                waits.append((low, high))
                 return 0.0
 
-        found = DiscoveryClient(
+        client = DiscoveryClient(
             (refusing_address(),),
             EndpointListCodec(CONFIG),
             0,
             lambda update: None,
             lambda coroutine: asyncio.create_task(coroutine),
-            rng=Noted(),
+            rng=RecordingRandom(),
         )
-        found.start()
+        client.start()
         while len(waits) < 8:
             await asyncio.sleep(0.01)
-        found.watcher.close()
+        client.watcher.close()
         assert [low for low, _ in waits] == [0] * len(waits)
         highs = [high for _, high in waits]
         assert highs[:4] == [0.2, 0.4, 0.8, 1.6] and max(highs) == discovery_client.MAX_BACKOFF_S
--- a/tests/test_legacy_settings.py
+++ b/tests/test_legacy_settings.py
@@ -1,4 +1,4 @@
-"""Old keys of the configuration file: read like the new ones, warned of once, refused beside the new ones."""
+"""Old keys of the configuration file: read like the current ones with one warning, rejected beside them."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -15,15 +15,15 @@
 
 
 @pytest.fixture(autouse=True)
-def no_warning_yet() -> Iterator[None]:
-    """Each test is as a process of its own: nothing was warned of before."""
+def reset_warnings() -> Iterator[None]:
+    """Reset the warnings that were logged, as in a new process."""
     legacy_settings._warn_once.cache_clear()
     yield
     legacy_settings._warn_once.cache_clear()
 
 
-def part(folder: Path) -> dict[str, object]:
-    """An object that either key may have."""
+def lease_settings(folder: Path) -> dict[str, object]:
+    """A value that is valid for either key."""
     secret = folder / "secret"
     secret.write_text("0123456789abcdef\n")
     return {
@@ -36,39 +36,41 @@
 
 
 @pytest.mark.parametrize("old_key, key", KEYS)
-def test_an_old_key_is_read_like_the_new_one(tmp_path: Path, old_key: str, key: str) -> None:
-    by_old_key = load(write(tmp_path, config(**{old_key: part(tmp_path)})))
-    by_new_key = load(write(tmp_path, config(**{key: part(tmp_path)})))
-    assert by_old_key == by_new_key
-    assert getattr(by_new_key, key).addresses == (("127.0.0.1", 8600), ("127.0.0.1", 8601))
-    assert getattr(by_new_key, key).secret == b"0123456789abcdef"
+def test_an_old_key_is_read_like_the_current_one(tmp_path: Path, old_key: str, key: str) -> None:
+    by_old_key = load(write(tmp_path, config(**{old_key: lease_settings(tmp_path)})))
+    by_current_key = load(write(tmp_path, config(**{key: lease_settings(tmp_path)})))
+    assert by_old_key == by_current_key
+    assert getattr(by_current_key, key).addresses == (("127.0.0.1", 8600), ("127.0.0.1", 8601))
+    assert getattr(by_current_key, key).secret == b"0123456789abcdef"
 
 
 @pytest.mark.parametrize("old_key, key", KEYS)
-def test_an_old_key_is_warned_of_once_however_often_the_file_is_read(
+def test_an_old_key_is_warned_of_once_per_process(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, old_key: str, key: str
 ) -> None:
-    env = write(tmp_path, config(**{old_key: part(tmp_path)}))
+    env = write(tmp_path, config(**{old_key: lease_settings(tmp_path)}))
     load(env)
     load(env)
-    said = [record.getMessage() for record in caplog.records if record.levelname == "WARNING"]
-    assert said == [f"the configuration's key '{old_key}' has a new name: write '{key}' in its place"]
+    warnings = [record.getMessage() for record in caplog.records if record.levelname == "WARNING"]
+    assert warnings == [f"the configuration's key '{old_key}' has a new name: write '{key}' in its place"]
 
 
-def test_new_keys_bring_no_warning(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    load(write(tmp_path, config(budget_leases=part(tmp_path), work_leases=part(tmp_path))))
+def test_current_keys_cause_no_warning(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    load(
+        write(tmp_path, config(budget_leases=lease_settings(tmp_path), work_leases=lease_settings(tmp_path)))
+    )
     assert not caplog.records
 
 
 @pytest.mark.parametrize("old_key, key", KEYS)
-def test_an_old_key_beside_its_new_one_is_refused(tmp_path: Path, old_key: str, key: str) -> None:
-    env = write(tmp_path, config(**{old_key: part(tmp_path), key: part(tmp_path)}))
+def test_an_old_key_together_with_its_current_one_is_rejected(tmp_path: Path, old_key: str, key: str) -> None:
+    env = write(tmp_path, config(**{old_key: lease_settings(tmp_path), key: lease_settings(tmp_path)}))
     with pytest.raises(ConfigError, match="found both") as caught:
         load(env)
     assert f"'{key}'" in str(caught.value) and f"'{old_key}'" in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_other_keys_stay_as_they_are() -> None:
+def test_other_keys_are_unchanged() -> None:
     values = {"name": "n0", "unknown": 1}
     assert with_current_keys(values) == values
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: what it is told, its signals, its exit code."""
+"""The gateway as a process: its configuration, signals, log and exit code."""
 
 import asyncio
 import json
@@ -82,14 +82,14 @@
     return {"PROXY_CONFIG": str(file)}
 
 
-def test_configuration_is_read(tmp_path: Path) -> None:
-    found = load({**write(tmp_path, config()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"})
-    assert (found.name, found.listen, found.discovery) == ("n9", (HOST, 6379), ((HOST, 8),))
-    assert found.settings.seed == 0x8C1F30D27A5BE964 and found.settings.gateway_count == 2
-    assert found.class_numbers == {"read": 0, "settle": 1} and found.zone_numbers == {"a": 0, "b": 1}
-    assert found.settings.classes[1].effect.value == "unsafe" and found.settings.plans[0].rate == 9.0
-    assert found.settings.max_retry_after_us == 500_000 and found.sockets == 512
-    assert found.conn_idle_us == 7_000_000 and found.connect_timeout_us == 250_000
+def test_configuration_is_read_from_file_and_environment(tmp_path: Path) -> None:
+    loaded = load({**write(tmp_path, config()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"})
+    assert (loaded.name, loaded.listen, loaded.discovery) == ("n9", (HOST, 6379), ((HOST, 8),))
+    assert loaded.settings.seed == 0x8C1F30D27A5BE964 and loaded.settings.gateway_count == 2
+    assert loaded.class_numbers == {"read": 0, "settle": 1} and loaded.zone_numbers == {"a": 0, "b": 1}
+    assert loaded.settings.classes[1].effect.value == "unsafe" and loaded.settings.plans[0].rate == 9.0
+    assert loaded.settings.max_retry_after_us == 500_000 and loaded.sockets == 512
+    assert loaded.conn_idle_us == 7_000_000 and loaded.connect_timeout_us == 250_000
 
 
 @pytest.mark.parametrize(
@@ -109,10 +109,10 @@
         None,
     ],
 )
-def test_unusable_configuration_is_one_plain_line(tmp_path: Path, values: object) -> None:
+def test_unusable_configuration_is_reported_in_one_line(tmp_path: Path, values: object) -> None:
     env = {key: text for key, text in os.environ.items() if not key.startswith("PROXY_")}
     env |= write(tmp_path, values) if values is not None else {}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "thistletrail.gateway"],
         cwd=ROOT,
         env=env,
@@ -121,8 +121,8 @@
         check=False,
         timeout=60,
     )
-    assert done.returncode == 2
-    assert done.stderr.startswith("gateway: ") and done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert completed.stderr.startswith("gateway: ") and completed.stderr.count("\n") == 1
 
 
 async def start(
@@ -144,13 +144,13 @@
     return process, listen
 
 
-def test_reload_that_is_asked_for_while_the_configuration_is_read_is_not_missed(tmp_path: Path) -> None:
-    """The file is a pipe: the start stands still in it until somebody writes."""
+def test_reload_requested_while_the_configuration_is_read_takes_effect(tmp_path: Path) -> None:
+    """The file is a pipe, so that the start blocks until the test writes to it."""
 
-    async def job() -> None:
-        fifo, moved = tmp_path / "config.json", Watch(lambda writer: asyncio.sleep(60))
+    async def scenario() -> None:
+        fifo, new_discovery = tmp_path / "config.json", Watch(lambda writer: asyncio.sleep(60))
         os.mkfifo(fifo)
-        free, target = refusing_address(), await moved.start()
+        free, target = refusing_address(), await new_discovery.start()
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -160,7 +160,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
         old = config(listen=f"{HOST}:{free[1]}", discovery=f"{HOST}:{refusing_address()[1]}")
-        while True:  # until the start has the pipe open
+        while True:  # until the gateway has opened the pipe
             try:
                 end = os.open(fifo, os.O_WRONLY | os.O_NONBLOCK)
                 break
@@ -172,19 +172,19 @@
         process.send_signal(signal.SIGHUP)
         os.write(end, json.dumps(old).encode())
         os.close(end)
-        while not moved.targets:
+        while not new_discovery.targets:
             await asyncio.sleep(0.01)
         process.terminate()
         await process.wait()
         assert process.returncode == 0
 
-    run(job())
+    run(scenario())
 
 
 def test_reload_takes_the_address_of_discovery_from_the_file(tmp_path: Path) -> None:
-    """PROXY_DISCOVERY is as old as the process, and a file that cannot be used changes nothing."""
+    """PROXY_DISCOVERY is as old as the process and is not used; an unusable file has no effect."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         process, address = await start(tmp_path, Backend(), PROXY_DISCOVERY=f"{HOST}:9")
         file = tmp_path / "config.json"
         good = json.loads(file.read_text())
@@ -192,11 +192,11 @@
         process.send_signal(signal.SIGHUP)
         while b"stays as it was" not in (line := await process.stderr.readline()):
             assert line
-        backend = Backend(lambda words: value(b"new"))
+        backend = Backend(lambda arguments: value(b"new"))
         listed = json.loads(catalog(1, [entry("s2", await backend.start())]))
         body = json.dumps(listed).encode()
 
-        async def whole(writer: asyncio.StreamWriter) -> None:
+        async def complete_list(writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
         async def silent(writer: asyncio.StreamWriter) -> None:
@@ -205,7 +205,7 @@
             await asyncio.Event().wait()
 
         watched = asyncio.Event()
-        discovery = await Watch(whole, silent).start()
+        discovery = await Watch(complete_list, silent).start()
         file.write_text(json.dumps({**good, "discovery": f"{HOST}:{discovery[1]}"}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
@@ -216,15 +216,15 @@
         process.send_signal(signal.SIGTERM)
         while b"drains" not in await process.stderr.readline():
             pass
-        process.send_signal(signal.SIGHUP)  # also while it drains
+        process.send_signal(signal.SIGHUP)  # must be harmless during the shutdown
         assert await process.wait() == 0
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_signal_drains_and_ends_with_0(tmp_path: Path, number: int) -> None:
-    async def job() -> None:
+def test_signal_starts_a_graceful_shutdown_with_exit_code_0(tmp_path: Path, number: int) -> None:
+    async def scenario() -> None:
         backend = Backend()
         process, address = await start(tmp_path, backend)
         client = await Client.open(address)
@@ -238,11 +238,11 @@
         assert await client.ended()
         assert await process.wait() == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_address_in_use_is_one_plain_line(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_address_in_use_is_reported_without_a_traceback(tmp_path: Path) -> None:
+    async def scenario() -> None:
         taken = await Backend().start()
         values = config(listen=f"{HOST}:{taken[1]}")
         process = await asyncio.create_subprocess_exec(
@@ -257,34 +257,38 @@
         assert process.returncode == 1
         assert b"gateway: cannot start: " in errors and b"Traceback" not in errors
 
-    run(job())
+    run(scenario())
 
 
-def test_lines_that_peers_cause_are_bounded() -> None:
+def test_log_lines_of_one_call_are_limited() -> None:
     limit = LogRateLimit()
 
-    def line(at_s: float, number: int = 7) -> logging.LogRecord:
-        record = logging.LogRecord("x", logging.INFO, "x.py", number, "odd %s", ("one",), None)
+    def record_at(at_s: float, line_number: int = 7) -> logging.LogRecord:
+        record = logging.LogRecord("x", logging.INFO, "x.py", line_number, "odd %s", ("one",), None)
         record.created = at_s
         return record
 
-    passed = [limit.filter(line(100.0 + at / 100)) for at in range(500)]
+    passed = [limit.filter(record_at(100.0 + index / 100)) for index in range(500)]
     assert sum(passed) == MAX_LINES_PER_PERIOD
-    assert limit.filter(line(100.0, number=8))  # another place has lines of its own
-    later = line(100.0 + RATE_LIMIT_PERIOD_S)
+    assert limit.filter(record_at(100.0, line_number=8))  # another log call has a limit of its own
+    later = record_at(100.0 + RATE_LIMIT_PERIOD_S)
     assert limit.filter(later)
     assert later.getMessage() == f"odd one ({500 - MAX_LINES_PER_PERIOD} similar lines were suppressed)"
 
 
-def places(values: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
+def paths_within(values: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
     """The paths of all values within a configuration."""
     inner = (
         values.items() if isinstance(values, dict) else enumerate(values) if isinstance(values, list) else ()
     )
-    return [found for key, value in inner for found in ((*path, key), *places(value, (*path, key)))]
+    return [
+        inner_path
+        for key, value in inner
+        for inner_path in ((*path, key), *paths_within(value, (*path, key)))
+    ]
 
 
-ODD = [
+INVALID_VALUES = [
     None,
     True,
     -1,
@@ -306,39 +310,41 @@
 ]
 
 
-@given(st.sampled_from(places(config())), st.sampled_from(ODD))
+@given(st.sampled_from(paths_within(config())), st.sampled_from(INVALID_VALUES))
 @example(("limits", "sockets"), 1e400)
 @example(("settings", "categories", 0, "deadline-us"), -1)
-def test_odd_value_anywhere_is_read_or_a_plain_error(path: tuple[str | int, ...], odd: object) -> None:
-    """And what is read can be served by."""
+def test_invalid_value_anywhere_is_read_or_reported_in_one_line(
+    path: tuple[str | int, ...], invalid: object
+) -> None:
+    """A configuration that is accepted must also be usable by the policy."""
     values = json.loads(json.dumps(config()))
     inner = values
     for key in path[:-1]:
         inner = inner[key]
-    inner[path[-1]] = odd
+    inner[path[-1]] = invalid
     with tempfile.TemporaryDirectory() as folder:
         env = write(Path(folder), values)
         try:
-            found = load(env)
+            loaded = load(env)
         except ConfigError as error:
             assert "\n" not in str(error) and len(str(error)) < 300
             return
-    gateway = PolicyEngine(found.settings)
+    policy = PolicyEngine(loaded.settings)
     server = Server("s1", 0, 0, 0, ServerState.UP)
-    gateway.handle(1_000_000, EndpointUpdate(EndpointUpdateKind.CACHED, 1, (server,)))
+    policy.handle(1_000_000, EndpointUpdate(EndpointUpdateKind.CACHED, 1, (server,)))
     for number in range(3):
-        gateway.handle(1_000_000 + number, RequestArrived(f"r{number}", 0, 0, "c", 1_000_000))
-    gateway.handle(5_000_000, TimerFired(0))
+        policy.handle(1_000_000 + number, RequestArrived(f"r{number}", 0, 0, "c", 1_000_000))
+    policy.handle(5_000_000, TimerFired(0))
 
 
-def test_configuration_that_is_nested_without_end_is_a_plain_error(tmp_path: Path) -> None:
+def test_deeply_nested_configuration_is_reported(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="cannot read"):
         load(write(tmp_path, "[" * 100_000))
 
 
-@pytest.mark.parametrize("odd", [-1, float("nan"), 1e400, 1e16])
-def test_setting_that_is_out_of_range_is_told(odd: float, tmp_path: Path) -> None:
+@pytest.mark.parametrize("out_of_range", [-1, float("nan"), 1e400, 1e16])
+def test_setting_out_of_range_is_reported_with_its_path(out_of_range: float, tmp_path: Path) -> None:
     values = json.loads(json.dumps(config()))
-    values["settings"]["plans"][0]["units-per-s"] = odd
+    values["settings"]["plans"][0]["units-per-s"] = out_of_range
     with pytest.raises(ConfigError, match=r"plans\.0\.units-per-s is out of range"):
         load(write(tmp_path, values))
--- a/tests/test_settings_digest.py
+++ b/tests/test_settings_digest.py
@@ -1,7 +1,7 @@
-"""The digest of settings is the one that revision a1df16a gave, whatever the code's names are by now.
+"""The digest of settings is the one that revision a1df16a computed, independently of names in the code.
 
-`tests/data/a1df16a/gateway/settings_digests.json` holds settings, drawn by chance over all their keys, in the
-form of the configuration file, each with the digest that this revision gave of them.
+`tests/data/a1df16a/gateway/settings_digests.json` has random settings over all keys, in the format of the
+configuration file, each with the digest that this revision computed.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 from thistletrail.policy.settings_codec import SettingValues, read_settings
 
 DATA = Path(__file__).parent / "data" / "a1df16a"
-DRAWN = json.loads((DATA / "gateway" / "settings_digests.json").read_text())
+RANDOM_SETTINGS = json.loads((DATA / "gateway" / "settings_digests.json").read_text())
 EVERY_SETTING = Settings(
     seed=5,
     gateway_index=2,
@@ -60,8 +60,8 @@
 )
 
 
-@pytest.mark.parametrize("case", DRAWN)
-def test_drawn_settings_have_the_digest_that_a1df16a_gave(case: dict[str, Any]) -> None:
+@pytest.mark.parametrize("case", RANDOM_SETTINGS)
+def test_random_settings_have_the_digest_that_a1df16a_computed(case: dict[str, Any]) -> None:
     settings = read_settings(3, SettingValues(dict(flatten(case["settings"]))))
     assert settings_digest(settings) == case["digest"]
 
@@ -73,7 +73,7 @@
         (Settings(1, 0, 1, (), ()), "aa5accdd11dc63a6"),
     ],
 )
-def test_settings_made_by_hand_have_the_digest_that_a1df16a_gave(settings: Settings, digest: str) -> None:
+def test_handwritten_settings_have_the_digest_that_a1df16a_computed(settings: Settings, digest: str) -> None:
     assert settings_digest(settings) == digest
 
 
@@ -83,8 +83,8 @@
     assert attributes == [field.name for field in dataclasses.fields(settings_class)]
 
 
-def changed(value: object) -> object:
-    """Another value of the same kind."""
+def another_value(value: object) -> object:
+    """Another value of the same type."""
     match value:
         case bool():
             return not value
@@ -111,16 +111,16 @@
     ],
     ids=["settings", "request class", "plan"],
 )
-def test_each_setting_but_the_seed_makes_another_digest(
+def test_each_setting_except_the_seed_changes_the_digest(
     rebuild: Callable[[Any], Settings], part: Settings | RequestClass | Plan
 ) -> None:
-    usual = settings_digest(EVERY_SETTING)
+    digest_of_all = settings_digest(EVERY_SETTING)
     for field in dataclasses.fields(part):
-        other = dataclasses.replace(part, **{field.name: changed(getattr(part, field.name))})
-        is_same = settings_digest(rebuild(other)) == usual
+        other = dataclasses.replace(part, **{field.name: another_value(getattr(part, field.name))})
+        is_same = settings_digest(rebuild(other)) == digest_of_all
         assert is_same is (field.name == "seed"), field.name
 
 
-def test_a_value_whose_text_is_not_known_to_stay_is_refused() -> None:
+def test_a_value_without_a_stable_text_is_rejected() -> None:
     with pytest.raises(TypeError, match="found str"):
         stored_text("text")
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""The stored state: what is taken up again and how old it may be, and that nothing bad is ever used."""
+"""Snapshots: which parts are restored up to which age, and that unusable ones are rejected."""
 
 import asyncio
 import os
@@ -15,7 +15,7 @@
 
 from tests.helpers import SETTINGS, S, World, of
 from tests.sockets import CONFIG, HOST, Backend, Client, Watch, query, run, running_gateway
-from tests.test_program import config as values_of
+from tests.test_program import config as config_values
 from tests.test_program import write as write_config
 from thistletrail.gateway import snapshot_file, snapshot_store
 from thistletrail.gateway.config import Config
@@ -53,83 +53,84 @@
 
 
 def read(data: bytes, now_ms: int, config: Config = CONFIG) -> Snapshot:
-    """A snapshot that may be used."""
-    found = decode_snapshot(data)
-    check_snapshot(found, config, now_ms)
-    return found
+    """Decode a snapshot and check that it may be used."""
+    decoded = decode_snapshot(data)
+    check_snapshot(decoded, config, now_ms)
+    return decoded
 
 
-def why_not(data: bytes, now_ms: int = NOW_MS, config: Config = CONFIG) -> str:
+def rejection_reason(data: bytes, now_ms: int = NOW_MS, config: Config = CONFIG) -> str:
     with pytest.raises(RejectedSnapshotError) as caught:
         read(data, now_ms, config)
     assert "\n" not in str(caught.value)
     return str(caught.value)
 
 
-def test_a_snapshot_comes_back_as_it_was() -> None:
+def test_a_snapshot_is_read_as_it_was_written() -> None:
     assert read(encode_snapshot(snapshot()), NOW_MS + 500) == snapshot()
 
 
-def test_a_snapshot_that_is_wrong_is_rejected_with_the_reason() -> None:
+def test_an_unusable_snapshot_is_rejected_with_the_reason() -> None:
     good = encode_snapshot(snapshot())
-    assert why_not(b"") == "cut off: expected 13 bytes at least, found 0"
-    assert why_not(b"x" * 100) == "no snapshot: expected b'MrSt' at its beginning, found b'xxxx'"
-    assert "version: expected 1, found 2" in why_not(good[:4] + b"\x02" + good[5:])
+    assert rejection_reason(b"") == "cut off: expected 13 bytes at least, found 0"
+    assert rejection_reason(b"x" * 100) == "no snapshot: expected b'MrSt' at its beginning, found b'xxxx'"
+    assert "version: expected 1, found 2" in rejection_reason(good[:4] + b"\x02" + good[5:])
     another = encode_snapshot(snapshot(gateway_name="another"))
-    assert why_not(another) == "expected one of n0, found one of another"
-    assert "other settings" in why_not(encode_snapshot(snapshot(settings_digest="0")))
-    assert "in the future" in why_not(good, NOW_MS - 3_600_000)
-    assert why_not(good, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
+    assert rejection_reason(another) == "expected one of n0, found one of another"
+    assert "other settings" in rejection_reason(encode_snapshot(snapshot(settings_digest="0")))
+    assert "in the future" in rejection_reason(good, NOW_MS - 3_600_000)
+    assert rejection_reason(good, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
     other = replace(CONFIG, settings=replace(CONFIG.settings, gateway_count=3))
-    assert "other settings" in why_not(good, config=other)
-    # A new seed comes with each start, and is no other setting.
+    assert "other settings" in rejection_reason(good, config=other)
+    # The seed differs at each start and is not part of the digest.
     read(good, NOW_MS, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)))
     body = msgspec.msgpack.encode({"name": 1})
     magic, version = snapshot_file.MAGIC, snapshot_file.VERSION
     wrong = snapshot_file.HEADER.pack(magic, version, len(body), zlib.crc32(body)) + body
-    assert "Expected `str`" in why_not(wrong)
+    assert "Expected `str`" in rejection_reason(wrong)
 
 
-def test_a_snapshot_that_is_cut_or_changed_at_any_byte_is_not_used() -> None:
+def test_a_snapshot_truncated_or_changed_at_any_byte_is_rejected() -> None:
     good = encode_snapshot(snapshot())
-    for at in range(len(good)):
-        why_not(good[:at])
-        why_not(good[:at] + bytes([good[at] ^ 0x41]) + good[at + 1 :])
+    for position in range(len(good)):
+        rejection_reason(good[:position])
+        rejection_reason(good[:position] + bytes([good[position] ^ 0x41]) + good[position + 1 :])
 
 
 # --- the policy's part ---
 
 PLAN = Plan(rate=10.0, burst=20.0, over_quota_cost=1.0, ceiling_rate=20.0, ceiling_burst=40.0)
-SET = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
+SETTINGS_WITH_CEILING = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
 
 
 def restored(age_us: int, **changes: object) -> World:
-    world = World(SET)
+    world = World(SETTINGS_WITH_CEILING)
     world.tell(SnapshotFound(replace(snapshot().policy, **changes), age_us))
     return world
 
 
-def test_a_snapshot_is_what_the_gateway_knew() -> None:
-    world = World(replace(SET, plans=(replace(PLAN, ceiling_rate=0.0),)))  # a ceiling's store starts empty
+def test_a_snapshot_holds_the_state_of_the_policy() -> None:
+    # The bucket of a ceiling starts empty, so this plan has no ceiling.
+    world = World(replace(SETTINGS_WITH_CEILING, plans=(replace(PLAN, ceiling_rate=0.0),)))
     for number in range(8):
         world.ask(f"r{number}", set_size=2)
     world.gateway.overload.set_limit(12.0)
     ejected = world.gateway.servers_by_name["s1"]
     ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = True, world.now + S, 2 * S
-    found = world.gateway.snapshot()
+    taken = world.gateway.snapshot()
     ((key, customer),) = world.gateway.customers.by_key.items()
-    (stored,) = found.customers
+    (stored,) = taken.customers
     assert (stored.customer, stored.plan_index, stored.set_first, stored.set_size) == key
     assert stored.share == customer.local_bucket.level < 10.0 and stored.level == customer.set_level < 20.0
-    assert found.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
-    assert found.admission_rate_per_s == pytest.approx(12.0)
+    assert taken.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
+    assert taken.admission_rate_per_s == pytest.approx(12.0)
 
-    successor = World(SET)
-    successor.tell(SnapshotFound(found, 500_000))
-    again = successor.gateway.customers.by_key[key]
+    successor = World(SETTINGS_WITH_CEILING)
+    successor.tell(SnapshotFound(taken, 500_000))
+    restored_customer = successor.gateway.customers.by_key[key]
     assert (
-        again.local_bucket.level <= customer.local_bucket.level + 1e-9
-        and again.set_level <= customer.set_level + 1e-9
+        restored_customer.local_bucket.level <= customer.local_bucket.level + 1e-9
+        and restored_customer.set_level <= customer.set_level + 1e-9
     )
     assert successor.gateway.servers_by_name["s1"].is_ejected
     assert successor.gateway.servers_by_name["s1"].avoid_until_us == successor.now + S // 2
@@ -146,7 +147,7 @@
         (SERVER_HEALTH_MAX_AGE_US, 1, False, None),
     ],
 )
-def test_what_is_past_its_bound_is_not_used(
+def test_expired_parts_of_a_snapshot_are_not_used(
     age_us: int, customers: int, ejected_servers: bool, n: int | None
 ) -> None:
     world = restored(age_us)
@@ -155,8 +156,8 @@
     assert world.gateway.overload.admission_limit == n
 
 
-def test_customers_are_forgotten_when_their_stores_are_full_again() -> None:
-    world = World(SET)
+def test_customers_are_not_restored_when_their_buckets_are_full_again() -> None:
+    world = World(SETTINGS_WITH_CEILING)
     forget_us = world.gateway.customers.retention_us
     assert forget_us >= 10 * S
     assert (
@@ -165,17 +166,17 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
         CustomerSnapshot(7, 9, 0, 2, 1.0, 1.0, 0.0, 0.0),
         CustomerSnapshot(7, 0, 0, 0, 1.0, 1.0, 0.0, 0.0),
     ],
 )
-def test_a_customer_that_cannot_be_is_passed_over(odd: CustomerSnapshot) -> None:
-    assert not restored(0, customers=(odd,)).gateway.customers.by_key
+def test_an_invalid_customer_is_ignored(invalid: CustomerSnapshot) -> None:
+    assert not restored(0, customers=(invalid,)).gateway.customers.by_key
 
 
-def test_what_is_restored_is_never_more_than_a_store_holds() -> None:
+def test_restored_levels_never_exceed_the_burst_of_a_bucket() -> None:
     world = restored(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
     customer = world.gateway.customers.by_key[KEY]
     assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
@@ -185,10 +186,10 @@
     )
 
 
-def test_what_is_restored_is_logged() -> None:
-    world = World(SET)
-    (said,) = of(WriteLog, world.tell(SnapshotFound(snapshot().policy, 2_500_000)))
-    assert said.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 ejected servers, N 7.5 a second"
+def test_the_restored_state_is_logged() -> None:
+    world = World(SETTINGS_WITH_CEILING)
+    (log_line,) = of(WriteLog, world.tell(SnapshotFound(snapshot().policy, 2_500_000)))
+    assert log_line.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 ejected servers, N 7.5 a second"
 
 
 # --- the gateway's part ---
@@ -198,7 +199,7 @@
     return SnapshotStore(replace(CONFIG, state_dir=str(folder), **changes))
 
 
-def test_a_gateway_restores_what_its_predecessor_stored(tmp_path: Path) -> None:
+def test_a_gateway_restores_the_snapshot_of_its_predecessor(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway_server, address):
             first = store_in(tmp_path)
@@ -230,7 +231,9 @@
     run(scenario())
 
 
-def test_an_old_snapshot_is_good_for_its_list_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_only_the_endpoint_list_of_an_old_snapshot_is_used(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway_server, _):
             first = store_in(tmp_path)
@@ -241,7 +244,7 @@
             second.restore(gateway_server)
             assert second.stored_snapshot is not None and not gateway_server.driver.pending_events
             second.close()
-            third = store_in(tmp_path, clock_offset_ms=3_600_000)  # a clock that is an hour off
+            third = store_in(tmp_path, clock_offset_ms=3_600_000)  # a clock that is wrong by an hour
             assert third.stored_snapshot is None
             third.close()
 
@@ -249,16 +252,16 @@
     assert "is too old for all but its list" in caplog.text and "written 3600 s ago" in caplog.text
 
 
-def test_a_damaged_snapshot_is_one_warning(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_damaged_snapshot_causes_one_warning(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     (tmp_path / "door").write_bytes(encode_snapshot(snapshot())[:-1])
     (tmp_path / "starts").write_bytes(b"\xff")
-    found = store_in(tmp_path)
-    assert found.stored_snapshot is None and found.start_history.start_times_s == []
+    store = store_in(tmp_path)
+    assert store.stored_snapshot is None and store.start_history.start_times_s == []
     assert len(caplog.records) == 1 and "is rejected: damaged: expected" in caplog.text
-    found.close()
+    store.close()
 
 
-def test_two_gateways_cannot_have_one_folder(tmp_path: Path) -> None:
+def test_two_gateways_cannot_use_one_folder(tmp_path: Path) -> None:
     first = store_in(tmp_path)
     with pytest.raises(ConfigError, match="another gateway has the folder"):
         store_in(tmp_path)
@@ -268,58 +271,60 @@
         store_in(tmp_path / "lock" / "below")
 
 
-def test_a_full_disk_is_one_warning_and_leaves_the_old_snapshot(
+def test_a_full_disk_causes_one_warning_and_leaves_the_old_snapshot(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    found = store_in(tmp_path)
-    found.write(snapshot(written_at_ms=1))
+    store = store_in(tmp_path)
+    store.write(snapshot(written_at_ms=1))
     before = (tmp_path / "door").read_bytes()
 
     def full(file: int) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", full)
-    found.write(snapshot(written_at_ms=2))
-    found.write(snapshot(written_at_ms=3))
+    store.write(snapshot(written_at_ms=2))
+    store.write(snapshot(written_at_ms=3))
     assert (tmp_path / "door").read_bytes() == before
     assert [record.message for record in caplog.records] == [
         "no snapshot can be written: No space left on device"
     ]
     monkeypatch.undo()
-    found.write(snapshot(written_at_ms=4))
+    store.write(snapshot(written_at_ms=4))
     assert (tmp_path / "door").read_bytes() == encode_snapshot(snapshot(written_at_ms=4))
-    assert not found.is_write_failing
-    found.close()
+    assert not store.is_write_failing
+    store.close()
 
 
-def test_a_gateway_that_crashes_again_and_again_waits_longer_each_time() -> None:
+def test_a_gateway_that_crashes_repeatedly_waits_longer_each_time() -> None:
     now = 1000.0
     assert crash_backoff_s([], now) == 0.0  # a first start
     assert crash_backoff_s([999.0], now) == 0.0  # a restart
     waits = [crash_backoff_s([now - 0.1 * n for n in range(count)], now) for count in range(2, 8)]
     assert waits == [1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
     assert crash_backoff_s([now - CRASH_WINDOW_S - 1] * 5, now) == 0.0
-    assert crash_backoff_s([now + 3600] * 5, now) == 0.0  # a clock that was off
+    assert crash_backoff_s([now + 3600] * 5, now) == 0.0  # times of a wrong clock
 
 
-def test_planned_ends_are_no_crashes(tmp_path: Path) -> None:
+def test_planned_ends_do_not_count_as_crashes(tmp_path: Path) -> None:
     for _ in range(4):
-        found = store_in(tmp_path)
-        assert found.register_start() == 0.0
-        found.finish(None)
-        found.close()
+        store = store_in(tmp_path)
+        assert store.register_start() == 0.0
+        store.finish(None)
+        store.close()
     for expected in (False, False, True):
-        found = store_in(tmp_path)
-        assert (found.register_start() > 0) is expected
-        found.close()  # and no planned end
+        store = store_in(tmp_path)
+        assert (store.register_start() > 0) is expected
+        store.close()  # without a planned end
 
 
-def test_a_gateway_in_its_wait_ends_cleanly_and_the_crashes_still_count(tmp_path: Path) -> None:
+def test_a_gateway_that_waits_after_crashes_can_be_stopped_and_the_crashes_still_count(
+    tmp_path: Path,
+) -> None:
     now = time.time()
     state = tmp_path / "state"
     state.mkdir()
     (state / "starts").write_bytes(msgspec.msgpack.encode([now - 0.3, now - 0.2, now - 0.1, now]))
-    environment = write_config(tmp_path, values_of(state_dir=str(state), listen=f"{HOST}:1"))
+    environment = write_config(tmp_path, config_values(state_dir=str(state), listen=f"{HOST}:1"))
     process = subprocess.Popen(
         [sys.executable, "-m", "thistletrail.gateway"],
         env={**os.environ, **environment},
@@ -327,8 +332,8 @@
         text=True,
     )
     try:
-        said = process.stderr.readline()
-        assert "has started again and again: it waits for" in said
+        log_line = process.stderr.readline()
+        assert "has started again and again: it waits for" in log_line
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0 and "ends" in process.stderr.read()
     finally:
@@ -337,7 +342,7 @@
     assert len(msgspec.msgpack.decode((state / "starts").read_bytes())) == 4
 
 
-def test_without_a_folder_nothing_is_loaded_for_it() -> None:
+def test_the_modules_for_snapshots_are_loaded_only_if_enabled() -> None:
     script = (
         "import thistletrail.gateway.__main__, sys\n"
         "assert not {'msgspec', 'thistletrail.gateway.snapshot_store'} & set(sys.modules)"
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files that revision a1df16a wrote are read value by value, and its snapshot is written again byte for byte.
+"""Files that revision a1df16a wrote are read value by value, and its snapshot is rewritten byte for byte.
 
 `tests/data/a1df16a` holds the state folders of a gateway, of the lease service and of the registry as that
 revision left them, with the configurations that they were made under. Each test works on a copy.
@@ -55,11 +55,12 @@
     EjectedServerSnapshot("s2", 300_000, 500_000, 1.25),
 )
 ADMISSION_RATE_PER_S = 6.0
-STARTS = [SNAPSHOT_UNIX_S - before_s for before_s in (4.5, 3.0, 1.5, 1.0)]  # three crashed, then the writer's
+# Three starts that crashed, then the start of the gateway that wrote the snapshot.
+STARTS = [SNAPSHOT_UNIX_S - before_s for before_s in (4.5, 3.0, 1.5, 1.0)]
 
 
 def gateway_config(folder: Path) -> Config:
-    """The configuration that the snapshot was made under, with a copy of the state folder."""
+    """The configuration under which the snapshot was made, with a copy of the state folder."""
     shutil.copytree(DATA / "gateway" / "state", folder / "state")
     config = load({"PROXY_CONFIG": str(DATA / "gateway" / "config.json")})
     return dataclasses.replace(config, state_dir=str(folder / "state"))
@@ -76,53 +77,57 @@
 
 def test_a_snapshot_of_a1df16a_is_read_in_full(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
-    found = SnapshotStore(config)
-    assert found.stored_snapshot is not None
-    assert (found.stored_snapshot.gateway_name, found.stored_snapshot.settings_digest) == (
-        "n1",
-        "f2c2f9286bcb3aaa",
-    )
-    assert (found.stored_snapshot.written_at_ms, found.stored_snapshot.incarnation) == (
-        1_764_700_000_000,
-        1_469_153_534,
-    )
-    assert found.stored_snapshot.policy.customers == CUSTOMERS
-    assert found.stored_snapshot.policy.ejected_servers == EJECTED_SERVERS
-    assert found.stored_snapshot.policy.admission_rate_per_s == ADMISSION_RATE_PER_S
-    found.close()
-
-
-def test_the_server_list_of_a1df16a_is_used_where_the_configuration_has_none(
+    gateway_store = SnapshotStore(config)
+    snapshot = gateway_store.stored_snapshot
+    assert snapshot is not None
+    assert (snapshot.gateway_name, snapshot.settings_digest) == ("n1", "f2c2f9286bcb3aaa")
+    assert (snapshot.written_at_ms, snapshot.incarnation) == (1_764_700_000_000, 1_469_153_534)
+    assert snapshot.policy.customers == CUSTOMERS
+    assert snapshot.policy.ejected_servers == EJECTED_SERVERS
+    assert snapshot.policy.admission_rate_per_s == ADMISSION_RATE_PER_S
+    gateway_store.close()
+
+
+def test_the_endpoint_list_of_a1df16a_is_used_if_the_configuration_has_none(
     config: Config, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S + 0.5)
-    found = SnapshotStore(config)
+    gateway_store = SnapshotStore(config)
     assert not config.known
-    known = found.with_stored_list(config).known
+    known = gateway_store.with_stored_list(config).known
     assert (known["generation"], known["reset"]) == (7, True)
-    shown = [
-        (one["instanceId"], one["hostPort"], one["zone"], one["machineType"], one["cell"], one["lifecycle"])
-        for one in known["instances"]
+    servers_in_list = [
+        (
+            entry["instanceId"],
+            entry["hostPort"],
+            entry["zone"],
+            entry["machineType"],
+            entry["cell"],
+            entry["lifecycle"],
+        )
+        for entry in known["instances"]
     ]
-    assert shown == [
+    assert servers_in_list == [
         ("s0", "127.9.0.1:6379", "a", "m2", 0, "SERVING"),
         ("s1", "127.9.0.2:6379", "a", "m4", 0, "SERVING"),
         ("s2", "127.9.0.3:6379", "b", "m2", 7, "SERVING"),
         ("s3", "127.9.0.4:6379", "b", "m4", 7, "DRAINING"),
     ]
-    weights_and_starts = [(one["weight"], one["startedAtMs"]) for one in known["instances"]]
+    weights_and_starts = [(entry["weight"], entry["startedAtMs"]) for entry in known["instances"]]
     assert weights_and_starts == [(1.0, 0), (2.5, 1764699990000.0), (1.0, 1764600000000.0), (2.0, 0)]
-    found.close()
+    gateway_store.close()
 
 
-def test_the_policy_takes_up_what_a1df16a_knew(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_policy_restores_the_state_that_a1df16a_stored(
+    config: Config, monkeypatch: pytest.MonkeyPatch
+) -> None:
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S)
-    found = SnapshotStore(config)
-    assert found.stored_snapshot is not None
+    gateway_store = SnapshotStore(config)
+    assert gateway_store.stored_snapshot is not None
     world = World(config.settings, ())
     servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.UP) for number in range(4))
     world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 7, servers))
-    world.tell(SnapshotFound(found.stored_snapshot.policy, 0))
+    world.tell(SnapshotFound(gateway_store.stored_snapshot.policy, 0))
     gateway = world.gateway
     restored = [
         (
@@ -134,7 +139,7 @@
         )
         for key, customer in gateway.customers.by_key.items()
     ]
-    # Without a ceiling in its plan a customer has none to restore: what was taken from it is 0 or less.
+    # A customer whose plan has no ceiling has none to restore: its level is 0 or less.
     assert restored == [dataclasses.astuple(customer) for customer in CUSTOMERS]
     assert [name for name, server in gateway.servers_by_name.items() if server.is_ejected] == ["s1", "s2"]
     for ejected in EJECTED_SERVERS:
@@ -142,31 +147,31 @@
         assert server.avoid_until_us == world.now + ejected.ejected_for_us
         assert (server.backoff_us, server.latency_ratio) == (ejected.backoff_us, ejected.latency_ratio)
     assert gateway.incarnations.has_restarted
-    # Nothing is lost on the way: a snapshot that is made at once holds the same, N too.
+    # A snapshot that is made at once has the same state, including N.
     assert gateway.snapshot() == PolicySnapshot(CUSTOMERS, EJECTED_SERVERS, ADMISSION_RATE_PER_S)
-    found.close()
+    gateway_store.close()
 
 
-def test_a_snapshot_of_a1df16a_is_written_again_byte_for_byte(config: Config) -> None:
+def test_a_snapshot_of_a1df16a_is_rewritten_byte_for_byte(config: Config) -> None:
     written = (Path(config.state_dir) / "door").read_bytes()
     snapshot = decode_snapshot(written)
     check_snapshot(snapshot, config, round(SNAPSHOT_UNIX_S * 1000))
     assert encode_snapshot(snapshot) == written
 
 
-def test_the_configuration_of_the_snapshot_has_the_digest_in_it(config: Config) -> None:
+def test_the_configuration_has_the_digest_that_is_in_the_snapshot(config: Config) -> None:
     assert settings_digest(config.settings) == "f2c2f9286bcb3aaa"
 
 
-def test_start_times_of_a1df16a_are_waited_for(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_start_times_of_a1df16a_cause_a_backoff(config: Config, monkeypatch: pytest.MonkeyPatch) -> None:
     now = SNAPSHOT_UNIX_S + 0.5
     set_unix_time(monkeypatch, now)
-    found = SnapshotStore(config)
-    assert found.start_history.start_times_s == STARTS
+    gateway_store = SnapshotStore(config)
+    assert gateway_store.start_history.start_times_s == STARTS
     assert crash_backoff_s(STARTS, now) == 4.0
-    assert 3.0 <= found.register_start() <= 5.0  # with the jitter of a quarter
-    assert found.start_history.start_times_s == [*STARTS, now]
-    found.close()
+    assert 3.0 <= gateway_store.register_start() <= 5.0  # 4 s with a jitter of a quarter
+    assert gateway_store.start_history.start_times_s == [*STARTS, now]
+    gateway_store.close()
     again = SnapshotStore(config)
     assert again.start_history.start_times_s == [*STARTS, now]
     again.close()
@@ -175,8 +180,8 @@
 # --- the lease service's journal ---
 
 LEASING_BOOT = "3f0c6f3a-6d52-4be2-9f6b-0a1df16a0000"
-LEASING_NOW_MS = 1_000_000_895  # a tenth of a second after the last record, on the clock of that boot
-FENCE = 1_764_700_000_000_000  # on which the fences of that history are counted
+LEASING_NOW_MS = 1_000_000_895  # 0.1 s after the last record, on that boot's clock
+FENCE = 1_764_700_000_000_000  # base of the fences in that history
 CEILING = "ceiling/institution/7"
 ISSUED = [
     HolderGrant(CEILING, "0/11", IssuedGrant(FENCE + 1, 2025, 1_000_003_000, 0)),
@@ -189,17 +194,18 @@
 ]
 
 
-FIRST_MS, LATER_MS, LAST_MS = 1_000_000_000, 1_000_000_740, 1_000_000_770  # when work items were begun
-LEFT_MS = 300_000  # for which their results are wanted
+# When work items were begun.
+FIRST_BEGUN_MS, LATER_BEGUN_MS, LAST_BEGUN_MS = 1_000_000_000, 1_000_000_740, 1_000_000_770
+RESULT_WANTED_MS = 300_000  # how long after their begin results are wanted
 
 
 def work_item(name: str, fence: int, begun_ms: int, **values: object) -> WorkItem:
-    usual = {
+    defaults = {
         "name": f"work/{name}",
         "digest": f"digest of work/{name}",
         "customer": "00000000b4d65521",
         "effect": WorkEffect.KEYED,
-        "end_ms": begun_ms + LEFT_MS,
+        "end_ms": begun_ms + RESULT_WANTED_MS,
         "window_ms": 400_000,
         "request": f"request of work/{name}".encode(),
         "owner": "",
@@ -207,7 +213,7 @@
         "last_run": Location("s1", "a"),
         "first_run_ms": begun_ms,
     }
-    return WorkItem(**{**usual, **values})
+    return WorkItem(**{**defaults, **values})
 
 
 WORK_ITEMS = [
@@ -215,7 +221,7 @@
     work_item(
         "running",
         1,
-        FIRST_MS,
+        FIRST_BEGUN_MS,
         owner="0/11",
         request_id="work/running-request",
         last_run=Location("s2", "a"),
@@ -224,19 +230,19 @@
     work_item(
         "served",
         2,
-        FIRST_MS,
+        FIRST_BEGUN_MS,
         request_id="work/served-request",
         outcome=WorkOutcome.SERVED,
         value=b"the answer\x00\xff",
-        ended_ms=FIRST_MS + 40,
+        ended_ms=FIRST_BEGUN_MS + 40,
     ),
     work_item(
-        "failed", 3, FIRST_MS, owner="0/11", request_id="work/failed-request", effect=WorkEffect.UNSAFE
+        "failed", 3, FIRST_BEGUN_MS, owner="0/11", request_id="work/failed-request", effect=WorkEffect.UNSAFE
     ),
     work_item(
         "second",
         5,
-        FIRST_MS + 40,
+        FIRST_BEGUN_MS + 40,
         owner="1/21",
         request_id="work/second-request",
         effect=WorkEffect.SAFE,
@@ -247,7 +253,7 @@
     work_item(
         "moved",
         10,
-        LATER_MS,
+        LATER_BEGUN_MS,
         owner="1/21",
         last_run=Location("s3", "b"),
         run_before_owner=Location("s3", "b"),
@@ -256,32 +262,32 @@
     work_item(
         "unknown",
         11,
-        LATER_MS,
+        LATER_BEGUN_MS,
         effect=WorkEffect.UNSAFE,
         run_before_owner=Location("s1", "a"),
         deaths=1,
         outcome=WorkOutcome.UNKNOWN,
-        ended_ms=LAST_MS,
+        ended_ms=LAST_BEGUN_MS,
     ),
     work_item(
         "parked",
         14,
-        LATER_MS,
+        LATER_BEGUN_MS,
         run_before_owner=Location("s1", "a"),
         deaths=2,
         outcome=WorkOutcome.PARKED,
-        ended_ms=LAST_MS,
+        ended_ms=LAST_BEGUN_MS,
     ),
-    work_item("left", 18, LAST_MS, last_run=Location("s4", "b"), run_before_owner=Location("s4", "b")),
-    work_item("orphan", 19, LAST_MS, run_before_owner=Location("s1", "a"), awaits_taker=True),
+    work_item("left", 18, LAST_BEGUN_MS, last_run=Location("s4", "b"), run_before_owner=Location("s4", "b")),
+    work_item("orphan", 19, LAST_BEGUN_MS, run_before_owner=Location("s1", "a"), awaits_taker=True),
     work_item(
         "done",
         17,
-        LAST_MS,
+        LAST_BEGUN_MS,
         request_id="work/done-request",
         outcome=WorkOutcome.SERVED,
         value=b"second answer",
-        ended_ms=LAST_MS + 25,
+        ended_ms=LAST_BEGUN_MS + 25,
     ),
 ]
 
@@ -289,7 +295,7 @@
 def restore_leasing(
     folder: Path, monkeypatch: pytest.MonkeyPatch, boot: str
 ) -> tuple[LeasingJournal, LeasingStates]:
-    """The next term of a copy of the journal, on a machine of that boot."""
+    """Start the next term on a copy of the journal, on a machine with that boot id."""
     monkeypatch.setattr(leasing_journal, "boot_id", lambda: boot)
     monkeypatch.setattr(leasing_journal, "now_ms", lambda: LEASING_NOW_MS)
     monkeypatch.setattr(time, "time_ns", lambda: round(SNAPSHOT_UNIX_S) * 1_000_000_000)
@@ -344,7 +350,7 @@
         ("left", OperationStatus.PERSISTED, b""),
     ],
 )
-def test_who_requests_again_after_a1df16a_gets_what_was_persisted(
+def test_a_repeated_request_gets_the_result_that_a1df16a_persisted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, status: OperationStatus, value: bytes
 ) -> None:
     journal, states = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
@@ -366,7 +372,7 @@
     journal.close()
 
 
-def test_work_that_a1df16a_left_to_nobody_goes_to_the_first_gateway_there(
+def test_work_that_a1df16a_left_without_an_owner_goes_to_an_available_gateway(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, states = restore_leasing(tmp_path / "state", monkeypatch, LEASING_BOOT)
@@ -377,7 +383,7 @@
     journal.close()
 
 
-def test_of_another_boot_grants_are_waited_out_and_work_items_are_over(
+def test_after_a_reboot_grants_are_waited_out_and_work_items_are_dropped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     journal, states = restore_leasing(tmp_path / "state", monkeypatch, "another boot")
@@ -388,7 +394,7 @@
     ]
     assert {held.grant.until_ms for held in state.issued_grants()} == {LEASING_NOW_MS + max_lease_ms}
     assert state.quiet_until_ms == LEASING_NOW_MS + max_lease_ms
-    # The fence is the snapshot's; no later one is of this boot.
+    # The fence is that of the snapshot, as the later records are of another boot.
     assert not states.work.store.items and states.work.store.fence == FENCE + 5
     assert "are of another boot, and are skipped" in caplog.text
     journal.close()
@@ -397,7 +403,7 @@
 # --- the registry's journal and snapshot ---
 
 REGISTRY_NOW_MS, GRACE_MS = 5_000_000, 30_000
-GENERATION = 1_764_700_000_000 * 1024  # on which that history is counted
+GENERATION = 1_764_700_000_000 * 1024  # base of the generations in that history
 
 
 def test_the_registry_of_a1df16a_is_restored(tmp_path: Path) -> None:
@@ -430,7 +436,7 @@
     journal.close()
 
 
-def test_leases_of_a1df16a_hold_for_the_grace_and_then_for_their_own_time(tmp_path: Path) -> None:
+def test_leases_of_a1df16a_are_valid_for_the_grace_time_and_then_for_their_own_time(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
     journal = Journal(tmp_path / "registry")
     store = journal.open(0, REGISTRY_NOW_MS)
@@ -442,7 +448,7 @@
     journal.close()
 
 
-def test_the_registry_goes_on_from_a1df16a_and_writes_what_it_read(tmp_path: Path) -> None:
+def test_the_registry_continues_the_log_of_a1df16a(tmp_path: Path) -> None:
     shutil.copytree(DATA / "registry", tmp_path / "registry")
     journal = Journal(tmp_path / "registry")
     store = journal.open(0, REGISTRY_NOW_MS)
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -32,7 +32,8 @@
 
 EXIT_CANNOT_START = 1
 EXIT_BAD_CONFIG = 2
-MAX_LINES_PER_PERIOD = 10  # of each log call in the code
+# The rate limit applies to each log call in the code by itself.
+MAX_LINES_PER_PERIOD = 10
 RATE_LIMIT_PERIOD_S = 10.0
 
 
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -47,7 +47,7 @@
             config.settings.gateway_index, rng.getrandbits(63), config.settings.gateway_count
         )
         self.key_by_name: dict[str, BudgetKey | None] = {}  # the requested budgets, by name
-        self.posted_fence_by_name: dict[str, int] = {}  # of the last posted grant, by budget name
+        self.posted_fence_by_name: dict[str, int] = {}  # fences of the last posted grants
         self.needed_units = 0  # units for which requests waited at the last renewal
         self.requested_at_s = 0.0  # time of the last renewal, on the event loop's clock
         # For this time after a renewal, needed units alone cause no early renewal.
--- a/thistletrail/gateway/config.py
+++ b/thistletrail/gateway/config.py
@@ -14,7 +14,7 @@
 MAX_PORT = 65535
 DEFAULT_LEASE_MS = 3000
 MIN_LEASE_MS = 500  # renewed after a third, so a shorter lease would leave a renewal less than 170 ms
-MAX_RETRY_BUDGET = 1e6  # of rate (retries per second) and burst (retries); more is probably a mistake
+MAX_RETRY_BUDGET = 1e6  # for both rate and burst; a larger number is regarded as a mistake
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 64
 # Used if the settings have no ceiling of this name.
--- a/thistletrail/gateway/deadline.py
+++ b/thistletrail/gateway/deadline.py
@@ -5,7 +5,7 @@
 uses the monotonic clock, so that a step of the wall clock has no effect. A pause of the process is charged to
 the stage in which it occurred.
 
-This code runs for each request, so it is kept to one small object with slots.
+This code runs for each request, so it uses one small object with slots.
 """
 
 from dataclasses import dataclass
@@ -19,14 +19,14 @@
 # at any time in that period, so half of it is the expected wait.
 LOOP_LATENESS_SHARE = 0.5
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_TIME_DIGITS = 12  # of a remaining time in milliseconds; bounds the cost of parsing it
+MAX_TIME_DIGITS = 12  # limits the cost of parsing a remaining time, in milliseconds
 
 
 class Stage(IntEnum):
     """The stages of a request. Their names in lower case are keys of the `costs` line."""
 
     UNREAD = 0  # in the socket's buffer, not yet read; an estimate
-    HELD = 1  # held by the policy, with no attempt in flight
+    HELD = 1  # queued by the policy, with no attempt in flight
     CONNECTING = 2  # an attempt is in flight, not yet written
     WAITING = 3  # an attempt is written, its answer pending
     ANSWERING = 4  # the answer is queued behind others on the client's connection
--- a/thistletrail/gateway/discovery_client.py
+++ b/thistletrail/gateway/discovery_client.py
@@ -55,10 +55,10 @@
         self.connection_class = costs.stages.wrap_class(DISCOVERY, WatchConnection, "data_received")
         self.connection: WatchConnection | None = None
         self.sockets = 0  # in use, including one that connects
-        self.address_index = 0  # of the watched address
-        self.version_source: Address | None = None  # which sent the list in use
+        self.address_index = 0  # index of the watched address
+        self.version_source: Address | None = None  # address that sent the list in use
         self.stale_since_s: float | None = None  # when the first older list arrived
-        self.last_fresh_s: float | None = None  # of the last data from an up-to-date address
+        self.last_fresh_s: float | None = None  # time of the last data from an up-to-date address
         self.backoff_s = MIN_BACKOFF_S
         self.is_retiring = False
         self.is_closed = False
--- a/thistletrail/gateway/json_stream.py
+++ b/thistletrail/gateway/json_stream.py
@@ -19,7 +19,7 @@
         """`max_bytes` is the maximum size of an object."""
         self.max_bytes = max_bytes
         self.unfinished_line = bytearray()  # the last line, without its line end
-        self.lines: list[bytes] = []  # of an incomplete object
+        self.lines: list[bytes] = []  # complete lines of an incomplete object
         self.size = 0  # bytes in `lines`
         self.open_braces = 0  # at the end of `lines`
 
--- a/thistletrail/gateway/resource_limits.py
+++ b/thistletrail/gateway/resource_limits.py
@@ -7,7 +7,7 @@
 
 MIN_SOCKETS = 16  # with fewer, the gateway could not serve
 RESERVED_SOCKETS = 32  # for the listener, discovery, peers, the event loop and the log
-CLIENT_SOCKET_SHARE = 0.8  # of the sockets that are not reserved
+CLIENT_SOCKET_SHARE = 0.8  # the rest of the unreserved sockets is for servers
 REQUEST_MEMORY_SHARE = 1 / 8  # for unanswered commands
 CLIENT_MEMORY_SHARE = 1 / 8  # for incomplete commands and unsent answers
 ANSWER_MEMORY_SHARE = 1 / 8  # for incomplete answers from servers
--- a/thistletrail/gateway/snapshot_file.py
+++ b/thistletrail/gateway/snapshot_file.py
@@ -27,7 +27,7 @@
     """A gateway's state for its successor, with its origin and time."""
 
     gateway_name: str
-    settings_digest: str  # of the settings under which it was made
+    settings_digest: str  # digest of the settings under which it was made
     written_at_ms: int  # Unix time
     incarnation: int  # drawn at each start of a gateway
     policy: PolicySnapshot
