--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects are read from a stream of bytes, whatever their indentation and the sizes of the pieces."""
+"""JSON objects are read from a stream of bytes, whatever their indentation and the sizes of the chunks."""
 
 import json
 
@@ -18,13 +18,13 @@
 
 
 @given(OBJECTS, st.sampled_from([None, 0, 1, 4]), st.integers(1, 40))
-def test_objects_are_read_with_any_indentation_and_piece_size(
-    objects: list[dict[str, object]], indent: int | None, piece_size: int
+def test_objects_are_read_with_any_indentation_and_chunk_size(
+    objects: list[dict[str, object]], indent: int | None, chunk_size: int
 ) -> None:
     stream = b"\n".join(json.dumps(value, indent=indent).encode() + b"\n" for value in objects)
     reader, complete = JsonObjectReader(1 << 20), []
-    for start in range(0, len(stream), piece_size):
-        complete += reader.feed(stream[start : start + piece_size])
+    for start in range(0, len(stream), chunk_size):
+        complete += reader.feed(stream[start : start + chunk_size])
     assert [json.loads(data) for data in complete] == objects
     assert not reader.has_partial_object() and reader.finish() == []
 
--- a/thistletrail/gateway/__main__.py
+++ b/thistletrail/gateway/__main__.py
@@ -144,7 +144,7 @@
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(stopped.wait(), wait_s)
         store.finish(None)
-        log.info("%s ends", config.name)
+        log.info("%s ends: a signal came before it served", config.name)
         return True
     return False
 
@@ -187,7 +187,7 @@
     gc.freeze()
     log.info("%s serves at %s:%d", config.name, *config.listen)
     await stopped.wait()
-    log.info("%s drains", config.name)
+    log.info("%s drains: it answers the requests in flight and closes idle connections", config.name)
     await server.drain()
     cancel_tasks(budget_task)
     if takeover:
@@ -196,7 +196,7 @@
     if store:
         store.finish(server)
     log_costs(server)
-    log.info("%s ends", config.name)
+    log.info("%s ends after a graceful shutdown", config.name)
 
 
 def cancel_tasks(*tasks: asyncio.Task[None] | None) -> None:
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -34,7 +34,7 @@
 
 
 class BudgetLeaseClient:
-    """Leases this gateway's shares of customers' budgets and of the retry budget."""
+    """Leases the shares of customers' budgets and of the retry budget for one incarnation of a gateway."""
 
     def __init__(self, gateway_server: GatewayServer, config: Config) -> None:
         """`config` must have `budget_leases`."""
--- a/thistletrail/gateway/endpoint_list.py
+++ b/thistletrail/gateway/endpoint_list.py
@@ -39,9 +39,8 @@
         self.zone_indices = config.zone_numbers
         self.kind_indices = config.kind_numbers
         # Computed once: a server whose start time changes is regarded as restarted by the policy.
-        self.monotonic_offset_us = (
-            time.monotonic_ns() - time.time_ns()
-        ) // 1000 - config.clock_offset_ms * 1000
+        system_offset_us = (time.monotonic_ns() - time.time_ns()) // 1000
+        self.monotonic_offset_us = system_offset_us - config.clock_offset_ms * 1000
         self.zone_names = {number: name for name, number in config.zone_numbers.items()}
         self.kind_names = {number: name for name, number in config.kind_numbers.items()}
 
@@ -93,7 +92,7 @@
         )
 
     def to_monotonic_us(self, unix_ms: float) -> int:
-        """Convert a start time to the monotonic clock; only 0, for an unknown time long ago, becomes 0."""
+        """Convert a start time to the monotonic clock; only 0, which means long ago, becomes 0."""
         if not unix_ms:
             return 0
         return (round(unix_ms * 1000) + self.monotonic_offset_us) or 1
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -75,7 +75,7 @@
         self.clients = self.new_clients(limits)
         self.peers = PeerTransport(config.peers, config.settings.gateway_index, self.driver.post, self.costs)
         self.driver.connect(self.action_handlers(), self.exchanges)
-        self.catalog = EndpointListCodec(config)
+        self.endpoint_codec = EndpointListCodec(config)
         self.discovery = self.new_discovery()
 
     # --- wiring ---
@@ -94,10 +94,10 @@
 
     def new_discovery(self) -> DiscoveryClient:
         """Create the watch on discovery; it continues from the configured endpoint list, if any."""
-        known = self.read_known_list()
+        known = self.apply_configured_list()
         return DiscoveryClient(
             self.config.discovery,
-            self.catalog,
+            self.endpoint_codec,
             known.event.version if known else 0,
             self.on_endpoint_update,
             self.backends.spawn,
@@ -133,23 +133,23 @@
 
     # --- endpoint lists ---
 
-    def read_known_list(self) -> EndpointListUpdate | None:
+    def apply_configured_list(self) -> EndpointListUpdate | None:
         """Apply the endpoint list of the configuration; returns None if there is none or it is malformed."""
         if not self.config.known:
             return None
         try:
-            update = self.catalog.decode_update(self.config.known, EndpointUpdateKind.CACHED)
+            update = self.endpoint_codec.decode_update(self.config.known, EndpointUpdateKind.CACHED)
         except (KeyError, TypeError, ValueError) as error:
             log.error("the known list makes no sense: %s", error)
             return None
         self.on_endpoint_update(update)
         return update
 
-    def known_list(self) -> dict[str, object]:
+    def current_list(self) -> dict[str, object]:
         """The current endpoint list, in the format of the discovery protocol."""
         pools = self.backends.pools
         entries = [
-            self.catalog.encode_entry(server.entry, pools[name].address)
+            self.endpoint_codec.encode_entry(server.entry, pools[name].address)
             for name, server in self.policy.servers_by_name.items()
             if name in pools
         ]
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -134,7 +134,7 @@
             written_at_ms=self.unix_ms(),
             incarnation=self.incarnation,
             policy=gateway_server.policy.snapshot(),
-            endpoint_list=gateway_server.known_list(),
+            endpoint_list=gateway_server.current_list(),
         )
 
     def write(self, snapshot: Snapshot) -> None:
