--- a/thistletrail/gateway/exchanges.py
+++ b/thistletrail/gateway/exchanges.py
@@ -338,7 +338,7 @@
         log.info("request %s %s after %d ms: %s", request_id, outcome, took_us // 1000, stages)
 
     def close_exchange(self, request_id: str) -> Exchange | None:
-        """Remove an answered request; returns None if it was not open."""
+        """Remove a request that is answered or abandoned; returns None if it was not open."""
         exchange = self.unanswered.pop(request_id, None)
         if exchange is None:
             return None
