--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -25,10 +25,10 @@
     """Sends attempts through a pool and keeps how they ended."""
 
     def __init__(
-        self, address: Address, idle_us: int = 30 * S, most: int = 50, connect_us: int = 20 * S
+        self, address: Address, idle_us: int = 30 * S, max_connections: int = 50, connect_us: int = 20 * S
     ) -> None:
-        self.backends = Backends(idle_us, connect_us, most)
-        self.backends.update({"s": ServerState.UP}, {"s": address}, whole=True)
+        self.backends = Backends(idle_us, connect_us, max_connections)
+        self.backends.update({"s": ServerState.UP}, {"s": address}, is_full=True)
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
     def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
@@ -42,10 +42,10 @@
     async def times_out(self, payload: bytes = resp("PING")) -> AttemptResult:
         """How an attempt ends whose time is over just after its writing has begun."""
         attempt = self.send(payload)
-        while not (attempt.written_us or attempt.over):
+        while not (attempt.written_us or attempt.is_over):
             await asyncio.sleep(0.001)
-        if not attempt.over:
-            attempt.wait(50_000)
+        if not attempt.is_over:
+            attempt.set_timeout(50_000)
         return await self.result()
 
 
@@ -59,7 +59,7 @@
 
 
 def test_connection_is_reused_and_carries_one_command_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -186,11 +186,11 @@
     async def job() -> None:
         backend = Backend()
         sender = Sender(await backend.start())
-        sender.backends.connection = Crossing
+        sender.backends.connection_class = Crossing
         monkeypatch.setattr(asyncio, "timeout", kept)
         sender.send(timeout_us=60 * S)
         assert await asyncio.wait_for(sender.result(), 20) is AttemptResult.CONNECT_FAILED
-        assert sender.backends.count() == 0 and not backend.commands
+        assert sender.backends.connection_count() == 0 and not backend.commands
         assert sender.backends.pools["s"].connecting == 0
 
     run(job())
@@ -204,7 +204,7 @@
         sender.send()
         assert await sender.result() is AttemptResult.OK
         await backend.left.wait()
-        assert sender.backends.count() == 0
+        assert sender.backends.connection_count() == 0
 
     run(job())
 
@@ -233,14 +233,14 @@
 def test_connections_are_bounded_over_all_backends() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        sender = Sender(await backend.start(), most=2)
+        sender = Sender(await backend.start(), max_connections=2)
         first = sender.send()
         sender.send()
         sender.send()
         assert (
             await sender.result() is AttemptResult.NOT_SENT
         )  # a shortage of ours is no fault of the backend
-        assert sender.backends.count() == 2
+        assert sender.backends.connection_count() == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
         await backend.came.wait()
@@ -255,7 +255,7 @@
         sender = Sender(await backend.start())
         sender.send()
         await backend.came.wait()
-        sender.backends.update({}, {}, whole=True)
+        sender.backends.update({}, {}, is_full=True)
         backend.writers[0].write(value(b"x"))
         assert await sender.result() is AttemptResult.OK
         await backend.left.wait()
@@ -291,7 +291,7 @@
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The backend leaves the connection open: whoever waits for the rest waits for good."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -329,7 +329,7 @@
         assert (await sender.ended.get())[1] == b"second"
         assert backend.opened == 2
         for connection in sender.backends.pools["s"].idle:
-            connection.idle_since = 0
+            connection.idle_since_us = 0
         # Rested, and unread bytes on both: seen before they are used, as the loop has not run in between.
         for writer in backend.writers:
             writer.transport.get_extra_info("socket")  # still open
@@ -363,7 +363,7 @@
         async with deaf() as (address, listener):
             sender = Sender(address)
             sender.send()
-            sender.backends.update({"s": state}, {"s": address}, whole=False)
+            sender.backends.update({"s": state}, {"s": address}, is_full=False)
             assert await sender.result() is AttemptResult.CONNECT_FAILED  # never ran: it may go elsewhere
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
@@ -381,10 +381,10 @@
         backend = Backend()
         address = await backend.start()
         sender = Sender(address)
-        sender.backends.update({"s": ServerState.DRAINING}, {"s": address}, whole=False)
+        sender.backends.update({"s": ServerState.DRAINING}, {"s": address}, is_full=False)
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        assert not sender.backends.count() and not backend.opened
+        assert not sender.backends.connection_count() and not backend.opened
 
     run(job())
 
@@ -396,7 +396,7 @@
         backend, counts = Backend(lambda words: None), []
         sender = Sender(await backend.start())
         attempt = sender.send()
-        attempt.done = lambda *_: counts.append(sender.backends.count())
+        attempt.on_ended = lambda *_: counts.append(sender.backends.connection_count())
         await backend.came.wait()
         attempt.cancel()
         attempt.cancel()
@@ -413,16 +413,16 @@
         sender.send()
         assert await sender.ended.get() == (AttemptResult.OK, b"x" * 213_035, None)
         backend.answer = lambda words: value(b"x" * 213_035)[:150_000]
-        sender.backends.most_bytes = 400_000
+        sender.backends.max_partial_answer_bytes = 400_000
         for _ in range(3):
             sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
-        assert sender.backends.held_bytes <= 400_000
+        assert sender.backends.partial_answer_bytes <= 400_000
         sender.backends.close()
         await backend.left.wait()
-        while sender.backends.count():
+        while sender.backends.connection_count():
             await asyncio.sleep(0.01)
-        assert sender.backends.held_bytes == 0
+        assert sender.backends.partial_answer_bytes == 0
 
     run(job())
 
@@ -434,21 +434,21 @@
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
-        assert sender.backends.count() == 1  # closed only when the loop has come to it
+        assert sender.backends.connection_count() == 1  # closed only when the loop has come to it
         await backend.left.wait()
-        assert sender.backends.count() == 0
-        sender.backends.update({"s": ServerState.UP}, {"s": refusing_address()}, whole=True)
+        assert sender.backends.connection_count() == 0
+        sender.backends.update({"s": ServerState.UP}, {"s": refusing_address()}, is_full=True)
         sender.send()
         assert await sender.result() is AttemptResult.CANCELLED
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        assert sender.backends.count() == 0 and sender.backends.pools["s"].connecting == 0
+        assert sender.backends.connection_count() == 0 and sender.backends.pools["s"].connecting == 0
 
     run(job())
 
 
 def test_kept_connections_that_are_reset_are_not_kept_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever lets go of them: the next request on one ends as a reset, and an unsafe one is lost."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
     monkeypatch.setattr(backends, "now_us", lambda: 0)  # all are of one age, however busy the machine
 
     async def job() -> None:
@@ -464,22 +464,24 @@
             sender.send()
             results.append(await sender.result())
         assert AttemptResult.RESET in results
-        assert results.count(AttemptResult.RESET) <= backends.LEAST_USES
+        assert results.count(AttemptResult.RESET) <= backends.MIN_USES
         assert results[-20:] == [AttemptResult.OK] * 20
         for _ in range(9):
-            sender.backends.reuse.fade()
-        assert sender.backends.reuse.most == backends.AGES  # it is tried again after a while
+            sender.backends.reuse_limit.decay()
+        assert (
+            sender.backends.reuse_limit.idle_class_limit == backends.IDLE_CLASSES
+        )  # it is tried again after a while
         sender.backends.close()
 
     run(job())
 
 
 def test_resets_that_meet_new_connections_alike_are_no_matter_of_age() -> None:
-    reuse = backends.Reuse()
+    reuse_limit = backends.ReuseLimit()
     for number in range(100):
-        reuse.note(0, reset=number % 5 == 0)
-        reuse.note(4, reset=number % 5 == 1)
-    assert reuse.good(29_000_000)
+        reuse_limit.record_use(0, was_reset=number % 5 == 0)
+        reuse_limit.record_use(4, was_reset=number % 5 == 1)
+    assert reuse_limit.allows(29_000_000)
 
 
 def parsed(data: bytes, cuts: list[int]) -> list[Answer | None]:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -150,7 +150,7 @@
     at_once: int, rounds: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As many connections to a backend as were out at once, however many requests there are."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def job() -> None:
         backend = Backend()
@@ -162,7 +162,7 @@
                 assert [await client.answer() for client in clients] == [b"ok"] * at_once
             assert gateway.costs.requests == at_once * rounds
             assert gateway.costs.handshakes == backend.opened <= at_once
-            assert gateway.backends.count() <= at_once and gateway.clients.sockets == at_once
+            assert gateway.backends.connection_count() <= at_once and gateway.clients.sockets == at_once
 
     run(job())
 
--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -30,7 +30,7 @@
 
 
 def test_counts_agree_with_a_count_from_outside(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
         def answer(words: list[bytes]) -> bytes | None:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -74,7 +74,7 @@
     async def job() -> None:
         backend, ended = Backend(), []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, whole=True)
+        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, is_full=True)
 
         def attempt(name: str) -> Attempt:
             payload = query(name)
@@ -85,8 +85,8 @@
         first.end_us = now_us() + 500  # under a millisecond: `d` could not tell of it
         while not ended:
             await asyncio.sleep(0.001)
-        assert ended == [(first, AttemptResult.NOT_SENT)] and not first.written and not backend.commands
-        await asyncio.sleep(backends.REST_US / 1e6)
+        assert ended == [(first, AttemptResult.NOT_SENT)] and not first.is_written and not backend.commands
+        await asyncio.sleep(backends.REUSE_DELAY_US / 1e6)
         second = attempt("a2")
         pool.send(second, 5 * S)
         while len(ended) < 2:
@@ -313,14 +313,14 @@
     async def job() -> None:
         backend, ended = Backend(lambda words: None), []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, whole=True)
+        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, is_full=True)
         first = Attempt("a1", 0, "s", lambda left: query("a1"), lambda one, how, *_: ended.append(how))
         pool.send(first, 5 * S)
         await backend.came.wait()
         backend.writers[0].write(value(b"ok"))  # it is in the kernel by now
         first.cancel()
         await asyncio.sleep(0.01)
-        assert ended == [AttemptResult.CANCELLED] and not pool.pools["s"].idle and not pool.count()
+        assert ended == [AttemptResult.CANCELLED] and not pool.pools["s"].idle and not pool.connection_count()
 
     run(job())
 
@@ -329,10 +329,10 @@
     async def job() -> None:
         ended = []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": (HOST, 9)}, whole=True)
+        pool.update({"s": ServerState.UP}, {"s": (HOST, 9)}, is_full=True)
         for left in (0, 999):
             pool.send(Attempt("a1", 0, "s", lambda _: b"", lambda one, how, *_: ended.append(how)), left)
-        assert ended == [AttemptResult.NOT_SENT] * 2 and not pool.count()
+        assert ended == [AttemptResult.NOT_SENT] * 2 and not pool.connection_count()
 
     run(job())
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -336,7 +336,7 @@
             assert not view.queue and not view.admission.waiting and gateway.exchanges.buffered_bytes == 0
             assert all(customer.in_flight == 0 for customer in view.customers.by_key.values())
             pools = gateway.backends.pools.values()
-            while gateway.backends.count() > sum(len(pool.idle) for pool in pools):
+            while gateway.backends.connection_count() > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
             assert not any(pool.connecting or pool.waiting for pool in pools)
             assert gateway.clients.sockets == len(gateway.clients.connections) == 15
--- a/thistletrail/gateway/exchange.py
+++ b/thistletrail/gateway/exchange.py
@@ -93,7 +93,7 @@
         """The request's budget with what each stage has taken up to `now`."""
         budget = self.budget
         running = [
-            AttemptTimes(attempt.sent_us, attempt.written_us, now) for attempt in self.in_flight.values()
+            AttemptTimes(attempt.started_us, attempt.written_us, now) for attempt in self.in_flight.values()
         ]
         for started_us, written_us, ended_us in (*self.attempt_history, *running):
             budget = budget.enter(Stage.CONNECTING, started_us)
--- a/thistletrail/gateway/exchanges.py
+++ b/thistletrail/gateway/exchanges.py
@@ -114,7 +114,7 @@
         self.set_backstop(exchange, now_us())
         for attempt in exchange.in_flight.values():
             if attempt.end_us > budget.end_us:
-                attempt.wait(budget.remaining_us(now_us()))
+                attempt.set_timeout(budget.remaining_us(now_us()))
 
     def set_backstop(self, exchange: Exchange, now: int) -> None:
         """The policy owes an answer in time; the backstop keeps the promise to the client should it fail."""
@@ -155,7 +155,7 @@
         timeout_us = min(remaining_us, action.timeout_us) if action.timeout_us > 0 else remaining_us
         attempt = self.new_attempt(exchange, action)
         if self.work_leases and self.work_leases.covers(exchange):
-            attempt.wait(timeout_us)
+            attempt.set_timeout(timeout_us)
             self.work_leases.start_attempt(exchange, attempt)
         else:
             self.attempts.send(attempt, timeout_us)
@@ -205,14 +205,14 @@
                 is_over = True
         if exchange:
             self.remove_attempt(exchange, attempt, result, is_over)
-        took_us = now - attempt.sent_us
+        took_us = now - attempt.started_us
         self.events.post(
             AttemptEnded(request_id, is_over, attempt.number, attempt.server, result, took_us, report=report)
         )
 
     def note_attempt(self, exchange: Exchange, attempt: Attempt, result: AttemptResult, now: int) -> None:
         """Add an ended attempt to the history of its unanswered request."""
-        exchange.attempt_history.append(AttemptTimes(attempt.sent_us, attempt.written_us, now))
+        exchange.attempt_history.append(AttemptTimes(attempt.started_us, attempt.written_us, now))
         if attempt.written_us and result not in NEVER_RAN_RESULTS:
             exchange.first_run_us = min(exchange.first_run_us, attempt.written_us)
 
@@ -248,7 +248,7 @@
             return
         self.costs.gone += 1
         for attempt in list(exchange.in_flight.values()):
-            attempt.withdraw()
+            attempt.cancel_unless_written()
         if self.work_leases:
             self.work_leases.on_request_over(reply.id)
         self.post_disconnected(reply.id, exchange)
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -215,7 +215,7 @@
         descriptors = {
             "clients": self.clients.sockets,
             "listener": int(self.clients.listener is not None),
-            "backends": self.backends.count(),
+            "backends": self.backends.connection_count(),
             "discovery": self.discovery.sockets,
             "peers": int(self.peers.transport is not None),
         }
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -270,7 +270,7 @@
         item.stop_timer()
         attempt = item.pending_attempt
         item.pending_attempt = None
-        if attempt is not None and not attempt.over:
+        if attempt is not None and not attempt.is_over:
             item.may_have_run_here = True  # until its result proves that it has not
             self.attempts.send(attempt, attempt.end_us - now_us())
 
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -57,9 +57,9 @@
         """Tell the policy that the pending attempt is not made here, as the work is another gateway's."""
         attempt = item.pending_attempt
         item.pending_attempt = None
-        if attempt is None or attempt.over:
+        if attempt is None or attempt.is_over:
             return
-        attempt.drop()
+        attempt.end_without_callback()
         item.exchange.in_flight.pop(attempt.number, None)
         self.events.post(
             AttemptEnded(
