--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""Connections to backends: reuse, bounds, and whether an attempt may have run."""
+"""Connections to scan servers: reuse, bounds, and whether an attempt may have run."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class Sender:
-    """Sends attempts through a pool and keeps how they ended."""
+    """Sends attempts through a pool and queues their outcomes."""
 
     def __init__(
         self, address: Address, idle_us: int = 30 * S, max_connections: int = 50, connect_us: int = 20 * S
@@ -32,15 +32,17 @@
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
     def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
-        attempt = Attempt("a", 0, "s", lambda left: payload, lambda _, *how: self.ended.put_nowait(how))
+        attempt = Attempt(
+            "a", 0, "s", lambda remaining_us: payload, lambda _, *outcome: self.ended.put_nowait(outcome)
+        )
         self.backends.send(attempt, timeout_us)
         return attempt
 
     async def result(self) -> AttemptResult:
         return (await self.ended.get())[0]
 
-    async def times_out(self, payload: bytes = resp("PING")) -> AttemptResult:
-        """How an attempt ends whose time is over just after its writing has begun."""
+    async def send_and_time_out(self, payload: bytes = resp("PING")) -> AttemptResult:
+        """The result of an attempt that times out 50 ms after its writing has begun."""
         attempt = self.send(payload)
         while not (attempt.written_us or attempt.is_over):
             await asyncio.sleep(0.001)
@@ -50,8 +52,8 @@
 
 
 @contextlib.asynccontextmanager
-async def deaf() -> AsyncIterator[tuple[Address, socket.socket]]:
-    """A machine that takes connections and reads nothing."""
+async def unresponsive_machine() -> AsyncIterator[tuple[Address, socket.socket]]:
+    """A machine that accepts connections and reads nothing."""
     with socket.socket() as listener:
         listener.bind((HOST, 0))
         listener.listen()
@@ -61,8 +63,8 @@
 def test_connection_is_reused_and_carries_one_command_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
@@ -71,60 +73,60 @@
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
-        backend.answer = lambda words: value(b"y")
+        backend.answer = lambda arguments: value(b"y")
         for _ in range(5):
             sender.send()
             assert await sender.result() is AttemptResult.OK
         assert backend.opened == 2
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_given_up_attempt_closes_its_connection() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_cancelled_attempt_closes_its_connection() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.left.wait()  # an answer that is still due must not meet the next command
-        backend.answer = lambda words: value(b"fresh")
+        await backend.left.wait()  # its late answer must not answer the next command
+        backend.answer = lambda arguments: value(b"fresh")
         sender.send()
         assert (await sender.ended.get())[1] == b"fresh"
         assert sender.ended.empty()
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_broken_after_the_last_byte_may_have_run() -> None:
-    async def job() -> None:
-        sender = Sender(await Backend(lambda words: b"").start())
+def test_connection_reset_after_the_last_byte_means_that_the_attempt_may_have_run() -> None:
+    async def scenario() -> None:
+        sender = Sender(await Backend(lambda arguments: b"").start())
         sender.send()
         assert await sender.result() is AttemptResult.RESET
 
-    run(job())
+    run(scenario())
 
 
-def test_silent_after_the_last_byte_timed_out() -> None:
-    async def job() -> None:
-        async with deaf() as (address, _):
-            assert await Sender(address).times_out() is AttemptResult.TIMEOUT
+def test_silence_after_the_last_byte_is_a_timeout() -> None:
+    async def scenario() -> None:
+        async with unresponsive_machine() as (address, _):
+            assert await Sender(address).send_and_time_out() is AttemptResult.TIMEOUT
 
-    run(job())
+    run(scenario())
 
 
-def test_refused_or_out_of_time_before_the_last_byte_never_ran() -> None:
-    async def job() -> None:
+def test_attempt_that_fails_before_the_last_byte_never_ran() -> None:
+    async def scenario() -> None:
         sender = Sender(refusing_address())
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        async with deaf() as (address, _):
-            large = b"x" * (64 << 20)  # more than the kernel takes in
-            assert await Sender(address).times_out(large) is AttemptResult.CONNECT_FAILED
-        async with deaf() as (address, listener):
+        async with unresponsive_machine() as (address, _):
+            large = b"x" * (64 << 20)  # more than the kernel buffers
+            assert await Sender(address).send_and_time_out(large) is AttemptResult.CONNECT_FAILED
+        async with unresponsive_machine() as (address, listener):
             sender = Sender(address)
             sender.send(b"x" * (64 << 20))
             listener.setblocking(False)
@@ -132,27 +134,27 @@
             accepted.close()  # with bytes unread: a reset
             assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-def test_connection_that_ends_as_soon_as_it_is_up_never_ran() -> None:
-    async def job() -> None:
-        async with deaf() as (address, listener):
+def test_connection_that_ends_at_once_is_reported_as_failed() -> None:
+    async def scenario() -> None:
+        async with unresponsive_machine() as (address, listener):
             sender = Sender(address)
             sender.send(timeout_us=20 * S)
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
-            accepted.close()  # before the loop comes to know that the connection is up
+            accepted.close()  # before the event loop handles the established connection
             assert await asyncio.wait_for(sender.result(), 5) in (
                 AttemptResult.CONNECT_FAILED,
                 AttemptResult.RESET,
             )
 
-    run(job())
+    run(scenario())
 
 
-def test_machine_that_never_answers_a_connect_is_given_up_soon() -> None:
-    async def job() -> None:
+def test_connect_without_an_answer_fails_after_its_timeout() -> None:
+    async def scenario() -> None:
         with contextlib.ExitStack() as stack:
             listener = stack.enter_context(socket.socket())
             listener.bind((HOST, 0))
@@ -165,16 +167,16 @@
             sender.send(timeout_us=60 * S)
             assert await asyncio.wait_for(sender.result(), 20) is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-def test_connection_that_comes_up_in_the_moment_it_is_given_up_is_not_used(
+def test_connection_established_as_its_timeout_passes_is_not_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time to connect ends between the connection's coming up and its opener's hearing of that."""
+    """The timeout passes after `connection_made`, before `create_connection` has returned."""
     timeouts: list[asyncio.Timeout] = []
 
-    def kept(delay: float) -> asyncio.Timeout:
+    def recorded_timeout(delay: float) -> asyncio.Timeout:
         timeouts.append(asyncio.timeouts.timeout(delay))
         return timeouts[-1]
 
@@ -183,21 +185,21 @@
             super().connection_made(transport)
             timeouts[-1].reschedule(0)
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
         sender = Sender(await backend.start())
         sender.backends.connection_class = Crossing
-        monkeypatch.setattr(asyncio, "timeout", kept)
+        monkeypatch.setattr(asyncio, "timeout", recorded_timeout)
         sender.send(timeout_us=60 * S)
         assert await asyncio.wait_for(sender.result(), 20) is AttemptResult.CONNECT_FAILED
         assert sender.backends.connection_count() == 0 and not backend.commands
         assert sender.backends.pools["s"].connecting == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_idle_connection_is_closed_by_us_first() -> None:
-    async def job() -> None:
+def test_idle_connection_is_closed_before_the_server_closes_it() -> None:
+    async def scenario() -> None:
         backend = Backend()
         sender = Sender(await backend.start(), idle_us=200_000)
         sender.backends.sweep()
@@ -206,15 +208,15 @@
         await backend.left.wait()
         assert sender.backends.connection_count() == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_silence_or_a_reset_puts_idle_connections_in_doubt() -> None:
-    """A machine that vanished resets them when it is back: an unsafe request would be lost on one."""
+def test_timeout_or_reset_closes_the_idle_connections_to_a_server() -> None:
+    """A machine that was down resets them when it is back, and an unsafe request on one would be lost."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         for broken in (None, b""):
-            backend = Backend(lambda words: None)
+            backend = Backend(lambda arguments: None)
             sender = Sender(await backend.start())
             sender.send()
             sender.send()
@@ -223,35 +225,33 @@
                 writer.write(value(b"x"))
             assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
             assert len(sender.backends.pools["s"].idle) == 2
-            backend.answer = lambda words, broken=broken: broken
-            assert await sender.times_out() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
+            backend.answer = lambda arguments, broken=broken: broken
+            assert await sender.send_and_time_out() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
             assert sender.backends.pools["s"].idle == []
 
-    run(job())
+    run(scenario())
 
 
-def test_connections_are_bounded_over_all_backends() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_connections_are_bounded_over_all_servers() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start(), max_connections=2)
         first = sender.send()
         sender.send()
         sender.send()
-        assert (
-            await sender.result() is AttemptResult.NOT_SENT
-        )  # a shortage of ours is no fault of the backend
+        assert await sender.result() is AttemptResult.NOT_SENT  # which does not count against the server
         assert sender.backends.connection_count() == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
         await backend.came.wait()
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_gone_backend_keeps_its_attempt_and_loses_idle_connections() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_removed_server_completes_its_attempt_and_loses_its_idle_connections() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         await backend.came.wait()
@@ -262,10 +262,10 @@
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-SPOILT = [
+MALFORMED_ANSWERS = [
     b"*1000000000\r\n",
     b"*3\r\n$3000000000\r\n",
     b"*3\r\n$-7\r\n",
@@ -286,15 +286,15 @@
 ]
 
 
-@pytest.mark.parametrize("answer", SPOILT)
-def test_spoilt_answer_fails_at_its_head_and_leaves_other_connections(
+@pytest.mark.parametrize("answer", MALFORMED_ANSWERS)
+def test_malformed_answer_fails_at_its_first_lines_and_leaves_other_connections_open(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The backend leaves the connection open: whoever waits for the rest waits for good."""
+    """The server leaves the connection open: a reader that waits for the rest would wait for ever."""
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
@@ -302,50 +302,51 @@
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
-        backend.answer = lambda words: answer
+        backend.answer = lambda arguments: answer
         sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
         await backend.left.wait()
         assert len(sender.backends.pools["s"].idle) == 1
-        backend.answer = lambda words: value(b"good")
+        backend.answer = lambda arguments: value(b"good")
         sender.send()
         assert await sender.ended.get() == (AttemptResult.OK, b"good", None)
         assert backend.opened == 2
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_what_comes_behind_an_answer_never_answers_the_next_request() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_bytes_behind_an_answer_never_answer_the_next_request() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         await backend.came.wait()
         backend.writers[0].write(value(b"first"))
         assert (await sender.ended.get())[1] == b"first"
-        backend.answer = lambda words: value(b"second")
-        sender.send()  # at once: the connection has not rested
+        backend.answer = lambda arguments: value(b"second")
+        sender.send()  # at once: the connection may not be reused yet
         assert (await sender.ended.get())[1] == b"second"
         assert backend.opened == 2
         for connection in sender.backends.pools["s"].idle:
             connection.idle_since_us = 0
-        # Rested, and unread bytes on both: seen before they are used, as the loop has not run in between.
+        # Both may be reused by now, and get unread bytes, which are found although the loop does not run
+        # in between.
         for writer in backend.writers:
             writer.transport.get_extra_info("socket")  # still open
             socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())).send(value(b"copy"))
-        backend.answer = lambda words: value(b"third")
+        backend.answer = lambda arguments: value(b"third")
         sender.send()
         assert (await sender.ended.get())[1] == b"third"
         assert backend.opened == 3
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_answer_before_the_whole_request_is_not_its_value() -> None:
-    async def job() -> None:
-        async with deaf() as (address, listener):
+def test_answer_before_the_last_byte_of_the_request_is_not_its_value() -> None:
+    async def scenario() -> None:
+        async with unresponsive_machine() as (address, listener):
             sender = Sender(address)
             sender.send(b"x" * (64 << 20), timeout_us=20 * S)
             listener.setblocking(False)
@@ -354,30 +355,31 @@
                 accepted.send(value(b"of another"))
                 assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.GONE, ServerState.DRAINING])
-def test_nothing_is_written_to_a_backend_that_leaves_while_connecting(state: ServerState) -> None:
-    async def job() -> None:
-        async with deaf() as (address, listener):
+def test_nothing_is_written_to_a_server_that_leaves_while_connecting(state: ServerState) -> None:
+    async def scenario() -> None:
+        async with unresponsive_machine() as (address, listener):
             sender = Sender(address)
             sender.send()
             sender.backends.update({"s": state}, {"s": address}, is_full=False)
-            assert await sender.result() is AttemptResult.CONNECT_FAILED  # never ran: it may go elsewhere
+            # It never ran, so another server may get it.
+            assert await sender.result() is AttemptResult.CONNECT_FAILED
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.setblocking(False)
             assert await asyncio.get_running_loop().sock_recv(accepted, 100) == b""
             accepted.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_nothing_new_goes_to_a_backend_that_drains() -> None:
-    """The module may have picked it just before it heard of that."""
+def test_draining_server_gets_no_new_attempts() -> None:
+    """The policy may have selected it just before the endpoint list said so."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
         address = await backend.start()
         sender = Sender(address)
@@ -386,14 +388,14 @@
         assert await sender.result() is AttemptResult.CONNECT_FAILED
         assert not sender.backends.connection_count() and not backend.opened
 
-    run(job())
+    run(scenario())
 
 
-def test_connection_of_a_given_up_attempt_is_closed_before_anybody_is_told() -> None:
-    """Whoever is told begins a further attempt at once, and two may not be out."""
+def test_connection_of_a_cancelled_attempt_is_closed_before_the_callback() -> None:
+    """The callback may start a further attempt at once, and two may not be in flight."""
 
-    async def job() -> None:
-        backend, counts = Backend(lambda words: None), []
+    async def scenario() -> None:
+        backend, counts = Backend(lambda arguments: None), []
         sender = Sender(await backend.start())
         attempt = sender.send()
         attempt.on_ended = lambda *_: counts.append(sender.backends.connection_count())
@@ -403,16 +405,16 @@
         await backend.left.wait()
         assert counts == [0]
 
-    run(job())
+    run(scenario())
 
 
-def test_long_answers_pass_and_all_that_are_not_whole_are_bounded() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: value(b"x" * 213_035))
+def test_long_answers_pass_and_incomplete_answers_are_bounded_in_total() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: value(b"x" * 213_035))
         sender = Sender(await backend.start())
         sender.send()
         assert await sender.ended.get() == (AttemptResult.OK, b"x" * 213_035, None)
-        backend.answer = lambda words: value(b"x" * 213_035)[:150_000]
+        backend.answer = lambda arguments: value(b"x" * 213_035)[:150_000]
         sender.backends.max_partial_answer_bytes = 400_000
         for _ in range(3):
             sender.send(timeout_us=20 * S)
@@ -424,17 +426,17 @@
             await asyncio.sleep(0.01)
         assert sender.backends.partial_answer_bytes == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_counts_are_those_of_the_sockets() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_connection_count_follows_the_open_sockets() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
-        assert sender.backends.connection_count() == 1  # closed only when the loop has come to it
+        assert sender.backends.connection_count() == 1  # the event loop closes the socket in a later turn
         await backend.left.wait()
         assert sender.backends.connection_count() == 0
         sender.backends.update({"s": ServerState.UP}, {"s": refusing_address()}, is_full=True)
@@ -443,21 +445,20 @@
         assert await sender.result() is AttemptResult.CONNECT_FAILED
         assert sender.backends.connection_count() == 0 and sender.backends.pools["s"].connecting == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_kept_connections_that_are_reset_are_not_kept_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever lets go of them: the next request on one ends as a reset, and an unsafe one is lost."""
+def test_idle_connections_are_no_longer_reused_after_resets(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A server drops idle connections early: a request on one is reset, and lost if it is unsafe."""
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
-    monkeypatch.setattr(backends, "now_us", lambda: 0)  # all are of one age, however busy the machine
+    monkeypatch.setattr(backends, "now_us", lambda: 0)  # all are in one idle class, however busy the machine
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
-        backend.answer = (
-            lambda words: b""
-            if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1
-            else value(b"ok")
-        )  # the second command on a connection
+        # The second command on a connection resets it.
+        backend.answer = lambda arguments: (
+            b"" if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1 else value(b"ok")
+        )
         sender = Sender(await backend.start())
         results = []
         for _ in range(40):
@@ -468,15 +469,14 @@
         assert results[-20:] == [AttemptResult.OK] * 20
         for _ in range(9):
             sender.backends.reuse_limit.decay()
-        assert (
-            sender.backends.reuse_limit.idle_class_limit == backends.IDLE_CLASSES
-        )  # it is tried again after a while
+        # Reuse is tried again after a while.
+        assert sender.backends.reuse_limit.idle_class_limit == backends.IDLE_CLASSES
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_resets_that_meet_new_connections_alike_are_no_matter_of_age() -> None:
+def test_resets_as_frequent_on_new_connections_do_not_limit_reuse() -> None:
     reuse_limit = backends.ReuseLimit()
     for number in range(100):
         reuse_limit.record_use(0, was_reset=number % 5 == 0)
@@ -484,30 +484,33 @@
     assert reuse_limit.allows(29_000_000)
 
 
-def parsed(data: bytes, cuts: list[int]) -> list[Answer | None]:
-    """The answers found in data that comes in pieces; None where they can be read no further."""
-    reader, found = AnswerReader(), []
-    places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
+def parse_split(data: bytes, cuts: list[int]) -> list[Answer | None]:
+    """The answers in data that is fed in pieces, and None where the rest is malformed."""
+    reader = AnswerReader()
+    answers: list[Answer | None] = []
+    offsets = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
     try:
-        for start, end in pairwise(places):
+        for start, end in pairwise(offsets):
             reader.feed(data[start:end])
             while answer := reader.next():
-                found.append(answer)
+                answers.append(answer)
     except ProtocolError:
-        found.append(None)
-    return found
+        answers.append(None)
+    return answers
 
 
 BODIES = st.tuples(st.binary(max_size=40), st.none() | st.binary(max_size=20))
 
 
 @given(st.lists(BODIES), st.lists(st.integers(0, 400)))
-def test_answers_are_the_same_however_cut(answers: list[tuple[bytes, bytes | None]], cuts: list[int]) -> None:
+def test_answers_are_the_same_however_the_bytes_are_split(
+    answers: list[tuple[bytes, bytes | None]], cuts: list[int]
+) -> None:
     data = b"".join(
         value(body, b"$-1\r\n" if report is None else b"$%d\r\n%b\r\n" % (len(report), report))
         for body, report in answers
     )
-    assert parsed(data, cuts) == [Answer(body, report=report) for body, report in answers]
+    assert parse_split(data, cuts) == [Answer(body, report=report) for body, report in answers]
 
 
 PIECES = st.one_of(
@@ -517,18 +520,18 @@
 
 
 @given(st.lists(PIECES), st.lists(st.integers(0, 200)))
-def test_whatever_a_backend_sends_is_the_same_in_pieces(pieces: list[bytes], cuts: list[int]) -> None:
-    assert parsed(b"".join(pieces), cuts) == parsed(b"".join(pieces), [])
+def test_arbitrary_bytes_read_the_same_however_they_are_split(pieces: list[bytes], cuts: list[int]) -> None:
+    assert parse_split(b"".join(pieces), cuts) == parse_split(b"".join(pieces), [])
 
 
-def test_load_report_is_read_by_name() -> None:
-    load = LoadReport(util=0.61, service_ms=12.5)
+def test_load_report_is_read_by_field_names_and_without_malformed_values() -> None:
+    expected = LoadReport(util=0.61, service_ms=12.5)
     report = b"util=0.61,latency_ms=12.5,strange=x"
-    assert outcome_of(Answer(b"v", report=report)) == (AttemptResult.OK, b"v", load)
-    for odd in ("nan", "inf", "-inf", "-1", "-0.1", "1_0", " 1", "1e99", "2.5", "", "=", "0x1", "\xb2"):
-        report = f"util={odd},latency_ms=5".encode()
-        known = outcome_of(Answer(b"v", report=report))[2]
-        assert known is None or known.util is None
+    assert outcome_of(Answer(b"v", report=report)) == (AttemptResult.OK, b"v", expected)
+    for malformed in ("nan", "inf", "-inf", "-1", "-0.1", "1_0", " 1", "1e99", "2.5", "", "=", "0x1", "\xb2"):
+        report = f"util={malformed},latency_ms=5".encode()
+        load_report = outcome_of(Answer(b"v", report=report))[2]
+        assert load_report is None or load_report.util is None
     assert outcome_of(Answer(b"v", report=b"util=\xff"))[2] is None
     assert outcome_of(Answer(b"v", report=b"util=what")) == (AttemptResult.OK, b"v", None)
     assert outcome_of(Answer(b"v")) == (AttemptResult.OK, b"v", None)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""What requests, connections and customers may take, held without a clock."""
+"""Bounds on what requests, connections and customers use, in bytes and objects, independent of time."""
 
 import asyncio
 import gc
@@ -22,50 +22,52 @@
 from thistletrail.policy.pending_request import PendingRequest
 
 ROOT = Path(__file__).parent.parent
-# Bytes in the program's own lines for a connection that has gone quiet, the transport included. As measured:
-# 1,600 with uvloop 0.23 (2,450 with a deque for its replies, 1,750 with no slots); the rest is room.
-IDLE_CONNECTION = 2000
-# Of a customer seen once, in the module: about 650, and room for dictionaries that have just grown.
-CUSTOMER = 1200
+# Allocated by the program's own lines for an idle connection, the transport included. With uvloop 0.23 it is
+# 1,600 bytes (2,450 with a deque for the replies, 1,750 without slots).
+MAX_IDLE_CONNECTION_BYTES = 2000
+# Allocated by the policy for a customer with one request: about 650 bytes, and more just after a dictionary
+# has grown.
+MAX_CUSTOMER_BYTES = 1200
 
 
-def kept(place: str) -> Callable[[], int]:
-    """Tells, when called, the bytes that lines there have allocated from now on and that are still there."""
-    only = [tracemalloc.Filter(True, str(ROOT / place))]
+def allocated_bytes(path_pattern: str) -> Callable[[], int]:
+    """A function for the bytes that lines of these files allocate from now on and have not freed."""
+    filters = [tracemalloc.Filter(True, str(ROOT / path_pattern))]
 
-    def taken() -> tracemalloc.Snapshot:
+    def take_snapshot() -> tracemalloc.Snapshot:
         gc.collect()
-        return tracemalloc.take_snapshot().filter_traces(only)
+        return tracemalloc.take_snapshot().filter_traces(filters)
 
-    before = taken()
-    return lambda: sum(found.size_diff for found in taken().compare_to(before, "filename"))
+    before = take_snapshot()
+    return lambda: sum(statistic.size_diff for statistic in take_snapshot().compare_to(before, "filename"))
 
 
 @pytest.fixture
-def traced() -> object:
+def traced_memory() -> object:
     tracemalloc.start()
     yield
     tracemalloc.stop()
 
 
-def test_quiet_connection_keeps_few_bytes(traced: None) -> None:
+def test_idle_connection_uses_few_bytes(traced_memory: None) -> None:
     count = 200
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend(), sockets=512, settings=PATIENT) as (_, address):
-            for number in range(20):  # what the first requests bring into being is nobody's
+            # What the first requests allocate once for all is not counted.
+            for number in range(20):
                 await (await Client.open(address)).ask(query(f"w{number}", wait_ms=PATIENT_MS))
-            found = kept("thistletrail/gateway/clients.py")
+            measure = allocated_bytes("thistletrail/gateway/clients.py")
             clients = [await Client.open(address) for _ in range(count)]
             for number, client in enumerate(clients):
                 assert await client.ask(query(f"a{number}", wait_ms=PATIENT_MS)) == b"ok"
-            assert 0 < found() / count < IDLE_CONNECTION
+            assert 0 < measure() / count < MAX_IDLE_CONNECTION_BYTES
 
-    run(job())
+    run(scenario())
 
 
-def customers(world: World, start: int, count: int) -> None:
-    """Each asks once and is answered."""
+def serve_customers(world: World, start: int, count: int) -> None:
+    """Have `count` customers send one request each, which is answered."""
     for number in range(start, start + count):
         world.ask(f"r{number}", customer=f"c{number}")
         for name, attempt in list(world.out):
@@ -74,25 +76,26 @@
         world.tries.clear()
 
 
-def test_customer_seen_once_keeps_few_bytes(traced: None) -> None:
+def test_customer_with_one_request_uses_few_bytes(traced_memory: None) -> None:
     world = World()
-    customers(world, 0, 100)
+    serve_customers(world, 0, 100)
     count = 2000
-    found = kept("thistletrail/policy/*")
-    customers(world, 100, count)
-    assert 0 < found() / count < CUSTOMER
+    measure = allocated_bytes("thistletrail/policy/*")
+    serve_customers(world, 100, count)
+    assert 0 < measure() / count < MAX_CUSTOMER_BYTES
 
 
-def test_ten_thousand_customers_that_come_once_leave_nothing() -> None:
-    """They are kept until their stores are full again, and not one longer."""
+def test_ten_thousand_customers_with_one_request_each_are_all_forgotten() -> None:
+    """A customer is remembered until its token buckets are full again, and no longer."""
     world = World(replace(SETTINGS, plans=(replace(PLAN, rate=1000.0),)), servers(4))
-    gateway, most = world.gateway, 0
+    gateway = world.gateway
+    max_customers = 0
     for start in range(0, 10_000, 100):
-        customers(world, start, 100)
+        serve_customers(world, start, 100)
         world.run(S)
         world.log.clear()
-        most = max(most, len(gateway.customers.by_key))
-    assert most <= 100 * (gateway.customers.retention_us // S + 2)
+        max_customers = max(max_customers, len(gateway.customers.by_key))
+    assert max_customers <= 100 * (gateway.customers.retention_us // S + 2)
     world.run(gateway.customers.retention_us + 3 * S)
     assert not gateway.customers.by_key and not gateway.customers.first_keys
     assert (
@@ -103,17 +106,18 @@
     )
 
 
-def living(*kinds: type) -> list[object]:
+def live_objects(*classes: type) -> list[object]:
+    """All objects of these classes that are still referenced."""
     gc.collect()
-    return [found for found in gc.get_objects() if isinstance(found, kinds)]
+    return [candidate for candidate in gc.get_objects() if isinstance(candidate, classes)]
 
 
-def test_request_leaves_no_task_timer_or_record_behind() -> None:
-    """A timer that is left holds what it would call, and so the request."""
+def test_finished_requests_leave_no_task_timer_or_object() -> None:
+    """A timer that is not cancelled refers to its callback, and so keeps the request in memory."""
 
-    async def job() -> None:
-        def answer(words: list[bytes]) -> bytes | None:
-            return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(words[2][:1], value(b"ok"))
+    async def scenario() -> None:
+        def answer(arguments: list[bytes]) -> bytes | None:
+            return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(arguments[2][:1], value(b"ok"))
 
         backend = Backend(answer)
         async with running_gateway(backend) as (gateway, address):
@@ -134,25 +138,25 @@
                 or gateway.policy.requests_by_id
             ):
                 await asyncio.sleep(0.001)
-            ours = {
+            gateway_tasks = {
                 task
                 for task in asyncio.all_tasks() - before
                 if "thistletrail/gateway" in repr(task.get_coro())
             }
-            assert not ours
-            assert not living(Exchange, Attempt, PendingRequest)
+            assert not gateway_tasks
+            assert not live_objects(Exchange, Attempt, PendingRequest)
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize(("at_once", "rounds"), [(1, 40), (8, 5)])
-def test_handshakes_and_descriptors_for_a_load(
+def test_connections_to_a_server_are_as_many_as_attempts_in_flight_at_once(
     at_once: int, rounds: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As many connections to a backend as were out at once, however many requests there are."""
+    """Their number does not grow with the number of requests."""
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
         async with running_gateway(backend) as (gateway, address):
             clients = [await Client.open(address) for _ in range(at_once)]
@@ -164,36 +168,38 @@
             assert gateway.costs.handshakes == backend.opened <= at_once
             assert gateway.backends.connection_count() <= at_once and gateway.clients.sockets == at_once
 
-    run(job())
+    run(scenario())
 
 
-def test_start_loads_no_module_for_little() -> None:
-    """What is loaded stays for good, in each of the fleet's front doors."""
+def test_start_does_not_import_large_modules_with_little_use() -> None:
+    """An imported module stays in memory for the lifetime of every gateway of the fleet."""
     code = (
         "import sys, thistletrail.gateway.__main__\n"
         "print([name for name in ('pathlib', 'urllib', 'email') if name in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    process = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert process.stdout.strip() == "[]"
 
 
-def test_module_has_one_timer_at_a_time() -> None:
-    """An idle one waits for the end of its period; each request sets a nearer one, which takes its place."""
+def test_policy_has_one_timer_at_a_time() -> None:
+    """An idle policy waits for the end of its period; a request sets an earlier timer, which replaces it."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, _):
             for _ in range(10):
                 gateway.driver.set_timer(SetTimer(900 * MS, 0))
                 gateway.driver.set_timer(SetTimer(500 * MS, 0))
             pending = [
-                found
-                for found in living(uvloop.loop.TimerHandle)
-                if "PolicyDriver.fire_when_due" in repr(found)
+                timer
+                for timer in live_objects(uvloop.loop.TimerHandle)
+                if "PolicyDriver.fire_when_due" in repr(timer)
             ]
             assert len(pending) == 1 and list(gateway.driver.timers) == [0]
-            rung: list[Event] = []
-            gateway.driver.post = rung.append
+            fired: list[Event] = []
+            gateway.driver.post = fired.append
             gateway.driver.set_timer(SetTimer(0, 0))
-            assert rung == [TimerFired(0)] and not gateway.driver.timers
+            assert fired == [TimerFired(0)] and not gateway.driver.timers
 
-    run(job())
+    run(scenario())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Client connections: order, bounds, and whatever a client may send."""
+"""Client connections: the order of answers, bounds and timeouts, and malformed or invalid input."""
 
 import asyncio
 import contextlib
@@ -30,19 +30,19 @@
 PARSER = CommandParser(CONFIG)
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None if words[2] == b"a1" else value(words[2]))
+def test_answers_are_sent_in_the_order_of_the_commands() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None if arguments[2] == b"a1" else value(arguments[2]))
         async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
             client.send(query("a1") + resp("PING") + query("a2") + resp("WHAT"))
             await backend.received(2)
-            slow = next(n for n, words in enumerate(backend.commands) if words[2] == b"a1")
+            slow = next(index for index, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
             backend.writers[slow].write(value(b"a1"))
             answers = [await client.answer() for _ in range(4)]
             assert answers == [b"a1", b"PONG", b"a2", "-ERR unknown command"]
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -64,8 +64,8 @@
         b"\x16\x03\x01\x02\x00",
     ],
 )
-def test_malformed_resp_is_an_error_and_a_close(data: bytes) -> None:
-    async def job() -> None:
+def test_malformed_resp_gets_an_error_and_closes_the_connection(data: bytes) -> None:
+    async def scenario() -> None:
         backend = Backend()
         async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
@@ -75,14 +75,14 @@
             assert await other.ask(query("a1")) == b"ok"
             assert len(backend.commands) == 1
 
-    run(job())
+    run(scenario())
 
 
 FIELDS = "c=read,t=team,d=500"
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("GET", "x"),
         ("svc.query", CUSTOMER, "a", FIELDS),
@@ -121,36 +121,38 @@
         ("PING", "a", "b"),
     ],
 )
-def test_wrong_command_is_an_error_and_the_connection_lives(words: tuple[str, ...]) -> None:
-    async def job() -> None:
+def test_invalid_command_gets_an_error_and_the_connection_stays_open(arguments: tuple[str, ...]) -> None:
+    async def scenario() -> None:
         backend = Backend()
         async with running_gateway(backend) as (_, address):
             client = await Client.open(address)
-            assert str(await client.ask(resp(*words))).startswith("-ERR ")
+            assert str(await client.ask(resp(*arguments))).startswith("-ERR ")
             assert await client.ask(resp("PING")) == b"PONG"
             assert backend.commands == []
 
-    run(job())
+    run(scenario())
 
 
-def test_full_front_door_closes_those_of_least_use(monkeypatch: pytest.MonkeyPatch) -> None:
-    """First who never sent a whole command, then who only greeted, then who is idle for longest, but for
-    the least time of those that have asked."""
+def test_full_gateway_evicts_the_least_active_connections_first(monkeypatch: pytest.MonkeyPatch) -> None:
+    """First a client without a complete command, then one that only sent PING, then the longest idle one.
 
-    async def job() -> None:
-        held = asyncio.Event()
-        backend = Backend(lambda words: None if held.is_set() else value(b"ok"))
+    A client that has sent requests keeps its minimum idle time.
+    """
+
+    async def scenario() -> None:
+        is_silent = asyncio.Event()
+        backend = Backend(lambda arguments: None if is_silent.is_set() else value(b"ok"))
         async with running_gateway(backend) as (gateway, address):
             gateway.clients.max_sockets = 3
             first, second = await Client.open(address), await Client.open(address)
             assert await first.ask(query("a")) == b"ok"
             assert await second.ask(query("b")) == b"ok"
             silent = await Client.open(address)
-            greeter = await Client.open(address)
+            pinging = await Client.open(address)
             assert await silent.ended()
-            assert await greeter.ask(resp("PING")) == b"PONG"
+            assert await pinging.ask(resp("PING")) == b"PONG"
             third = await Client.open(address)
-            assert await greeter.ended()
+            assert await pinging.ended()
             assert await third.ask(query("c")) == b"ok"
             early = await Client.open(address)  # the others have not been idle for long enough
             assert await early.answer() == "-ERR max number of clients reached"
@@ -160,32 +162,33 @@
             fourth = await Client.open(address)
             assert await fourth.ask(resp("PING")) == b"PONG"
             assert await first.ended()
-            held.set()
+            is_silent.set()
             for number, client in enumerate((second, third, fourth)):
                 client.send(query(f"a{number}"))
             while len(gateway.exchanges.unanswered) < 3:
                 await asyncio.sleep(0)
-            late = await Client.open(address)  # nobody is idle
+            late = await Client.open(address)  # no client is idle
             assert await late.answer() == "-ERR max number of clients reached"
             assert await late.ended()
 
-    run(job())
+    run(scenario())
 
 
 def test_burst_of_connections_stays_within_the_bound() -> None:
-    """Also an accepted socket counts until it is closed; a server of the loop's accepts all that wait."""
+    """An accepted socket counts until it is closed. The loop's own server accepts all pending connections."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway() as (gateway, address):
-            gateway.clients.max_sockets, most = 20, 0
+            gateway.clients.max_sockets = 20
+            max_seen = 0
             attach = gateway.clients.attach
 
-            def counted(accepted: socket.socket) -> object:
-                nonlocal most
-                most = max(most, gateway.clients.sockets)
+            def attach_and_count(accepted: socket.socket) -> object:
+                nonlocal max_seen
+                max_seen = max(max_seen, gateway.clients.sockets)
                 return attach(accepted)
 
-            gateway.clients.attach = counted
+            gateway.clients.attach = attach_and_count
             with contextlib.ExitStack() as stack:
                 for _ in range(300):
                     burst = stack.enter_context(socket.socket())
@@ -193,18 +196,18 @@
                     burst.connect_ex(address)
                 client = await Client.open(address)
                 assert await client.ask(resp("PING")) == b"PONG"
-            assert 20 <= most <= 21
+            assert 20 <= max_seen <= 21
 
-    run(job())
+    run(scenario())
 
 
-TEST_US = 500_000  # short, and yet longer than a slow machine takes to answer
+TEST_TIMEOUT_US = 500_000  # short, but longer than a slow machine takes to answer
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
-    """Make one of the times short."""
+def shorten_timeout(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
+    """Make one of the timeouts short."""
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.01)
-    monkeypatch.setattr(clients, name, TEST_US)
+    monkeypatch.setattr(clients, name, TEST_TIMEOUT_US)
     monkeypatch.setitem(clients.STATE_TIMEOUTS_US, clients.State.PINGED, clients.IDLE_TIMEOUT_US)
     states = {
         "IDLE_TIMEOUT_US": clients.State.IDLE,
@@ -213,7 +216,7 @@
         "LINGER_TIMEOUT_US": clients.State.CLOSING,
     }
     if name in states:
-        monkeypatch.setitem(clients.STATE_TIMEOUTS_US, states[name], TEST_US)
+        monkeypatch.setitem(clients.STATE_TIMEOUTS_US, states[name], TEST_TIMEOUT_US)
 
 
 @pytest.mark.parametrize(
@@ -226,12 +229,12 @@
         ("IDLE_TIMEOUT_US", resp("PING"), 1),
     ],
 )
-def test_connection_that_is_of_no_use_ends(
+def test_connection_ends_after_the_timeout_of_its_state(
     monkeypatch: pytest.MonkeyPatch, name: str, data: bytes, answers: int
 ) -> None:
-    hurry(monkeypatch, name)
+    shorten_timeout(monkeypatch, name)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway() as (_, address):
             client = await Client.open(address)
             client.send(data)
@@ -243,10 +246,10 @@
                 assert await client.answer() == "-ERR timed out"
                 assert await client.ended()
 
-    run(job())
+    run(scenario())
 
 
-def test_times_keep_the_protocol() -> None:
+def test_timeouts_are_within_the_limits_of_the_protocol() -> None:
     sweep_us = clients.SWEEP_INTERVAL_S * 1e6
     assert 2_000_000 < clients.FIRST_COMMAND_TIMEOUT_US < 3_000_000 - 2 * sweep_us
     assert clients.PARTIAL_COMMAND_TIMEOUT_US + 2 * sweep_us < 3_000_000
@@ -254,12 +257,12 @@
     assert min(clients.IDLE_TIMEOUT_US, clients.MIN_IDLE_US) > 2_000_000
 
 
-def test_answers_that_nobody_reads_end_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    hurry(monkeypatch, "UNREAD_ANSWERS_TIMEOUT_US")
+def test_connection_ends_when_its_client_reads_no_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+    shorten_timeout(monkeypatch, "UNREAD_ANSWERS_TIMEOUT_US")
 
-    async def job() -> None:
+    async def scenario() -> None:
         body = b"x" * 65536
-        async with running_gateway(Backend(lambda words: value(body))) as (gateway, address):
+        async with running_gateway(Backend(lambda arguments: value(body))) as (gateway, address):
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 deaf.connect(address)
@@ -272,15 +275,15 @@
                     await asyncio.sleep(0)
                 assert await gateway.clients.wait_closed(20)
 
-    run(job())
+    run(scenario())
 
 
-def test_close_is_bounded_where_the_client_reads_nothing_and_sends_on(
+def test_close_is_bounded_when_the_client_reads_nothing_and_goes_on_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    hurry(monkeypatch, "LINGER_TIMEOUT_US")
+    shorten_timeout(monkeypatch, "LINGER_TIMEOUT_US")
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway() as (gateway, address):
             client = await Client.open(address)
             client.send(b"*1\r\n$60000000\r\n" + b"x" * (4 << 20))
@@ -288,16 +291,16 @@
             (connection,) = gateway.clients.connections
             read = len(connection.reader.buffer)
             assert await client.ended()
-            assert read <= clients.READ_BUFFER_BYTES  # nothing was taken in behind the head
+            assert read <= clients.READ_BUFFER_BYTES  # nothing was read after the malformed length
             assert await gateway.clients.wait_closed(20)
 
-    run(job())
+    run(scenario())
 
 
-def test_bytes_that_wait_are_bounded_over_all_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_buffered_bytes_are_bounded_over_all_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.01)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway() as (gateway, address):
             gateway.clients.max_buffered_bytes = 100_000
             small = await Client.open(address)
@@ -310,12 +313,12 @@
             assert len(gateway.clients.connections) == 2
             assert await small.ask(resp("PING")) == b"PONG"
 
-    run(job())
+    run(scenario())
 
 
-def test_open_requests_are_bounded_by_the_memory() -> None:
-    async def job() -> None:
-        backends = [Backend(lambda words: None) for _ in range(64 // IN_FLIGHT_PER_SERVER + 1)]
+def test_unanswered_requests_are_bounded_by_the_memory_limit() -> None:
+    async def scenario() -> None:
+        backends = [Backend(lambda arguments: None) for _ in range(64 // IN_FLIGHT_PER_SERVER + 1)]
         async with running_gateway(*backends, memory_mb=1, settings=PATIENT) as (gateway, address):
             for number in range(4):
                 client = await Client.open(address)
@@ -323,40 +326,41 @@
             last = await Client.open(address)
             while len(gateway.exchanges.unanswered) < 30:
                 await asyncio.sleep(0)
-            full = "-ERR too many requests are open"
+            too_many = "-ERR too many requests are open"
             while (
                 answer := await last.ask(query(f"b{len(gateway.exchanges.unanswered)}", wait_ms=10))
-            ) != full:
-                assert answer in ("-BUSY 750", "-ERR failed")  # its time was over when it was read, or later
+            ) != too_many:
+                # Its deadline had passed, before it was read or later.
+                assert answer in ("-BUSY 750", "-ERR failed")
             assert gateway.exchanges.buffered_bytes < (1 << 20) // 8 + 5000
 
-    run(job())
+    run(scenario())
 
 
 def test_hundreds_of_commands_at_once_are_bounded_and_served_in_order() -> None:
-    async def job() -> None:
-        most = 0
+    async def scenario() -> None:
+        max_unanswered = 0
 
-        def answer(words: list[bytes]) -> bytes:
-            nonlocal most
-            most = max(most, len(gateway.exchanges.unanswered))
-            return value(words[2])
+        def answer(arguments: list[bytes]) -> bytes:
+            nonlocal max_unanswered
+            max_unanswered = max(max_unanswered, len(gateway.exchanges.unanswered))
+            return value(arguments[2])
 
         backends = [Backend(answer) for _ in range(clients.MAX_PIPELINED // IN_FLIGHT_PER_SERVER + 1)]
         async with running_gateway(*backends, settings=PATIENT) as (gateway, address):
             client = await Client.open(address)
             names = [f"a{number}" for number in range(300)]
-            asked = b"".join(query(name, wait_ms=PATIENT_MS) for name in names)
-            client.send(asked + resp("PING") * 300)
+            queries = b"".join(query(name, wait_ms=PATIENT_MS) for name in names)
+            client.send(queries + resp("PING") * 300)
             assert [await client.answer() for _ in names] == [name.encode() for name in names]
             assert [await client.answer() for _ in names] == [b"PONG"] * 300
-            assert 1 < most <= clients.MAX_PIPELINED
+            assert 1 < max_unanswered <= clients.MAX_PIPELINED
 
-    run(job())
+    run(scenario())
 
 
-def test_wrong_commands_in_a_row_end_the_connection() -> None:
-    async def job() -> None:
+def test_consecutive_invalid_commands_end_the_connection() -> None:
+    async def scenario() -> None:
         async with running_gateway() as (_, address):
             client = await Client.open(address)
             client.send(resp("WHAT") * 1000)
@@ -365,43 +369,47 @@
             assert await client.answer() == "-ERR too many wrong commands"
             assert await client.ended()
 
-    run(job())
+    run(scenario())
 
 
-def test_fault_on_a_connection_answers_what_it_owes(caplog: pytest.LogCaptureFixture) -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_internal_error_on_a_connection_still_answers_every_command(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
 
-            def broken(words: list[bytes], reply: object) -> None:
-                raise RuntimeError("a fault of ours")
+            def failing(arguments: list[bytes], reply: object) -> None:
+                raise RuntimeError("an internal fault")
 
-            gateway.clients.on_command = broken
+            gateway.clients.on_command = failing
             client.send(query("a2"))
             answers = [await client.answer() for _ in range(3)]
             assert answers == ["-ERR failed", "-ERR failed", "-ERR internal error"]
             assert await client.ended()
             assert not gateway.exchanges.unanswered
 
-    run(job())
-    assert "a fault of ours" in caplog.text
+    run(scenario())
+    assert "an internal fault" in caplog.text
 
 
-WORDS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
+ARGUMENT_LISTS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
 
 
-@given(st.lists(WORDS, max_size=4), st.lists(st.integers(0, 400), max_size=6))
-def test_commands_are_the_same_however_cut(commands: list[list[bytes]], cuts: list[int]) -> None:
-    data, reader, found = b"".join(resp(*words) for words in commands), CommandReader(), []
-    places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
-    for start, end in pairwise(places):
+@given(st.lists(ARGUMENT_LISTS, max_size=4), st.lists(st.integers(0, 400), max_size=6))
+def test_commands_are_the_same_however_the_bytes_are_split(
+    commands: list[list[bytes]], cuts: list[int]
+) -> None:
+    data = b"".join(resp(*arguments) for arguments in commands)
+    reader = CommandReader()
+    received = []
+    offsets = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
+    for start, end in pairwise(offsets):
         reader.feed(data[start:end])
-        while words := reader.next():
-            found.append(words)
-    assert found == commands
+        while arguments := reader.next():
+            received.append(arguments)
+    assert received == commands
     assert reader.buffer == b""
 
 
@@ -409,20 +417,20 @@
 
 
 @given(st.lists(PIECES))
-def test_whatever_comes_is_a_command_or_a_protocol_error(pieces: list[bytes]) -> None:
+def test_arbitrary_bytes_are_commands_or_a_protocol_error(pieces: list[bytes]) -> None:
     reader = CommandReader()
     try:
         for piece in pieces:
             reader.feed(piece)
-            while words := reader.next():
-                assert words
+            while arguments := reader.next():
+                assert arguments
     except ProtocolError:
         pass
     assert len(reader.buffer) <= sum(map(len, pieces))
 
 
-def test_client_may_wait_for_a_little_longer_than_the_class() -> None:
-    fields = b"c=read,t=team,d=6200"  # of 6 s
+def test_client_may_wait_longer_than_the_deadline_of_its_class() -> None:
+    fields = b"c=read,t=team,d=6200"  # the deadline of the class is 6 s
     command = PARSER.parse([b"SVC.QUERY", CUSTOMER.encode(), b"a1", fields])
     assert command.wait_us == 6_200_000 and command.build_arrival(remaining_us=7).remaining_us == 7
 
@@ -432,13 +440,13 @@
 
 
 @given(st.sampled_from([b"SVC.QUERY", b"SVC.SUBMIT"]), st.lists(FIELD, max_size=6), st.booleans())
-def test_whatever_the_fields_are_they_are_taken_or_an_error(
+def test_arbitrary_fields_are_accepted_or_a_command_error(
     name: bytes, fields: list[tuple[str, str]], body: bool
 ) -> None:
-    text = ",".join(f"{key}={word}" for key, word in fields)
-    words = [name, CUSTOMER.encode(), b"a1", text.encode(), *[b"B"] * body]
+    text = ",".join(f"{key}={field}" for key, field in fields)
+    arguments = [name, CUSTOMER.encode(), b"a1", text.encode(), *[b"B"] * body]
     try:
-        command = PARSER.parse(words)
+        command = PARSER.parse(arguments)
     except CommandError:
         return
     assert command.wait_us == 500_000
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Moments in which something is owed while something else happens, each forced by a hook or a stand-in."""
+"""Races between an unanswered request and another event, each forced by a hook or a stub."""
 
 import asyncio
 import contextlib
@@ -36,31 +36,32 @@
 
 @contextlib.contextmanager
 def raw_client(address: Address) -> Iterator[socket.socket]:
-    """A client whose calls do not let the gateway's loop run."""
+    """A client's blocking socket, whose calls do not let the gateway's loop run."""
     with socket.create_connection(address) as client:
         client.settimeout(10)
         yield client
 
 
 async def received(client: socket.socket) -> bytes:
-    """All that comes up to the end of the connection; a reset is an error."""
-    found = bytearray()
+    """All bytes up to the end of the connection; a reset raises ConnectionResetError."""
+    data_received = bytearray()
     while data := await asyncio.to_thread(client.recv, 1 << 16):
-        found += data
-    return bytes(found)
+        data_received += data
+    return bytes(data_received)
 
 
 def connection_of(gateway: GatewayServer, client: socket.socket) -> clients.ClientConnection:
-    (found,) = [
-        one
-        for one in gateway.clients.connections
-        if one.transport.get_extra_info("peername") == client.getsockname()
+    """The gateway's side of a client's connection."""
+    (connection,) = [
+        connection
+        for connection in gateway.clients.connections
+        if connection.transport.get_extra_info("peername") == client.getsockname()
     ]
-    return found
+    return connection
 
 
-async def fill(gateway: GatewayServer, client: socket.socket, backend: Backend) -> None:
-    """Have as many commands of a client open as may be, so that nothing more is read from it."""
+async def fill_pipeline(gateway: GatewayServer, client: socket.socket, backend: Backend) -> None:
+    """Send more commands than a connection may have in flight, so that the gateway stops reading from it."""
     for number in range(clients.MAX_PIPELINED + 4):
         client.sendall(submit(f"a{number}", wait_ms=PATIENT_MS))
     await backend.received(5)
@@ -68,13 +69,13 @@
         await asyncio.sleep(0.001)
 
 
-def test_request_that_crosses_a_close_resets_nothing_and_is_not_consumed(
+def test_request_that_crosses_a_close_does_not_reset_the_connection_and_is_not_consumed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer before it may not have reached the client yet, and a reset would take that back."""
+    """The previous answer may not have reached the client yet, and a reset would discard it."""
     monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
         async with running_gateway(backend) as (gateway, address):
             with raw_client(address) as client:
@@ -82,31 +83,32 @@
                 await backend.received(1)
                 while not gateway.costs.served:
                     await asyncio.sleep(0.001)
-                unread, connection = clients.has_unread, connection_of(gateway, client)
+                has_unread = clients.has_unread
+                connection = connection_of(gateway, client)
 
-                def crossing(transport: asyncio.Transport) -> bool:
-                    found = unread(transport)
+                def send_after_check(transport: asyncio.Transport) -> bool:
+                    result = has_unread(transport)
                     if transport is connection.transport:
                         client.sendall(query("second"))
-                    return found
+                    return result
 
-                monkeypatch.setattr(clients, "has_unread", crossing)
+                monkeypatch.setattr(clients, "has_unread", send_after_check)
                 draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
-            assert [words[2] for words in backend.commands] == [b"first"]
+            assert [arguments[2] for arguments in backend.commands] == [b"first"]
 
-    run(job())
+    run(scenario())
 
 
-def test_end_of_a_drain_leaves_clients_their_time_to_read_the_last_answer(
+def test_drain_waits_until_clients_have_had_time_to_read_their_last_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connection that was closed just before the drain looks whether all is over is not reset."""
+    """A connection that was closed just before the drain checks whether all are done is not reset."""
     monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.02)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, address):
             with raw_client(address) as client:
                 client.sendall(query("a1"))
@@ -117,53 +119,53 @@
                 assert connection.state is State.CLOSING
                 assert now_us() - connection.state_since_us >= clients.LINGER_TIMEOUT_US
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize("is_new", [False, True])
-def test_command_that_comes_slowly_through_a_drain_is_answered(
+def test_command_received_in_parts_during_a_drain_is_answered(
     is_new: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its first part is read: whoever closes now has half consumed it."""
+    """Its first part has been read: a close now would leave it half consumed."""
     monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.05)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, address):
             slow = await Client.open(address)
             if not is_new:
                 assert await slow.ask(resp("PING")) == b"PONG"
             slow.send(query("a1")[:40])
-            while not any(one.reader.buffer for one in gateway.clients.connections):
+            while not any(connection.reader.buffer for connection in gateway.clients.connections):
                 await asyncio.sleep(0.001)
-            looked = asyncio.Event()
-            left = gateway.clients.wait_closed
+            checked = asyncio.Event()
+            wait_closed = gateway.clients.wait_closed
 
-            async def twice(within_s: float) -> bool:
-                result = await left(within_s)
-                looked.set()
+            async def wait_and_signal(timeout_s: float) -> bool:
+                result = await wait_closed(timeout_s)
+                checked.set()
                 return result
 
-            monkeypatch.setattr(gateway.clients, "wait_closed", twice)
+            monkeypatch.setattr(gateway.clients, "wait_closed", wait_and_signal)
             draining = asyncio.create_task(gateway.drain())
-            await looked.wait()
-            looked.clear()
-            await looked.wait()
+            await checked.wait()
+            checked.clear()
+            await checked.wait()
             slow.send(query("a1")[40:])
             assert await slow.answer() == b"ok"
             assert await slow.ended()
             await draining
 
-    run(job())
+    run(scenario())
 
 
-def test_connection_that_waits_to_be_accepted_at_the_end_of_a_drain_is_served(
+def test_connection_in_the_backlog_at_the_end_of_a_drain_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "SETTLE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "LAST_WRITES_S", 0.05)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, address):
             gateway.loop.remove_reader(gateway.clients.listener)  # as after a failure to accept
             with raw_client(address) as client:
@@ -172,66 +174,70 @@
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
 
-    run(job())
+    run(scenario())
 
 
-def test_client_that_leaves_while_nothing_is_read_has_nothing_more_sent_on(
+def test_nothing_more_is_forwarded_for_a_client_that_disconnects_while_reading_is_paused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """As many of its commands are open as may be, so that the loop hears neither of bytes nor of an end."""
+    """It has the maximum of requests in flight, so that the loop is not notified of bytes or of an end."""
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 60.0)
 
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         async with running_gateway(backend, settings=PATIENT) as (gateway, address):
             with raw_client(address) as client:
-                await fill(gateway, client, backend)
+                await fill_pipeline(gateway, client, backend)
                 client.shutdown(socket.SHUT_RDWR)
-            out = list(zip(backend.commands, backend.writers, strict=True))
-            for words, writer in out:
-                if words[2] != b"a0":  # whose answer is the first: none is written, which would tell the loop
+            forwarded = list(zip(backend.commands, backend.writers, strict=True))
+            for arguments, writer in forwarded:
+                # All later answers wait for that to a0: a write to the client would make the loop notice.
+                if arguments[2] != b"a0":
                     writer.write(value(b"ok"))
             while len(gateway.policy.requests_by_id) > 1:
                 await asyncio.sleep(0.001)
-            assert len(backend.commands) == len(out)
+            assert len(backend.commands) == len(forwarded)
             for writer in backend.writers:
                 writer.write(value(b"ok"))
-            view = gateway.policy
-            while gateway.exchanges.answered_in_flight or view.requests_by_id or view.queue:
+            policy = gateway.policy
+            while gateway.exchanges.answered_in_flight or policy.requests_by_id or policy.queue:
                 await asyncio.sleep(0.001)
-            assert view.overload.in_flight == 0
+            assert policy.overload.in_flight == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_sweep_ends_a_client_that_has_left_while_nothing_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sweep_ends_the_requests_of_a_client_that_disconnected_while_reading_is_paused(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         async with running_gateway(backend, settings=PATIENT) as (gateway, address):
             with raw_client(address) as client:
-                await fill(gateway, client, backend)
+                await fill_pipeline(gateway, client, backend)
             while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
             assert gateway.costs.gone == clients.MAX_PIPELINED
 
-    run(job())
+    run(scenario())
 
 
-def test_nothing_of_a_client_that_has_left_is_written_where_attempts_are_not_cancelled(
+def test_disconnected_client_has_nothing_written_although_attempts_are_not_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It leaves while its attempt connects; the module has no way to take an attempt back."""
-    connect, left = backends.Pool.connect, asyncio.Event()
+    """It disconnects while its attempt connects, and the policy may not cancel attempts."""
+    connect = backends.Pool.connect
+    has_left = asyncio.Event()
 
-    async def late(pool: backends.Pool, connection: backends.Connection) -> None:
-        await left.wait()
+    async def connect_late(pool: backends.Pool, connection: backends.Connection) -> None:
+        await has_left.wait()
         await connect(pool, connection)
 
-    monkeypatch.setattr(backends.Pool, "connect", late)
+    monkeypatch.setattr(backends.Pool, "connect", connect_late)
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
         async with running_gateway(backend, settings=replace(PATIENT, may_cancel=False)) as (
             gateway,
@@ -244,144 +250,152 @@
             client.writer.close()
             while gateway.exchanges.unanswered:
                 await asyncio.sleep(0.001)
-            left.set()
+            has_left.set()
             other = await Client.open(address)
             assert await other.ask(submit("b1", wait_ms=PATIENT_MS)) == b"ok"
-            assert [words[2] for words in backend.commands] == [b"b1"]
+            assert [arguments[2] for arguments in backend.commands] == [b"b1"]
             while gateway.exchanges.answered_in_flight or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
 
-    run(job())
+    run(scenario())
+
 
+def test_client_that_disconnects_as_its_attempt_fails_leaves_no_request_in_flight() -> None:
+    """The policy handles the failure first and starts a further attempt, whose outcome needs its number.
 
-def test_client_that_leaves_as_its_attempt_fails_leaves_nothing_behind() -> None:
-    """The module hears of the failure first and begins a further attempt, whose number has to be known when
-    its outcome is told: one that stays open in the module for good would take the place of others."""
+    Without the outcome the request would stay in flight in the policy for ever and use up its capacity.
+    """
 
-    async def job() -> None:
-        fleet = [Backend(lambda words: b"") for _ in range(2)]
+    async def scenario() -> None:
+        fleet = [Backend(lambda arguments: b"") for _ in range(2)]
         async with running_gateway(*fleet, settings=PATIENT) as (gateway, address):
             post = gateway.driver.post
 
-            def crossing(event: object) -> None:
+            def post_and_disconnect(event: object) -> None:
                 post(event)
                 if isinstance(event, AttemptEnded) and event.id in gateway.exchanges.unanswered:
                     gateway.exchanges.on_client_disconnected(gateway.exchanges.unanswered[event.id].reply)
 
-            gateway.driver.post = crossing
+            gateway.driver.post = post_and_disconnect
             client = await Client.open(address)
             client.send(query("a1", wait_ms=PATIENT_MS))
-            view = gateway.policy
+            policy = gateway.policy
             while not gateway.costs.gone or gateway.driver.pending_events:
                 await asyncio.sleep(0.001)
-            while gateway.exchanges.answered_in_flight or view.requests_by_id:
+            while gateway.exchanges.answered_in_flight or policy.requests_by_id:
                 await asyncio.sleep(0.001)
-            assert view.overload.in_flight == 0 and not any(
-                server.in_flight for server in view.servers_by_name.values()
+            assert policy.overload.in_flight == 0 and not any(
+                server.in_flight for server in policy.servers_by_name.values()
             )
-            assert all(customer.in_flight == 0 for customer in view.customers.by_key.values())
+            assert all(customer.in_flight == 0 for customer in policy.customers.by_key.values())
 
-    run(job())
+    run(scenario())
 
 
-def test_repeat_that_connects_past_the_window_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was decided on within the window, in which what it repeats is known."""
-    connect, window_s, connects = backends.Pool.connect, 2.0, iter(range(2))
+def test_retry_that_connects_after_the_idempotency_window_is_not_written(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The policy decided on it within the window, in which servers still recognize the key."""
+    connect = backends.Pool.connect
+    window_s = 2.0
+    connect_numbers = iter(range(2))
 
-    async def slow(pool: backends.Pool, connection: backends.Connection) -> None:
-        if next(connects):  # the first one is at once
+    async def connect_second_late(pool: backends.Pool, connection: backends.Connection) -> None:
+        if next(connect_numbers):  # the first one connects at once
             await asyncio.sleep(window_s + 0.1)
         await connect(pool, connection)
 
-    monkeypatch.setattr(backends.Pool, "connect", slow)
+    monkeypatch.setattr(backends.Pool, "connect", connect_second_late)
     keyed = replace(PATIENT.classes[1], idempotency_window_us=round(window_s * 1e6))
     settings = replace(PATIENT, classes=(PATIENT.classes[0], keyed, PATIENT.classes[2]))
 
-    async def job() -> None:
-        fleet = [Backend(lambda words: b"-ERR failed\r\n") for _ in range(2)]
+    async def scenario() -> None:
+        fleet = [Backend(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
         async with running_gateway(*fleet, settings=settings) as (gateway, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1", "book", wait_ms=PATIENT_MS)) == "-ERR failed"
-            assert gateway.costs.attempts == 2 and sum(len(one.commands) for one in fleet) == 1
+            assert gateway.costs.attempts == 2 and sum(len(backend.commands) for backend in fleet) == 1
 
-    run(job())
+    run(scenario())
 
 
-def test_place_is_taken_from_whoever_has_nothing_unread() -> None:
-    """A client that rested for longest has just sent a request, which nobody has read."""
+def test_evicted_connection_is_one_without_unread_bytes() -> None:
+    """The client that was idle longest has just sent a request, which the gateway has not read."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, address):
-            with raw_client(address) as asks, raw_client(address) as rests:
-                for number, client in enumerate((asks, rests)):
+            with raw_client(address) as requesting, raw_client(address) as idle:
+                for number, client in enumerate((requesting, idle)):
                     client.sendall(query(f"a{number}"))
                     while gateway.costs.served <= number:
                         await asyncio.sleep(0.001)
                     assert client.recv(100) == b"$2\r\nok\r\n"
                 for connection in gateway.clients.connections:
                     connection.state_since_us -= 2 * clients.MIN_IDLE_US
-                asks.sendall(query("a2"))
+                requesting.sendall(query("a2"))
                 assert gateway.clients.make_room()
-                assert await received(rests) == b""
-                assert await asyncio.to_thread(asks.recv, 100) == b"$2\r\nok\r\n"
+                assert await received(idle) == b""
+                assert await asyncio.to_thread(requesting.recv, 100) == b"$2\r\nok\r\n"
 
-    run(job())
+    run(scenario())
 
 
-def test_word_to_one_that_is_turned_away_is_not_taken_back_by_a_reset() -> None:
-    async def job() -> None:
+def test_error_to_a_rejected_connection_is_not_discarded_by_a_reset() -> None:
+    async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, address):
             gateway.clients.max_sockets = 0
             with raw_client(address) as client:
-                client.sendall(query("a1"))  # is there before anybody accepts
+                client.sendall(query("a1"))  # is received before the gateway accepts
                 assert await received(client) == clients.TOO_MANY_CLIENTS_RESPONSE
             assert gateway.costs.turned_away == 1
 
-    run(job())
+    run(scenario())
 
 
-def test_small_writes_are_held_back_nowhere() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_all_connections_disable_the_delay_of_small_writes() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
             (pool,) = gateway.backends.pools.values()
-            ours = [one.transport for one in (*pool.connections, *gateway.clients.connections)]
-            ours.append(gateway.discovery.watcher.connection.transport)
-            for transport in ours:
-                wire = transport.get_extra_info("socket")
-                assert wire.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
+            connections = (*pool.connections, *gateway.clients.connections)
+            transports = [connection.transport for connection in connections]
+            transports.append(gateway.discovery.watcher.connection.transport)
+            for transport in transports:
+                connection_socket = transport.get_extra_info("socket")
+                assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
 
-    run(job())
+    run(scenario())
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_room_for_discovery_and_scan_servers() -> None:
-    """They come while discovery is silent; what it brings at its return is heard, and served by."""
+def test_idle_clients_at_the_socket_limit_leave_descriptors_for_discovery_and_servers() -> None:
+    """They connect while discovery is silent; its list is read when it answers again, and its server used."""
 
-    async def job() -> None:
-        backend, back = Backend(), asyncio.Event()
+    async def scenario() -> None:
+        backend = Backend()
+        is_back = asyncio.Event()
         listed = catalog(7, [entry("s0", await backend.start())])
 
-        async def silent(writer: asyncio.StreamWriter) -> None:
-            await back.wait()
+        async def answer_when_back(writer: asyncio.StreamWriter) -> None:
+            await is_back.wait()
             writer.write(HEAD + chunk(listed))
             await asyncio.Event().wait()
 
-        watch = Watch(silent)
+        watch = Watch(answer_when_back)
         config = replace(CONFIG, settings=PATIENT, sockets=48, discovery=(await watch.start(),))
         gateway = GatewayServer(config)
         await gateway.start()
         idle = [await Client.open(gateway.address) for _ in range(3 * gateway.clients.max_sockets)]
-        asks = await Client.open(gateway.address)
-        asks.send(query("a1", wait_ms=PATIENT_MS))
+        requesting = await Client.open(gateway.address)
+        requesting.send(query("a1", wait_ms=PATIENT_MS))
         while "a1" not in gateway.exchanges.unanswered:
             await asyncio.sleep(0.001)
         assert gateway.clients.sockets <= gateway.clients.max_sockets
-        back.set()
-        assert await asks.answer() == b"ok"
+        is_back.set()
+        assert await requesting.answer() == b"ok"
         assert len(watch.targets) == 1 and len(idle) > gateway.clients.max_sockets
         gateway.close()
 
-    run(job())
+    run(scenario())
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP2: what is read at one blow is what a careful reading finds."""
+"""RESP2: the fast paths read what the incremental readers read."""
 
 import pytest
 from hypothesis import given, settings
@@ -7,7 +7,7 @@
 from tests.sockets import value
 from thistletrail.gateway.resp import Answer, AnswerReader, CommandReader, ProtocolError, Reader, encode
 
-WORDS = st.lists(
+ARGUMENT_LISTS = st.lists(
     st.one_of(st.binary(max_size=20), st.sampled_from([b"\r\n", b"$1", b"*1\r\n$1\r\nx", b"PING"])),
     min_size=1,
     max_size=12,
@@ -31,34 +31,35 @@
 )
 
 
-def outcome(reader: Reader, step: str) -> tuple[object, bytes]:
-    """What one step finds, or how it fails, and what it leaves."""
+def outcome(reader: Reader, method: str) -> tuple[object, bytes]:
+    """The result of one method, or the text of its error, and the bytes that it leaves."""
     try:
-        found = getattr(reader, step)()
+        result = getattr(reader, method)()
     except ProtocolError as error:
         return str(error), b""
-    return found, bytes(reader.buffer)
-
-
-def agree(kind: type[Reader], data: bytes) -> None:
-    """Where the plain step finds anything, a careful one finds the same and leaves the same."""
-    plain, careful = kind(), kind()
-    plain.feed(data)
-    careful.feed(data)
-    found = outcome(plain, "read_fast")
-    if found[0] is None:
-        assert found[1] == data
+    return result, bytes(reader.buffer)
+
+
+def assert_same_outcome(reader_class: type[Reader], data: bytes) -> None:
+    """Where the fast path reads anything, the incremental one reads the same and leaves the same bytes."""
+    fast = reader_class()
+    incremental = reader_class()
+    fast.feed(data)
+    incremental.feed(data)
+    fast_outcome = outcome(fast, "read_fast")
+    if fast_outcome[0] is None:
+        assert fast_outcome[1] == data
     else:
-        assert found == outcome(careful, "read_incremental")
+        assert fast_outcome == outcome(incremental, "read_incremental")
 
 
 @settings(derandomize=True)
-@given(st.lists(WORDS, min_size=1, max_size=3), st.integers(0, 40))
-def test_commands_read_at_one_blow_are_those_that_a_careful_reading_finds(
+@given(st.lists(ARGUMENT_LISTS, min_size=1, max_size=3), st.integers(0, 40))
+def test_fast_path_reads_commands_as_the_incremental_reader_does(
     commands: list[list[bytes]], cut: int
 ) -> None:
     data = b"".join(map(encode, commands))
-    agree(CommandReader, data[: len(data) - cut])
+    assert_same_outcome(CommandReader, data[: len(data) - cut])
     reader = CommandReader()
     reader.feed(data)
     assert [reader.next() for _ in commands] == commands and not reader.buffer
@@ -66,29 +67,31 @@
 
 @settings(derandomize=True)
 @given(st.lists(PIECES, max_size=8).map(b"".join))
-def test_odd_commands_too(data: bytes) -> None:
-    agree(CommandReader, data)
+def test_fast_path_reads_malformed_commands_as_the_incremental_reader_does(data: bytes) -> None:
+    assert_same_outcome(CommandReader, data)
 
 
 @settings(derandomize=True)
 @given(st.binary(max_size=40), st.binary(max_size=10), st.integers(-2, 2))
-def test_answers_too(data: bytes, behind: bytes, off: int) -> None:
-    whole = value(data)
-    wrong = whole.replace(b"$%d\r" % len(data), b"$%d\r" % (len(data) + off))
-    for text in (whole, whole + behind, whole[:-1], wrong):
-        agree(AnswerReader, text)
+def test_fast_path_reads_answers_as_the_incremental_reader_does(
+    data: bytes, extra: bytes, length_error: int
+) -> None:
+    complete = value(data)
+    wrong_length = complete.replace(b"$%d\r" % len(data), b"$%d\r" % (len(data) + length_error))
+    for text in (complete, complete + extra, complete[:-1], wrong_length):
+        assert_same_outcome(AnswerReader, text)
     reader = AnswerReader()
-    reader.feed(whole)
+    reader.feed(complete)
     assert reader.next() == Answer(data) and not reader.buffer
 
 
-def test_plain_ones_need_no_careful_reading(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_usual_commands_and_answers_take_the_fast_path(monkeypatch: pytest.MonkeyPatch) -> None:
     def read_incremental(reader: Reader) -> None:
-        raise AssertionError("read word by word")
+        raise AssertionError("expected the fast path to read this, found an incremental read")
 
     command = encode([b"SVC.QUERY", b"1", b"2", b"c=read"])
-    for kind, data in ((CommandReader, command), (AnswerReader, value(b"ok"))):
-        monkeypatch.setattr(kind, "read_incremental", read_incremental)
-        reader = kind()
+    for reader_class, data in ((CommandReader, command), (AnswerReader, value(b"ok"))):
+        monkeypatch.setattr(reader_class, "read_incremental", read_incremental)
+        reader = reader_class()
         reader.feed(data)
         assert reader.next()
--- a/thistletrail/gateway/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -26,13 +26,13 @@
 NEVER = 1 << 62  # a time in microseconds that is never reached
 MIN_REMAINING_US = 1_000  # the smallest time that `d` can express; with less, nothing is written
 
-MAX_PARTIAL_ANSWER_BYTES = 8 << 20  # of incomplete answers on all connections, by default
+MAX_PARTIAL_ANSWER_BYTES = 8 << 20  # default bound for incomplete answers on all connections together
 
-# Connections are counted by how long they were idle: class 0 is new connections, and each further class
-# doubles the milliseconds.
+# Classes by which resets of connections are counted: class 0 is new connections, and each further class is
+# up to twice as many milliseconds of idle time as the one before.
 IDLE_CLASSES = 24
 MAX_EXCESS_RESET_RATE = 0.1  # how far the reset rate of a class may exceed that of new connections
-MIN_USES = 5.0  # of a class, before its reset rate counts
+MIN_USES = 5.0  # a class with fewer uses has no reliable reset rate
 RESET_STATS_HALF_LIFE_S = 5.0
 
 OutcomeCallback = Callable[["Attempt", AttemptResult, bytes | None, LoadReport | None], None]
@@ -182,7 +182,7 @@
         return 0 if idle_us is None else min(IDLE_CLASSES - 1, 1 + (idle_us // 1000).bit_length())
 
     def allows(self, idle_us: int) -> bool:
-        """Whether a connection that was idle for so long may be reused."""
+        """Whether a connection may be reused that was idle for `idle_us`."""
         return self.idle_class(idle_us) < self.idle_class_limit
 
     def record_use(self, idle_class: int, was_reset: bool) -> None:
@@ -512,7 +512,9 @@
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.max_connections = max_connections
         self.pools: dict[str, Pool] = {}
-        self.retired_pools: list[Pool] = []  # of servers that moved or are gone, while connections are left
+        self.retired_pools: list[
+            Pool
+        ] = []  # for servers that moved or left the list, while connections are open
         self.tasks: set[asyncio.Task[None]] = set()
         self.reuse_limit = ReuseLimit()
         self.next_decay_us = 0
--- a/thistletrail/gateway/clients.py
+++ b/thistletrail/gateway/clients.py
@@ -35,8 +35,8 @@
 MAX_PIPELINED = 16  # requests in flight on a connection; further commands stay unread
 MAX_CONSECUTIVE_ERRORS = 16  # invalid commands in a row, after which a connection is closed
 READ_BUFFER_BYTES = 16 * 1024
-# By the protocol, a client that is of no use gets an error or is disconnected within 3 s of its connecting,
-# and a well-behaved idle one may stay for at least 2 s.
+# The protocol requires that a client without a valid command gets an error or is disconnected within 3 s of
+# connecting, and that a well-behaved idle client may stay for at least 2 s.
 FIRST_COMMAND_TIMEOUT_US = 2_300_000  # from connecting to the first complete command
 PARTIAL_COMMAND_TIMEOUT_US = 2_000_000  # from the beginning of a command to its end
 UNREAD_ANSWERS_TIMEOUT_US = 2_000_000  # how long a client may leave answers unread
@@ -59,8 +59,8 @@
 MAX_REQUEST_ID_BYTES = 64
 FIXED_ARGUMENTS = 4  # command, customer, request id and fields; SVC.SUBMIT has a body as well
 MAX_INTEGER_DIGITS = 12
-MAX_WAIT_MULTIPLE = 2  # of the class's deadline, that a client may say it waits
-MAX_UNITS_WITHOUT_BURST = 1e6  # of a request, where its plan has no burst
+MAX_WAIT_MULTIPLE = 2  # the longest accepted wait, as a multiple of the class's deadline
+MAX_UNITS_WITHOUT_BURST = 1e6  # the most units of a request whose plan has no burst
 UNITS_PATTERN = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?")
 
 
@@ -80,7 +80,7 @@
     # The request's fields before and after the number of milliseconds in `d`.
     fields_before_wait: bytes
     fields_after_wait: bytes
-    size_bytes: int  # of all arguments
+    size_bytes: int  # all arguments together
 
     def payload(self, remaining_us: int) -> bytes:
         """The command as it is forwarded: unchanged, except that `d` is how long this gateway waits."""
@@ -224,7 +224,7 @@
 
 
 class Reply:
-    """One command's answer, in its place among the answers of its connection."""
+    """The answer to one command; a connection sends its answers in the order of its commands."""
 
     __slots__ = ("budget", "connection", "data", "end_us", "id")
 
@@ -232,7 +232,7 @@
         """`data` is the answer in RESP; None while it is not known."""
         self.connection = connection
         self.data = data
-        self.id: str | None = None  # of the request; None where the command is not a request
+        self.id: str | None = None  # the request's id; None where the command is not a request
         # Set only where the answer waits behind others: the end of the request's deadline, and a function
         # for the deadline with the time spent by stage.
         self.end_us = 0
--- a/thistletrail/gateway/resp.py
+++ b/thistletrail/gateway/resp.py
@@ -11,14 +11,14 @@
 MAX_ARGUMENTS = 16  # in a command; the longest known command has five
 MAX_COMMAND_BYTES = 64 * 1024 + 4096  # the largest value of the protocol, and the arguments before it
 MAX_VALUE_BYTES = 512 * 1024  # scan servers send larger values in answers than the protocol says
-MAX_REPORT_BYTES = 4096  # of a load report, or of an answer's usage figures
+MAX_REPORT_BYTES = 4096  # a load report, or an answer's usage figures
 MAX_ERROR_LINE_BYTES = 512  # an error line may contain a load report
 MAX_LENGTH_LINE_BYTES = 12  # the type byte and the digits of a length
-ANSWER_PARTS = 3  # value, usage figures, load report
+ANSWER_ELEMENTS = 3  # value, usage figures, load report
 
 # What the fast path of CommandReader reads.
 MIN_FAST_COMMAND_BYTES = 4
-MAX_FAST_COMMAND_BYTES = 4096  # of everything that is buffered
+MAX_FAST_COMMAND_BYTES = 4096  # everything that is buffered, including further commands
 MAX_FAST_ARGUMENTS = 9  # the count is one digit
 ASTERISK, CARRIAGE_RETURN, DIGIT_ZERO = b"*\r0"
 # What surrounds the length and the bytes of a value in an answer without usage figures and load report.
@@ -215,10 +215,10 @@
         """
         if self.buffer.startswith(b"-"):
             return self.read_error()
-        header = self.read_length(0, b"*", ANSWER_PARTS)
+        header = self.read_length(0, b"*", ANSWER_ELEMENTS)
         if header is None:
             return None
-        if header[0] != ANSWER_PARTS:
+        if header[0] != ANSWER_ELEMENTS:
             raise ProtocolError("an answer has three parts")
         value = self.read_bulk_string(header[1], MAX_VALUE_BYTES)
         if value is None:
@@ -233,7 +233,7 @@
         return Answer(value[0], report=report[0])
 
     def read_error(self) -> Answer | None:
-        """An error line, whose last word may be a load report; None if it is incomplete."""
+        """An error line, which may end with a load report after a space; None if it is incomplete."""
         end = self.buffer.find(b"\r\n", 0, MAX_ERROR_LINE_BYTES)
         if end < 0:
             if len(self.buffer) >= MAX_ERROR_LINE_BYTES:
