--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -30,7 +30,7 @@
 
 
 def test_counters_agree_with_what_clients_and_backends_see(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
         def answer(arguments: list[bytes]) -> bytes | None:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -74,7 +74,7 @@
     async def scenario() -> None:
         backend, ended = Backend(), []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, whole=True)
+        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, is_full=True)
 
         def attempt(name: str) -> Attempt:
             payload = query(name)
@@ -91,8 +91,8 @@
         first.end_us = now_us() + 500  # under a millisecond, the resolution of `d`
         while not ended:
             await asyncio.sleep(0.001)
-        assert ended == [(first, AttemptResult.NOT_SENT)] and not first.written and not backend.commands
-        await asyncio.sleep(backends.REST_US / 1e6)
+        assert ended == [(first, AttemptResult.NOT_SENT)] and not first.is_written and not backend.commands
+        await asyncio.sleep(backends.REUSE_DELAY_US / 1e6)
         second = attempt("a2")
         pool.send(second, 5 * S)
         while len(ended) < 2:
@@ -319,7 +319,7 @@
     async def scenario() -> None:
         backend, ended = Backend(lambda arguments: None), []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, whole=True)
+        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, is_full=True)
         first = Attempt(
             "a1", 0, "s", lambda remaining_us: query("a1"), lambda attempt, result, *_: ended.append(result)
         )
@@ -328,7 +328,7 @@
         backend.writers[0].write(value(b"ok"))  # it is in the socket's buffer now
         first.cancel()
         await asyncio.sleep(0.01)
-        assert ended == [AttemptResult.CANCELLED] and not pool.pools["s"].idle and not pool.count()
+        assert ended == [AttemptResult.CANCELLED] and not pool.pools["s"].idle and not pool.connection_count()
 
     run(scenario())
 
@@ -337,13 +337,13 @@
     async def scenario() -> None:
         ended = []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": (HOST, 9)}, whole=True)
+        pool.update({"s": ServerState.UP}, {"s": (HOST, 9)}, is_full=True)
         for remaining_us in (0, 999):
             pool.send(
                 Attempt("a1", 0, "s", lambda _: b"", lambda attempt, result, *_: ended.append(result)),
                 remaining_us,
             )
-        assert ended == [AttemptResult.NOT_SENT] * 2 and not pool.count()
+        assert ended == [AttemptResult.NOT_SENT] * 2 and not pool.connection_count()
 
     run(scenario())
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -276,7 +276,7 @@
             busy.send(submit("a1"))
             await backend.came.wait()
             draining = asyncio.create_task(gateway.drain())
-            while not gateway.clients.draining:
+            while not gateway.clients.is_draining:
                 await asyncio.sleep(0)
             client = await Client.open(address)
             backend.came.clear()
@@ -342,7 +342,7 @@
             assert not policy.queue and not policy.admission.waiting and gateway.exchanges.buffered_bytes == 0
             assert all(customer.in_flight == 0 for customer in policy.customers.by_key.values())
             pools = gateway.backends.pools.values()
-            while gateway.backends.count() > sum(len(pool.idle) for pool in pools):
+            while gateway.backends.connection_count() > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # the event loop closes aborted connections later
             assert not any(pool.connecting or pool.waiting for pool in pools)
             assert gateway.clients.sockets == len(gateway.clients.connections) == 15
--- a/thistletrail/gateway/exchange.py
+++ b/thistletrail/gateway/exchange.py
@@ -97,7 +97,7 @@
         """The request's deadline, with the time that each stage has taken up to `now`."""
         deadline = self.deadline
         running = [
-            AttemptTimes(attempt.sent_us, attempt.written_us, now) for attempt in self.in_flight.values()
+            AttemptTimes(attempt.started_us, attempt.written_us, now) for attempt in self.in_flight.values()
         ]
         for started_us, written_us, ended_us in (*self.attempt_history, *running):
             deadline = deadline.enter(Stage.CONNECTING, started_us)
--- a/thistletrail/gateway/exchanges.py
+++ b/thistletrail/gateway/exchanges.py
@@ -4,7 +4,7 @@
 import logging
 
 from thistletrail.gateway.backends import NEVER, Attempt, now_us
-from thistletrail.gateway.clients import FAILED, Command, CommandError, CommandParser, Reply
+from thistletrail.gateway.clients import FAILED_RESPONSE, Command, CommandError, CommandParser, Reply
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.cost_counters import CostCounters
 from thistletrail.gateway.deadline import Deadline, DeadlineSource, Stage
@@ -91,7 +91,7 @@
         exchange = Exchange(command, reply, deadline)
         self.set_backstop(exchange, now)
         self.unanswered[reply.id] = exchange
-        self.buffered_bytes += command.size + REQUEST_OVERHEAD_BYTES
+        self.buffered_bytes += command.size_bytes + REQUEST_OVERHEAD_BYTES
         self.costs.requests += 1
         return exchange
 
@@ -121,7 +121,7 @@
         self.set_backstop(exchange, now_us())
         for attempt in exchange.in_flight.values():
             if attempt.end_us > deadline.end_us:
-                attempt.wait(deadline.remaining_us(now_us()))
+                attempt.set_timeout(deadline.remaining_us(now_us()))
 
     def set_backstop(self, exchange: Exchange, now: int) -> None:
         """Restart the timer that fails the request if the policy has not answered it after its deadline."""
@@ -165,7 +165,7 @@
         timeout_us = min(remaining_us, action.timeout_us) if action.timeout_us > 0 else remaining_us
         attempt = self.new_attempt(exchange, action)
         if self.work_leases and self.work_leases.covers(exchange):
-            attempt.wait(timeout_us)
+            attempt.set_timeout(timeout_us)
             self.work_leases.start_attempt(exchange, attempt)
         else:
             self.attempts.send(attempt, timeout_us)
@@ -216,14 +216,14 @@
                 is_over = True
         if exchange:
             self.remove_attempt(exchange, attempt, result, is_over)
-        took_us = now - attempt.sent_us
+        took_us = now - attempt.started_us
         self.events.post(
             AttemptEnded(request_id, is_over, attempt.number, attempt.server, result, took_us, report=report)
         )
 
     def add_to_history(self, exchange: Exchange, attempt: Attempt, result: AttemptResult, now: int) -> None:
         """Record the times of an ended attempt of an unanswered request."""
-        exchange.attempt_history.append(AttemptTimes(attempt.sent_us, attempt.written_us, now))
+        exchange.attempt_history.append(AttemptTimes(attempt.started_us, attempt.written_us, now))
         if attempt.written_us and result not in NEVER_RAN_RESULTS:
             exchange.first_run_us = min(exchange.first_run_us, attempt.written_us)
 
@@ -262,7 +262,7 @@
             return
         self.costs.gone += 1
         for attempt in list(exchange.in_flight.values()):
-            attempt.withdraw()
+            attempt.cancel_unless_written()
         if self.work_leases:
             self.work_leases.on_request_over(reply.id)
         self.post_disconnected(reply.id, exchange)
@@ -303,7 +303,7 @@
         """Answer that the request failed."""
         if self.work_leases:
             self.work_leases.on_request_over(action.id)
-        self.costs.failed += self.answer(action.id, FAILED, "failed")
+        self.costs.failed += self.answer(action.id, FAILED_RESPONSE, "failed")
 
     def answer(self, request_id: str, response: bytes, outcome: str) -> bool:
         """Send a request's answer; returns False if the request was already answered.
@@ -318,7 +318,7 @@
         deadline = exchange.deadline
         took_us = now - deadline.end_us + deadline.given_us
         objective_us = self.settings.classes[exchange.command.class_index].latency_objective_us
-        if response is FAILED or took_us > objective_us:
+        if response is FAILED_RESPONSE or took_us > objective_us:
             self.count_late(exchange, request_id, outcome, took_us, now)
         elif reply.waits():
             reply.end_us = deadline.end_us
@@ -342,7 +342,7 @@
         exchange = self.unanswered.pop(request_id, None)
         if exchange is None:
             return None
-        self.buffered_bytes -= exchange.command.size + REQUEST_OVERHEAD_BYTES
+        self.buffered_bytes -= exchange.command.size_bytes + REQUEST_OVERHEAD_BYTES
         if exchange.backstop:
             exchange.backstop.cancel()
         if exchange.in_flight:
--- a/thistletrail/gateway/graceful_shutdown.py
+++ b/thistletrail/gateway/graceful_shutdown.py
@@ -51,7 +51,7 @@
         if work:
             work.start_draining()
         await asyncio.sleep(NEW_CONNECTION_GRACE_S)
-        self.clients.drain()
+        self.clients.start_draining()
         await self.wait_for_clients()
         if work:
             # Clients of another gateway may wait for the result of work that was transferred to this one.
@@ -64,9 +64,9 @@
 
     async def wait_for_clients(self) -> None:
         """Wait until no client is connected, or none that remains has an unanswered request."""
-        while not await self.clients.left(CLIENT_CLOSE_GRACE_S):
+        while not await self.clients.wait_closed(CLIENT_CLOSE_GRACE_S):
             # A connection that has not carried a request may still receive one.
-            is_owed = self.clients.is_owed() and now_us() < self.exchanges.drain_end_us
+            is_owed = self.clients.needs_time() and now_us() < self.exchanges.drain_end_us
             if not self.exchanges.unanswered and not is_owed:
                 log.warning("%d clients stay connected without a request", len(self.clients.connections))
                 return
--- a/thistletrail/gateway/policy_driver.py
+++ b/thistletrail/gateway/policy_driver.py
@@ -43,7 +43,7 @@
 
 def to_arrival_event(exchange: Exchange, now: int) -> RequestArrived:
     """The event of a new request, with the time that remains at `now`, the time of the batch."""
-    return exchange.command.request(remaining_us=exchange.deadline.remaining_us(now))
+    return exchange.command.build_arrival(remaining_us=exchange.deadline.remaining_us(now))
 
 
 class PolicyDriver:
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -214,12 +214,12 @@
         """The `costs` log line: what all requests so far have cost."""
         buffered_bytes = {
             "requests": self.exchanges.buffered_bytes,
-            "clients": self.clients.waiting_bytes(),
+            "clients": self.clients.buffered_bytes(),
         }
         descriptors = {
             "clients": self.clients.sockets,
             "listener": int(self.clients.listener is not None),
-            "backends": self.backends.count(),
+            "backends": self.backends.connection_count(),
             "discovery": self.discovery.sockets,
             "peers": int(self.peers.transport is not None),
         }
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from thistletrail.gateway.clients import FAILED
+from thistletrail.gateway.clients import FAILED_RESPONSE
 from thistletrail.gateway.exchange import EventSink
 from thistletrail.gateway.takeover.client import WorkLeaseClient
 from thistletrail.gateway.takeover.counts import TakeoverCounts
@@ -57,9 +57,9 @@
         """Tell the policy that the pending attempt is not made here, as the work is another gateway's."""
         attempt = item.pending_attempt
         item.pending_attempt = None
-        if attempt is None or attempt.over:
+        if attempt is None or attempt.is_over:
             return
-        attempt.drop()
+        attempt.end_without_callback()
         item.exchange.in_flight.pop(attempt.number, None)
         self.events.post(
             AttemptEnded(
@@ -91,7 +91,7 @@
     def complete(self, item: WorkItem, response: bytes) -> None:
         """Answer, and forget the item."""
         self.forget(item)
-        if response is FAILED:
+        if response is FAILED_RESPONSE:
             self.requests.fail(FailRequest(item.request_id))
         else:
             self.requests.serve(item.request_id, response)
