--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -36,7 +36,13 @@
 )
 from thistletrail.leasing.framing import RENEW_PATH, SIGNATURE_HEADER, now_ms, sign
 from thistletrail.leasing.journal import Journal, begin_history
-from thistletrail.leasing.leadership import MAX_MISSED_LOOKS, LeaderWatch, Term, begin_term, term_folder
+from thistletrail.leasing.leadership import (
+    MAX_POLLS_WITHOUT_HEARTBEAT,
+    LeaderWatch,
+    Term,
+    begin_term,
+    term_folder,
+)
 from thistletrail.leasing.messages import (
     MAX_OPERATIONS,
     BeginWork,
@@ -250,7 +256,7 @@
 def test_a_process_that_died_before_it_had_a_lock_keeps_nobody_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("thistletrail.leasing.leadership.POLL_S", 0.001)
+    monkeypatch.setattr("thistletrail.leasing.leadership.POLL_INTERVAL_S", 0.001)
     (tmp_path / "term-4").mkdir()
     term = begin_term(tmp_path)
     assert term.number == 5 and term.is_current()
@@ -262,7 +268,9 @@
     lock = os.open(tmp_path / "lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(lock, fcntl.LOCK_EX)
     watch = LeaderWatch(tmp_path)
-    assert [watch.ended_term() for _ in range(2 * MAX_MISSED_LOOKS)] == [None] * 2 * MAX_MISSED_LOOKS
+    assert [watch.ended_term() for _ in range(2 * MAX_POLLS_WITHOUT_HEARTBEAT)] == [
+        None
+    ] * 2 * MAX_POLLS_WITHOUT_HEARTBEAT
     with pytest.raises(FolderLockedError):
         begin_term(tmp_path)
     os.close(lock)
@@ -287,13 +295,13 @@
 def test_a_standby_goes_by_heartbeats_and_not_by_its_own_time(tmp_path: Path) -> None:
     term = begin_term(tmp_path)
     watch = LeaderWatch(tmp_path)
-    for number in range(3 * MAX_MISSED_LOOKS):
+    for number in range(3 * MAX_POLLS_WITHOUT_HEARTBEAT):
         os.utime(term.path, ns=(number, number))
         assert watch.ended_term() is None
     term.heartbeat()
-    assert term.path.stat().st_mtime_ns > 3 * MAX_MISSED_LOOKS and watch.ended_term() is None
-    looks = [watch.ended_term() for _ in range(MAX_MISSED_LOOKS)]
-    assert looks == [None] * (MAX_MISSED_LOOKS - 1) + [1]  # none was seen in so many looks
+    assert term.path.stat().st_mtime_ns > 3 * MAX_POLLS_WITHOUT_HEARTBEAT and watch.ended_term() is None
+    looks = [watch.ended_term() for _ in range(MAX_POLLS_WITHOUT_HEARTBEAT)]
+    assert looks == [None] * (MAX_POLLS_WITHOUT_HEARTBEAT - 1) + [1]  # none was seen in so many looks
     term.close()
     assert LeaderWatch(tmp_path).ended_term() == 1  # its process has ended
 
--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -6,7 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistletrail.leasing.budget_holder import MAX_UNANSWERED, UNUSED_MS, BudgetHolder, Demand
+from thistletrail.leasing.budget_holder import (
+    BUDGET_IDLE_TIMEOUT_MS,
+    MAX_UNANSWERED_REQUESTS,
+    BudgetHolder,
+    Demand,
+)
 from thistletrail.leasing.budget_state import (
     LEASE_MS,
     MAX_BUDGETS,
@@ -311,7 +316,7 @@
     assert not service.last_requests
     for _ in range(50):
         one.next_request(NOW)
-    assert len(one.sent_ms) == MAX_UNANSWERED
+    assert len(one.sent_ms) == MAX_UNANSWERED_REQUESTS
     service.budgets = dict.fromkeys(range(MAX_BUDGETS))
     with pytest.raises(RequestRejectedError, match="budgets already"):
         service.set_limits("one more", COUNT, NOW)
@@ -323,8 +328,11 @@
 
 def test_a_budget_without_demand_is_dropped() -> None:
     one = holder(0)
-    assert len(one.next_request(NOW + UNUSED_MS).budgets) == 2
-    assert one.next_request(NOW + UNUSED_MS + 1).budgets == () and one.usable_share("open", NOW) == 0
+    assert len(one.next_request(NOW + BUDGET_IDLE_TIMEOUT_MS).budgets) == 2
+    assert (
+        one.next_request(NOW + BUDGET_IDLE_TIMEOUT_MS + 1).budgets == ()
+        and one.usable_share("open", NOW) == 0
+    )
     assert not one.spend("rate", 1, NOW)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -321,9 +321,9 @@
         "0/11": LEASING_NOW_MS + 1000,
         "1/21": LEASING_NOW_MS + 1000,
     }
-    assert work.membership.latest == {0: 11, 1: 21}
+    assert work.membership.latest_incarnations == {0: 11, 1: 21}
     assert [item.name for item in work.store.parked] == ["work/parked"]
-    assert work.store.items_of_customer == {"00000000b4d65521": 9, "00000000000000ff": 1}
+    assert work.store.item_count_by_customer == {"00000000b4d65521": 9, "00000000000000ff": 1}
     assert work.store.total_bytes == 349
     journal.close()
 
--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -36,7 +36,7 @@
 from thistletrail.leasing.model_checking.work import check_near_states, check_walks
 from thistletrail.leasing.model_checking.work_faults import PLANTED_FAULTS, WorkModel
 from thistletrail.leasing.work_holder import (
-    MAX_BEGINS,
+    MAX_BEGINS_PER_REQUEST,
     MAX_REQUEST_BYTES,
     WRITE_MARGIN_MS,
     AppliedResponse,
@@ -44,7 +44,7 @@
 )
 from thistletrail.leasing.work_membership import rendezvous_weight
 from thistletrail.leasing.work_state import MAX_VALUE_BYTES, WorkState
-from thistletrail.leasing.work_store import MAX_DEATHS, MAX_ITEMS_OF_CUSTOMER, Location
+from thistletrail.leasing.work_store import MAX_ITEMS_PER_CUSTOMER, MAX_OWNER_DEATHS, Location
 from thistletrail.policy.actions import FailRequest, StartAttempt
 from thistletrail.policy.events import AttemptEnded, AttemptResult
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass
@@ -246,7 +246,7 @@
     fleet.pass_(3000, 1)
     assert (
         not fleet.work.store.items
-        and not fleet.work.store.items_of_customer
+        and not fleet.work.store.item_count_by_customer
         and not fleet.work.store.total_bytes
     )
 
@@ -255,7 +255,7 @@
     fleet = Fleet(4)
     fleet.begin(0, begin_work(left_ms=60_000, window_ms=120_000))
     alive = [1, 2, 3]
-    for _ in range(MAX_DEATHS - 1):
+    for _ in range(MAX_OWNER_DEATHS - 1):
         taker, _ = fleet.lost(*alive)
         fleet.ask(taker)  # it says that it has come
         alive.remove(taker)
@@ -292,7 +292,7 @@
         sum(one.owner == f"{gateway}/1" for one in fleet.work.store.items.values()) for gateway in range(1, 9)
     ]
     assert sum(shares) == 400 and max(shares) < 2 * 400 / 8
-    assert len(fleet.ask(1)[1]) <= work_state.MAX_TRANSFERRED
+    assert len(fleet.ask(1)[1]) <= work_state.MAX_TRANSFERRED_PER_RESPONSE
 
 
 def test_nine_in_ten_gateways_lost_at_once_leave_two_thousand_items_to_the_rest() -> None:
@@ -311,7 +311,7 @@
         fleet.now += 100
         for gateway in (0, 1):
             transferred = fleet.ask(gateway)[1]
-            assert len(transferred) <= work_state.MAX_TRANSFERRED
+            assert len(transferred) <= work_state.MAX_TRANSFERRED_PER_RESPONSE
             for one in transferred:
                 assert one.name not in took
                 took[one.name] = gateway
@@ -328,11 +328,11 @@
         fleet.begin(0, begin_work("c/big", request=b"x" * (work_state.MAX_REQUEST_BYTES + 1))).status
         == "full"
     )
-    for number in range(MAX_ITEMS_OF_CUSTOMER):
+    for number in range(MAX_ITEMS_PER_CUSTOMER):
         assert fleet.begin(0, begin_work(f"c/{number}")).status == "kept"
     assert fleet.begin(0, begin_work("c/more")).status == "full"
     assert fleet.begin(0, begin_work("other/1", customer="other")).status == "kept"
-    monkeypatch.setattr(work_store, "MAX_ITEMS", MAX_ITEMS_OF_CUSTOMER + 1)
+    monkeypatch.setattr(work_store, "MAX_ITEMS", MAX_ITEMS_PER_CUSTOMER + 1)
     assert fleet.begin(0, begin_work("other/2", customer="other")).status == "full"
     # An outcome gives its place up to work in holder.
     fence = fleet.work.store.items["c/0"].fence
@@ -430,14 +430,14 @@
 
 def test_a_request_is_bounded_in_operations_and_bytes_and_the_rest_goes_with_the_next() -> None:
     holder = WorkHolder(5, 1)
-    for number in range(2 * MAX_BEGINS):
+    for number in range(2 * MAX_BEGINS_PER_REQUEST):
         holder.enqueue(begin_work(str(number)))
     holder.enqueue(CompleteWork(name="large", fence=1, value=b"x" * MAX_REQUEST_BYTES))
     holder.enqueue(CompleteWork(name="other", fence=1, value=b"x" * MAX_REQUEST_BYTES))
     asked = []
     while holder.queue:
         asked.append([op.name for op in holder.next_request(START).operations])
-    assert [len(names) for names in asked] == [MAX_BEGINS, MAX_BEGINS, 1, 1]
+    assert [len(names) for names in asked] == [MAX_BEGINS_PER_REQUEST, MAX_BEGINS_PER_REQUEST, 1, 1]
 
 
 # --- the log ---
--- a/thistletrail/gateway/budget_lease_client.py
+++ b/thistletrail/gateway/budget_lease_client.py
@@ -72,7 +72,7 @@
             while True:
                 await asyncio.sleep(POLL_INTERVAL_S)
                 if self._is_hurried():
-                    self.renewer.hurry()
+                    self.renewer.renew_soon()
         finally:
             renewing.cancel()
 
--- a/thistletrail/leasing/__init__.py
+++ b/thistletrail/leasing/__init__.py
@@ -1,1 +1,1 @@
-"""The lease service: fleet-wide budgets and ownership of work, by fenced leases."""
+"""The lease service: fleet-wide budgets and ownership of work items, by fenced leases."""
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("thistletrail.leasing")
 
-SHUTDOWN_S = 2.0  # for calls that are under way when the service stops
+SHUTDOWN_TIMEOUT_S = 2.0  # for calls in progress when the service stops
 STATUS_TIMEOUT_S = 5.0
 MAX_PORT = 65535
 DEFAULT_ADDRESS = "127.0.0.1:8600"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeOptions:
-    """What `serve` is started with."""
+    """The options of `serve`."""
 
     folder: Path
     config_path: Path
@@ -49,10 +49,10 @@
 
 
 async def serve(options: ServeOptions) -> None:
-    """Serve until SIGTERM or SIGINT; a standby serves in its terms, and stands by again between them.
+    """Serve until SIGTERM or SIGINT; a standby serves in each term that it leads, and waits in between.
 
     Raises:
-        FolderLockedError: Another process leads, and this is no standby.
+        FolderLockedError: Another process leads, and this process is not a standby.
     """
     config = read_config(options.config_path)
     port = options.port
@@ -68,18 +68,18 @@
         if not options.standby:
             raise FolderLockedError(f"another lease service has taken over the folder {options.folder}")
         log.warning("another lease service has taken over the folder %s", options.folder)
-        config = served.config  # as a SIGHUP has left it
+        config = served.config  # may have been reloaded by a SIGHUP
 
 
 async def next_term(options: ServeOptions, stopped: asyncio.Event) -> Term | None:
-    """Return the next term of this process, which a standby waits for; None if it is stopped before."""
+    """Begin the next term of this process; a standby waits for it, and returns None if stopped before."""
     if options.standby:
         return await wait_for_term(options.folder, stopped)
     return begin_term(options.folder)
 
 
 class TermServer:
-    """Serves HTTP for as long as one term lasts."""
+    """Serves HTTP while one term lasts."""
 
     def __init__(self, term: Term, config: Config, options: ServeOptions) -> None:
         self.term = term
@@ -87,22 +87,22 @@
         self.options = options
 
     async def run(self, port: int, stopped: asyncio.Event) -> int:
-        """Serve until it is stopped, or another process leads; return the port that was listened on."""
-        lost = asyncio.Event()
+        """Serve until `stopped` is set or another process leads; return the port listened on."""
+        leadership_lost = asyncio.Event()
         loop = asyncio.get_running_loop()
-        keeping = loop.create_task(maintain_leadership(self.term, lost))
+        heartbeat_task = loop.create_task(maintain_leadership(self.term, leadership_lost))
         try:
-            # Reading the journal may take long, in which heartbeats go on.
+            # In a thread, as reading the journal may take long and heartbeats must continue.
             service = await loop.run_in_executor(
-                None, LeaseService, Journal(self.term), self.config, self.options.secret, lost
+                None, LeaseService, Journal(self.term), self.config, self.options.secret, leadership_lost
             )
             loop.add_signal_handler(signal.SIGHUP, self.reload, service)
             return await listen(service, self.options.host, port, stopped)
         finally:
-            keeping.cancel()
+            heartbeat_task.cancel()
 
     def reload(self, service: LeaseService) -> None:
-        """Read the configuration again; it stays as it was where that is not possible."""
+        """Read the configuration again; keep the current one if that fails."""
         try:
             self.config = read_config(self.options.config_path)
         except ConfigError as error:
@@ -112,15 +112,15 @@
 
 
 async def listen(service: LeaseService, host: str, port: int, stopped: asyncio.Event) -> int:
-    """Answer calls until it is stopped, or another process leads; return the port listened on."""
-    runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=SHUTDOWN_S)
+    """Answer calls until `stopped` is set or another process leads; return the port listened on."""
+    runner = web.AppRunner(service.app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     try:
         site = web.TCPSite(runner, host, port)
         await site.start()
         bound_host, bound_port = runner.addresses[0][:2]
         print(f"lease service serves at {bound_host}:{bound_port}", flush=True)
-        await wait_for_any(stopped, service.committer.lost)
+        await wait_for_any(stopped, service.committer.leadership_lost)
     finally:
         await runner.cleanup()
     return int(bound_port)
@@ -128,44 +128,46 @@
 
 async def wait_for_any(*events: asyncio.Event) -> None:
     """Wait until one of the events is set."""
-    waits = [asyncio.ensure_future(event.wait()) for event in events]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+    waiters = [asyncio.ensure_future(event.wait()) for event in events]
+    await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
+    for waiter in waiters:
+        waiter.cancel()
 
 
 def read_secret(path: Path) -> bytes:
-    """Return the secret in a file; end the program where it is too short."""
+    """Return the secret in a file; exit the program with an error if it is too short."""
     secret = path.read_bytes().strip()
     if len(secret) < MIN_SECRET_BYTES:
-        sys.exit(f"leasing: the secret in {path} has less than {MIN_SECRET_BYTES} bytes")
+        sys.exit(
+            f"leasing: the secret in {path} has {len(secret)} bytes, expected {MIN_SECRET_BYTES} or more"
+        )
     return secret
 
 
 @click.group("leasing")
 def cli() -> None:
-    """Budgets of the whole fleet, divided among the gateways by leases."""
+    """Divide the budgets of the fleet among the gateways by leases, and keep work leases."""
 
 
 @cli.command("serve")
 @click.option(
-    "--data", type=FOLDER, required=True, help="The folder of its journal; one process leads in it at a time."
+    "--data", type=FOLDER, required=True, help="Folder of the journal; one process at a time leads in it."
 )
 @click.option("--config", "config_path", type=FILE, required=True)
 @click.option(
     "--secret",
     type=FILE,
     required=True,
-    help="A file with the secret that the lease service and the gateways share.",
+    help="File with the secret that the lease service and the gateways share.",
 )
 @click.option("--listen", default=DEFAULT_ADDRESS, show_default=True, metavar="HOST:PORT")
 @click.option(
     "--standby",
     is_flag=True,
-    help="Wait while another process leads in the folder, and take over when that ends or hangs.",
+    help="Wait while another process leads in the folder, and take over when it ends or hangs.",
 )
 def serve_command(data: Path, config_path: Path, secret: Path, listen: str, standby: bool) -> None:
-    """Serve the budgets of a configuration."""
+    """Run the lease service with the budgets of a configuration."""
     host, _, port = listen.rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise click.BadParameter(f"'{listen}' is not HOST:PORT")
@@ -183,10 +185,10 @@
 @click.option("--at", default=DEFAULT_ADDRESS, show_default=True, metavar="HOST:PORT")
 @click.option("--secret", type=FILE, required=True)
 @click.option(
-    "--parked", is_flag=True, help="The work items that were given up, as their owners died of them."
+    "--parked", is_flag=True, help="Print the work items that were given up because their owners died."
 )
 def status_command(at: str, secret: Path, parked: bool) -> None:
-    """Print what a lease service holds, as JSON."""
+    """Print the status of a lease service as JSON."""
     path = "/parked" if parked else "/status"
     try:
         signature = sign(secret.read_bytes().strip(), path.encode())
@@ -204,7 +206,7 @@
 @click.option("--data", type=FOLDER, required=True)
 @click.option("--config", "config_path", type=FILE, required=True)
 def begin_command(data: Path, config_path: Path) -> None:
-    """Make the folder of a fleet's first lease service: else the first grants wait for the longest lease."""
+    """Create the data folder of a new fleet, so that its first grants do not wait for the longest lease."""
     try:
         begin_history(data, read_config(config_path))
     except (ConfigError, FolderLockedError) as error:
--- a/thistletrail/leasing/budget_state.py
+++ b/thistletrail/leasing/budget_state.py
@@ -1,10 +1,12 @@
 """The state machine of fleet-wide budgets: which holder has which share of which budget, and until when.
 
-Pure: time is passed in, in milliseconds. The guarantee: at every moment the shares that any holder may still
-rely on add up to no more than the total. A holder may rely on all grants of its that have not expired and
-that it has not replaced by adopting a later one; all of these are reserved here, and a share is only granted
-out of what is not. A holder counts its lease from before it sent its request and stops early; this side
-counts from its decision, and longer.
+It does no I/O and reads no clock: callers pass the time in milliseconds.
+
+It guarantees that the shares that all holders may still use never add up to more than the total. A holder
+may use each of its grants that has not expired and that it has not replaced by adopting a later one. All of
+these grants are reserved here, and new shares come only from the unreserved rest. A holder counts its lease
+from before it sent its request and stops a margin before the end; the lease service counts the whole lease
+from its decision, so it always expires a grant after the holder has stopped using it.
 """
 
 from __future__ import annotations
@@ -19,17 +21,18 @@
 from thistletrail.leasing.messages import BudgetRequest, Grant, RenewRequest, RenewResponse, holder_name
 
 LEASE_MS = 3000
-# By which a holder stops early: clocks that drift by 1 in 1,000 against each other, ten times over.
+# Fraction of a lease by which a holder stops before its end: ten times what is needed for clocks that each
+# drift by up to 1 in 1,000 either way.
 MARGIN_FRACTION = 1 / 50
-MIN_LEASE_MS = 500  # that may be configured: a renewal and a retry fit in
-MAX_LEASE_MS = 10_000  # that may be configured: for as long a new history grants nothing
-MAX_HOLDERS = 1000  # five times the largest fleet: incarnations that have died count for a lease
+MIN_LEASE_MS = 500  # shortest configurable lease: leaves time for a renewal and one retry
+MAX_LEASE_MS = 10_000  # longest configurable lease; a new history grants nothing for this long
+MAX_HOLDERS = 1000  # five times the largest fleet: dead incarnations are counted until their leases end
 MAX_BUDGETS = 20_000
 MAX_BUDGETS_IN_REQUEST = 2000
-MAX_DEMAND = 1 << 40  # a gateway's demand is bounded, and so is what a wrong one gains
-# Of a granted rate, in hundredths, that stays in a common pool: its units go to whoever needs some at the
-# moment. Shares by demand alone leave each holder with too few units for random peaks (docs/leasing.md has
-# the measurements).
+MAX_DEMAND = 1 << 40  # bounds what a gateway gains by reporting a wrong demand
+# Percentage of a leasable rate that stays in a common pool, from which holders get units when they need them.
+# Dividing the whole rate by demand leaves each holder with too few units for random peaks (docs/leasing.md
+# has the measurements).
 POOL_PERCENT = 70
 FLOOR_DIVISOR = 10  # a tenth of each total is reserved for gateways that cannot reach the lease service
 THOUSANDTHS = 1000
@@ -37,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetLimits:
-    """A budget as it is configured.
+    """The configured limits of a budget: either a rate with a burst, or a count.
 
     Attributes:
-        total: What may be in use at once, or thousandths of units a second.
-        burst: How many units a store of the rate holds; 0 for a count of what may be open at once.
+        total: The rate in thousandths of a unit per second, or the count that may be in use at once.
+        burst: Capacity of the rate's token bucket in units; 0 for a count.
     """
 
     total: int
@@ -49,14 +52,17 @@
 
     @classmethod
     def from_rate(cls, rate: float, burst: float) -> BudgetLimits:
-        """Return limits of so many units a second and at once; without a rate, of a count of `burst`."""
+        """Return limits of `rate` units a second with `burst`; if `rate` is 0, of a count of `burst`."""
         if not rate:
             return cls(int(burst))
         return cls(round(rate * THOUSANDTHS), int(burst))
 
 
 class IssuedGrant(Struct, frozen=True):
-    """A grant that its holder may still rely on, until `until_ms` at most; `units` came with it."""
+    """A grant that its holder may still use, until `until_ms` at most.
+
+    `units` are the units that the holder received from the pool together with the grant.
+    """
 
     fence: int
     share: int
@@ -67,8 +73,8 @@
 class Holding:
     """One holder's grants of one budget, oldest first, and its demand.
 
-    `reserved` (the largest share that the holder may rely on) and `first_end_ms` (when the first grant ends)
-    follow from the grants. They are stored, as each renewal of any holder reads them.
+    `reserved` (the largest share that the holder may use) and `first_end_ms` (when the first grant ends) are
+    derived from the grants. They are cached because every renewal of any holder reads them.
     """
 
     __slots__ = ("_issued", "acknowledged_fence", "demand", "first_end_ms", "reserved")
@@ -77,12 +83,12 @@
         self, issued: Iterable[IssuedGrant] = (), demand: int = 0, acknowledged_fence: int = 0
     ) -> None:
         self.demand = demand
-        self.acknowledged_fence = acknowledged_fence  # of the latest grant that the holder has adopted
+        self.acknowledged_fence = acknowledged_fence  # fence of the latest grant that the holder adopted
         self.issued = tuple(issued)
 
     @property
     def issued(self) -> tuple[IssuedGrant, ...]:
-        """All grants that the holder may still rely on."""
+        """All grants that the holder may still use."""
         return self._issued
 
     @issued.setter
@@ -92,23 +98,26 @@
         self.first_end_ms = min((grant.until_ms for grant in grants), default=0)
 
     def drop_expired(self, now_ms: int) -> None:
-        """Forget the grants that have ended."""
+        """Remove the grants that have ended."""
         self.issued = tuple(grant for grant in self.issued if grant.until_ms > now_ms)
 
 
 @dataclass(slots=True)
 class Budget:
-    """One budget: its limits, its holders by name, and the pool of units that nobody holds."""
+    """One budget: its limits, its holders by name, and the pool of units that no holder has.
+
+    `rotation` counts divisions, so that rounding remainders go to each holder in turn.
+    """
 
     limits: BudgetLimits
     holdings: dict[str, Holding] = field(default_factory=dict)
-    pool_thousandths: int = 0  # of units; refilled at the rate that nobody holds
-    pool_at_ms: int = 0  # when it was refilled last
-    turn: int = 0  # of the division's remainders
+    pool_thousandths: int = 0  # thousandths of a unit; refilled at the unreserved rate
+    pool_at_ms: int = 0  # time of the last refill
+    rotation: int = 0
 
     @property
     def reserved(self) -> int:
-        """What all holders together may rely on."""
+        """What all holders together may use."""
         return sum(holding.reserved for holding in self.holdings.values())
 
 
@@ -124,26 +133,27 @@
     """The serial of a holder's latest request, and when it arrived."""
 
     serial: int
-    at_ms: int
+    received_ms: int
 
 
 NO_REQUEST = RequestStamp(-1, 0)
 
 
 def floor_share(total: int, gateways: int) -> int:
-    """Return what each of so many gateways may use at all times: together within what is reserved for it."""
+    """Return the share that each gateway may use without a lease; all floors fit into the reserved part."""
     return total // FLOOR_DIVISOR // max(1, gateways)
 
 
 def leasable_total(total: int) -> int:
-    """Return what leases divide: the total without what is reserved for floors."""
+    """Return the part of a total that leases may grant: all of it but the part reserved for floors."""
     return total - total // FLOOR_DIVISOR
 
 
 def divisible_total(limits: BudgetLimits, holders: int = 1) -> int:
-    """Return what is divided into shares: all that is leasable of a count; of a rate, what is not the pool's.
+    """Return the part of the leasable total that is divided into shares.
 
-    It is nothing where a share's part of the burst would be less than one unit, which nobody could spend.
+    For a count that is all of it; for a rate, all but the pool's part. It is 0 for a rate whose division
+    would leave a share with less than one unit of burst, as such a share could never be spent.
     """
     total = leasable_total(limits.total)
     if not limits.burst:
@@ -153,15 +163,15 @@
 
 
 class BudgetState:
-    """All budgets and their holders. Every change goes through `renew`, `expire` and `set_limits`."""
+    """All budgets and their holders; changed only through `renew`, `expire` and `set_limits`."""
 
     def __init__(self, fence: int, now_ms: int, quiet_ms: int = LEASE_MS, lease_ms: int = LEASE_MS) -> None:
         """Begin a history.
 
         Args:
-            fence: Fencing numbers of this history are above it.
-            now_ms: The time.
-            quiet_ms: For how long nothing is granted: all that another history may have granted ends in it.
+            fence: Fencing numbers of this history are greater than this.
+            now_ms: The current time.
+            quiet_ms: How long nothing is granted, so that all grants of an earlier history have ended.
             lease_ms: The length of a lease.
         """
         self.fence = fence
@@ -171,7 +181,7 @@
         self.last_requests: dict[str, RequestStamp] = {}  # by holder
 
     def set_limits(self, name: str, limits: BudgetLimits, now_ms: int) -> None:
-        """Begin a budget, or change its limits: existing grants stay until they expire or are replaced.
+        """Create a budget, or change its limits; existing grants stay until they expire or are replaced.
 
         Raises:
             RequestRejectedError: There are too many budgets.
@@ -188,20 +198,20 @@
     # --- time ---
 
     def lease_end_ms(self, now_ms: int) -> int:
-        """Return when a grant that is decided on now ends on this side: never before its holder stops."""
+        """Return when a grant that is issued now expires here, which is after its holder stops using it."""
         return now_ms + self.lease_ms
 
     def expire(self, now_ms: int) -> None:
-        """Forget what has ended, in all budgets; a renewal does so for the budget that it is about."""
+        """Remove expired grants of all budgets, and idle holders; a renewal does so for its own budgets."""
         for budget in self.budgets.values():
             self.expire_grants(budget, now_ms)
         live = {name for budget in self.budgets.values() for name in budget.holdings}
         for name, stamp in list(self.last_requests.items()):
-            if name not in live and now_ms - stamp.at_ms > self.lease_ms:
+            if name not in live and now_ms - stamp.received_ms > self.lease_ms:
                 del self.last_requests[name]
 
     def expire_grants(self, budget: Budget, now_ms: int) -> None:
-        """Forget the grants of one budget that have ended; units left in their holders' stores are spent."""
+        """Remove the expired grants of one budget; units left in their holders' buckets count as spent."""
         self.refill_pool(budget, now_ms)
         expired = [name for name, holding in budget.holdings.items() if holding.first_end_ms <= now_ms]
         for name in expired:
@@ -211,9 +221,9 @@
                 del budget.holdings[name]
 
     def refill_pool(self, budget: Budget, now_ms: int) -> None:
-        """Add units to the pool at the rate that no holder has, up to the pool's fraction of the burst.
+        """Add units to the pool at the unreserved rate, up to the unreserved fraction of the burst.
 
-        While all that another history may have granted is waited out, its holders get them, and not the pool.
+        No units are added before `quiet_until_ms`: until then they belong to holders of an earlier history.
         """
         limits = budget.limits
         total = leasable_total(limits.total)
@@ -225,17 +235,17 @@
             budget.pool_thousandths = 0
             return
         capacity = THOUSANDTHS * limits.burst * unreserved // limits.total
-        # The rate is in thousandths of units a second, the time in thousandths of a second.
+        # Thousandths of a unit per second times milliseconds, divided by 1000 ms per second.
         level = budget.pool_thousandths + unreserved * elapsed_ms // 1000
         budget.pool_thousandths = min(capacity, level)
 
     # --- renewals ---
 
     def renew(self, request: RenewRequest, now_ms: int) -> RenewResponse:
-        """Renew a holder's grants by its demand.
+        """Renew a holder's grants according to its demand.
 
-        A request that was received before, or is older than the latest, changes nothing and gets no grants:
-        the holder has a later one under way, or its next request brings one.
+        A repeated or overtaken request changes nothing and gets no grants: the holder has sent a later
+        request, or gets its grants with the next one.
 
         Raises:
             RequestRejectedError: The request names too many budgets, or there are too many holders.
@@ -248,11 +258,11 @@
         if holder not in self.last_requests and len(self.last_requests) >= MAX_HOLDERS:
             raise RequestRejectedError(f"there are {MAX_HOLDERS} holders already")
         self.last_requests[holder] = RequestStamp(request.serial, now_ms)
-        grants = [self.renew_budget(holder, wanted, now_ms) for wanted in request.budgets]
+        grants = [self.renew_budget(holder, budget_request, now_ms) for budget_request in request.budgets]
         return self.response(request, tuple(grant for grant in grants if grant is not None))
 
     def response(self, request: RenewRequest, grants: tuple[Grant, ...]) -> RenewResponse:
-        """Return the response to a request."""
+        """Return the response to a request, with these grants."""
         return RenewResponse(
             gateway=request.gateway,
             incarnation=request.incarnation,
@@ -262,7 +272,11 @@
         )
 
     def renew_budget(self, holder: str, request: BudgetRequest, now_ms: int) -> Grant | None:
-        """Grant a holder its share of one budget, as much as can be granted now."""
+        """Grant a holder as much of its share of one budget as is available now.
+
+        Returns:
+            The grant; None if there is no such budget, or nothing is granted yet in a new history.
+        """
         budget = self.budgets.get(request.budget)
         if budget is None:
             return None
@@ -274,27 +288,30 @@
             if not holding.issued:
                 del budget.holdings[holder]
             return None
-        share = self.share_of(budget, holder, holding)
-        if not budget.limits.burst:  # what is in use cannot be taken back: it ends by itself
+        share = self.compute_share(budget, holder, holding)
+        if not budget.limits.burst:  # a count in use cannot be revoked; it shrinks as its uses end
             share = max(share, min(request.in_use, holding.reserved))
         return self.issue(budget, holding, request, share, now_ms)
 
-    def share_of(self, budget: Budget, holder: str, holding: Holding) -> int:
-        """Return a holder's next share by all demands, out of what the others may not rely on."""
-        present = holding.issued[-1].share if holding.issued else 0
+    def compute_share(self, budget: Budget, holder: str, holding: Holding) -> int:
+        """Return a holder's next share: a step towards its part by demand, out of what others may not use."""
+        current = holding.issued[-1].share if holding.issued else 0
         total = divisible_total(budget.limits, len(budget.holdings))
         demands = {name: other.demand for name, other in budget.holdings.items()}
-        wanted = divide(total, demands, budget.turn)[holder]
-        budget.turn += 1
+        target = divide(total, demands, budget.rotation)[holder]
+        budget.rotation += 1
         reserved_by_others = budget.reserved - holding.reserved
-        return min(self.next_share(present, wanted, total), max(0, total - reserved_by_others))
+        return min(self.next_share(current, target, total), max(0, total - reserved_by_others))
 
-    def next_share(self, present: int, wanted: int, total: int) -> int:
-        """Return the next share on the way to another."""
-        return bounded_step(present, wanted, total)
+    def next_share(self, current: int, target: int, total: int) -> int:
+        """Return the next share on the way from the current to the target share."""
+        return bounded_step(current, target, total)
 
     def acknowledge(self, budget: Budget, holding: Holding, request: BudgetRequest) -> None:
-        """Drop the grants that the holder has replaced; what it returned goes to the pool, once a fence."""
+        """Remove the grants that the holder has replaced, and add the units that it returned to the pool.
+
+        Returned units are counted once for each fence.
+        """
         adopted = next((grant for grant in holding.issued if grant.fence == request.fence), None)
         if adopted is None or request.fence <= holding.acknowledged_fence:
             return
@@ -302,14 +319,14 @@
         holding.issued = tuple(grant for grant in holding.issued if grant.fence >= request.fence)
         limits = budget.limits
         if limits.burst:
-            # No holder has more to return than its share of the burst, and what came with a grant.
+            # A holder can return at most its share of the burst and the units of one grant.
             limit = limits.burst * adopted.share // max(1, limits.total) + limits.burst
             budget.pool_thousandths += THOUSANDTHS * max(0, min(request.returned_units, limit))
 
     def issue(
         self, budget: Budget, holding: Holding, request: BudgetRequest, share: int, now_ms: int
     ) -> Grant:
-        """Record a grant under the next fencing number, and return it."""
+        """Issue a grant under the next fencing number, and return it."""
         self.fence += 1
         units = self.units_to_grant(budget, share - holding.reserved, request.needed_units)
         budget.pool_thousandths -= THOUSANDTHS * units
@@ -318,10 +335,10 @@
         return Grant(budget=request.budget, share=share, fence=self.fence, units=units)
 
     def units_to_grant(self, budget: Budget, growth: int, needed_units: int) -> int:
-        """Return how many units of the pool go along with a grant.
+        """Return how many units of the pool are sent with a grant.
 
-        A share that grows brings its fraction of the burst; a need is met as far as there are units, but with
-        half of them at most, as other holders may need some too.
+        A share that grows comes with its fraction of the burst. Needed units are granted up to half of the
+        pool, and one at least, as other holders may need some too.
         """
         limits = budget.limits
         available = budget.pool_thousandths // THOUSANDTHS
@@ -334,14 +351,14 @@
     # --- persistence ---
 
     def issued_grants(self) -> Iterator[HolderGrant]:
-        """Yield every grant that some holder may rely on."""
+        """Yield every grant that a holder may still use."""
         for name, budget in self.budgets.items():
             for holder, holding in budget.holdings.items():
                 for grant in holding.issued:
                     yield HolderGrant(name, holder, grant)
 
     def restore_grant(self, budget_name: str, holder: str, grant: IssuedGrant) -> None:
-        """Add a grant that was made before this process began, and may be relied on as it says."""
+        """Add a grant that an earlier process issued and that its holder may still use."""
         budget = self.budgets.get(budget_name)
         if budget is not None:
             holding = budget.holdings.setdefault(holder, Holding())
--- a/thistletrail/leasing/client.py
+++ b/thistletrail/leasing/client.py
@@ -1,6 +1,6 @@
 """Connections of gateways to the lease service, and the timing of renewals.
 
-For an asyncio program; no request of a client waits for it. h11 and msgspec are all it needs.
+It runs in an asyncio program and depends only on h11 and msgspec. No client request waits for a renewal.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]  # host and port
-RENEW_FRACTION = 1 / 3  # of the lease, between renewals: two may get lost
-JITTER = 0.25  # of the time between renewals
-MIN_RENEW_INTERVAL_S = 0.1  # also where something new is wanted
+RENEW_FRACTION = 1 / 3  # renewal interval as a fraction of the lease: two renewals may be lost
+JITTER_FRACTION = 0.25  # largest reduction of a renewal interval
+MIN_RENEW_INTERVAL_S = 0.1
 MAX_RESPONSE_BYTES = 1 << 20
-MAX_ERROR_LENGTH = 200  # characters of a text of the service's, in an error of ours
-READ_BYTES = 1 << 16  # at a time
+MAX_ERROR_CHARS = 200  # of an error text of the lease service
+READ_CHUNK_BYTES = 1 << 16
 HTTP_OK = 200
 
 
 @dataclass(frozen=True, slots=True)
 class SignedResponse:
-    """An HTTP response of the lease service, its signature not yet checked."""
+    """An HTTP response of the lease service, with a signature that is not yet verified."""
 
     status: int
     signature: str
@@ -54,7 +54,7 @@
 
 
 class HttpConnection:
-    """A connection to the lease service; opened with the first request."""
+    """A connection to the lease service, opened by the first request."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -63,7 +63,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Connect, if that has not been done yet."""
+        """Return the streams of the connection; connect first if there is none."""
         if self.reader is None or self.writer is None:
             self.reader, self.writer = await asyncio.open_connection(*self.address)
         return self.reader, self.writer
@@ -74,24 +74,24 @@
         return h11.Request(method="POST", target=target, headers=[("Host", f"{host}:{port}"), *headers])
 
     async def receive(self, reader: asyncio.StreamReader) -> None:
-        """Read what has arrived next."""
-        self.http.receive_data(await reader.read(READ_BYTES))
+        """Read the next bytes into the HTTP parser."""
+        self.http.receive_data(await reader.read(READ_CHUNK_BYTES))
 
     def close(self) -> None:
-        """Close the connection, if it was opened."""
+        """Close the connection, if it is open."""
         if self.writer is not None:
             self.writer.close()
 
 
 class RenewalConnection(HttpConnection):
-    """One connection to the lease service, used for one renewal after another."""
+    """A connection for successive renewals."""
 
     async def call(self, body: bytes, signature: str) -> SignedResponse:
         """Send a renewal and return the response.
 
         Raises:
-            ServiceUnavailableError: The connection ends, or the response has no end.
-            OSError: There is no connection.
+            ServiceUnavailableError: The connection ends, or the response exceeds `MAX_RESPONSE_BYTES`.
+            OSError: The connection fails.
             h11.ProtocolError: The response is not HTTP.
         """
         reader, writer = await self.open()
@@ -106,7 +106,7 @@
         return response
 
     async def receive_response(self, reader: asyncio.StreamReader) -> SignedResponse:
-        """Read one response to its end."""
+        """Read one complete response."""
         status = 0
         signature = ""
         body = b""
@@ -119,14 +119,18 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_RESPONSE_BYTES:
-                    raise ServiceUnavailableError(f"a response of more than {MAX_RESPONSE_BYTES} bytes")
+                    raise ServiceUnavailableError(
+                        f"response of at least {len(body)} bytes exceeds the limit of {MAX_RESPONSE_BYTES}"
+                    )
             elif isinstance(event, h11.ConnectionClosed):
-                raise ServiceUnavailableError("the connection has ended")
+                raise ServiceUnavailableError(
+                    f"connection closed after {len(body)} bytes of a response to a renewal"
+                )
         return SignedResponse(status, signature, body)
 
 
 class WorkStream(HttpConnection):
-    """One long call to the lease service, in which framed requests and responses alternate."""
+    """One long HTTP call to the lease service in which framed requests and responses alternate."""
 
     def __init__(self, address: Address, secret: bytes) -> None:
         super().__init__(address)
@@ -137,11 +141,11 @@
         """Send a request and return the body of the response, both in msgpack.
 
         Raises:
-            ServiceFullError: Nothing can be persisted there now.
+            ServiceFullError: The lease service cannot persist the request now.
             ServiceUnavailableError: The request is rejected, or the connection ends.
-            FrameError: A frame is not signed by the shared secret.
-            OSError: There is no connection.
-            h11.ProtocolError: What comes back is not HTTP.
+            FrameError: A frame is too large, or not signed by the shared secret.
+            OSError: The connection fails.
+            h11.ProtocolError: The response is not HTTP.
         """
         is_first = self.writer is None
         reader, writer = await self.open()
@@ -153,29 +157,29 @@
         response = await self.receive_frame(reader)
         if response.status == STATUS_OK:
             return response.body
-        text = response.body.decode(errors="replace")[:MAX_ERROR_LENGTH]
+        text = response.body.decode(errors="replace")[:MAX_ERROR_CHARS]
         if response.status == STATUS_FULL:
             raise ServiceFullError(text)
         raise ServiceUnavailableError(text)
 
     async def receive_frame(self, reader: asyncio.StreamReader) -> Frame:
-        """Read until a frame is complete."""
+        """Return the next frame once it is complete."""
         while (frame := self.frames.next()) is None:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 await self.receive(reader)
             elif isinstance(event, h11.Response) and event.status_code != HTTP_OK:
-                raise ServiceUnavailableError(f"status {event.status_code}")
+                raise ServiceUnavailableError(f"work stream answered with status {event.status_code}")
             elif isinstance(event, h11.Data):
                 self.frames.feed(event.data)
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                raise ServiceUnavailableError("the connection has ended")
+                raise ServiceUnavailableError("the lease service ended the work stream")
         return frame
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """How to reach the lease service: the addresses of all its processes, the shared secret, its lease."""
+    """How to reach the lease service: addresses of all its processes, the shared secret, its lease length."""
 
     addresses: tuple[Address, ...]
     secret: bytes
@@ -183,7 +187,7 @@
 
 
 class LeaseRenewer:
-    """Keeps the leases of a holder alive: batched and jittered renewals, at one of several addresses."""
+    """Renews all leases of a holder in one request at jittered intervals, at one of several addresses."""
 
     def __init__(
         self,
@@ -193,7 +197,15 @@
         prepare: Callable[[], None],
         on_renewed: Callable[[], None],
     ) -> None:
-        """`prepare` is called before each request, to set demand; `on_renewed` once a response is adopted."""
+        """Create a renewer for a holder's leases.
+
+        Args:
+            holder: The holder of the leases.
+            service: How to reach the lease service.
+            random_source: Source of the jitter.
+            prepare: Called before each request, to set the holder's demand.
+            on_renewed: Called after the grants of a response are adopted.
+        """
         self.holder = holder
         self.service = service
         self.random = random_source
@@ -201,38 +213,38 @@
         self.on_renewed = on_renewed
         self.address_index = 0
         self.connection: RenewalConnection | None = None
-        self.requests = 0
-        self.failures = 0
-        self.is_wanted = asyncio.Event()
+        self.request_count = 0
+        self.failure_count = 0
+        self.renewal_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Renew until it is cancelled; the first time at once, spread over a fraction of the interval."""
+        """Renew until cancelled; the first renewal follows after a random fraction of the interval."""
         interval_s = self.service.lease_ms * RENEW_FRACTION / 1000
-        await asyncio.sleep(self.random.uniform(0, interval_s * JITTER))
+        await asyncio.sleep(self.random.uniform(0, interval_s * JITTER_FRACTION))
         try:
             while True:
                 if await self.attempt_renewal(interval_s):
-                    wait_s = self.random.uniform(1 - JITTER, 1) * interval_s
-                else:  # the next one follows soon, and not from all holders at the same moment
+                    wait_s = self.random.uniform(1 - JITTER_FRACTION, 1) * interval_s
+                else:  # retry soon, spread so that not all holders retry at the same moment
                     wait_s = self.random.uniform(0, interval_s / 2)
                 await self.wait_for_next(wait_s)
         finally:
             self.disconnect()
 
     async def wait_for_next(self, wait_s: float) -> None:
-        """Wait until the next renewal is due, or something is wanted that nothing is held of."""
+        """Wait for `wait_s`, or less if an earlier renewal is requested."""
         await asyncio.sleep(min(wait_s, MIN_RENEW_INTERVAL_S))
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.is_wanted.wait(), max(0.0, wait_s - MIN_RENEW_INTERVAL_S))
-        self.is_wanted.clear()
+            await asyncio.wait_for(self.renewal_requested.wait(), max(0.0, wait_s - MIN_RENEW_INTERVAL_S))
+        self.renewal_requested.clear()
 
-    def hurry(self) -> None:
-        """Renew as soon as allowed: there is demand for something that nothing is held of yet."""
-        self.is_wanted.set()
+    def renew_soon(self) -> None:
+        """Request a renewal as soon as `MIN_RENEW_INTERVAL_S` allows."""
+        self.renewal_requested.set()
 
     async def attempt_renewal(self, timeout_s: float) -> bool:
-        """Renew once; return whether that succeeded. After a failure the next address is used."""
-        self.requests += 1
+        """Renew once; return whether it succeeded. After a failure the next address is used."""
+        self.request_count += 1
         try:
             async with asyncio.timeout(timeout_s):
                 await self.renew()
@@ -243,9 +255,9 @@
             h11.ProtocolError,
             msgspec.MsgspecError,
         ) as error:
-            self.failures += 1
+            self.failure_count += 1
             host, port = self.service.addresses[self.address_index]
-            reason = str(error) or "it does not answer"
+            reason = str(error) or f"no response within {timeout_s:.1f} s"
             log.warning("no renewal by the lease service at %s:%d: %s", host, port, reason)
             self.disconnect()
             self.address_index = (self.address_index + 1) % len(self.service.addresses)
@@ -253,15 +265,15 @@
         return True
 
     async def renew(self) -> None:
-        """Send one request, check the response, and adopt it."""
+        """Send one request, verify the signature of the response, and adopt its grants."""
         if self.connection is None:
             self.connection = RenewalConnection(self.service.addresses[self.address_index])
         self.prepare()
         body = msgspec.msgpack.encode(self.holder.next_request(now_ms()))
         response = await self.connection.call(body, sign(self.service.secret, body))
         if response.status != HTTP_OK:
-            text = response.body.decode(errors="replace").strip()[:MAX_ERROR_LENGTH]
-            raise ServiceUnavailableError(text or f"status {response.status}")
+            text = response.body.decode(errors="replace").strip()[:MAX_ERROR_CHARS]
+            raise ServiceUnavailableError(text or f"renewal answered with status {response.status}")
         if not hmac.compare_digest(response.signature, sign(self.service.secret, response.body)):
             raise ServiceUnavailableError("the response is not signed by the shared secret")
         if self.holder.on_response(msgspec.msgpack.decode(response.body, type=RenewResponse), now_ms()):
--- a/thistletrail/leasing/committer.py
+++ b/thistletrail/leasing/committer.py
@@ -1,6 +1,6 @@
-"""Group commit: decides on requests, and journals what they bring about before they are answered.
+"""Group commit: applies requests to the states, and journals the effects before the responses are sent.
 
-Requests that arrive while the disk is busy are committed together by the next sync.
+Requests that arrive during a sync are committed together by the next one.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
 log = logging.getLogger(__name__)
 
-EXPIRY_INTERVAL_S = 1.0  # between looks for grants that have ended
-LOST_OWNER_INTERVAL_S = 0.05  # between looks for items that have lost their owner: a twentieth of the lease
-MAX_WAITING = 2000  # requests that wait for the disk: ten from each gateway of the largest fleet
+EXPIRY_INTERVAL_S = 1.0
+LOST_OWNER_CHECK_INTERVAL_S = 0.05  # a twentieth of the work lease
+MAX_WAITING_REQUESTS = 2000  # ten from each gateway of the largest fleet
 
 Request = RenewRequest | WorkRequest
 Response = RenewResponse | WorkResponse
@@ -39,75 +39,75 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A request that was received, and the future of its response."""
+    """A received request that is not yet committed, and the future of its response."""
 
     request: Request
     response: asyncio.Future[Response]
 
     def fail(self, error: Exception) -> None:
-        """Give an error in place of the response, if it is still waited for."""
+        """Fail the request with an error, unless its caller has stopped waiting."""
         if not self.response.done():
             self.response.set_exception(error)
 
 
 @dataclass(frozen=True, slots=True)
 class DecidedRequest:
-    """A request with its response, which is sent once its effects are in the journal."""
+    """A request whose response is sent once its effects are in the journal."""
 
     waiting: WaitingRequest
     response: Response
 
     def send(self) -> None:
-        """Give the response, if it is still waited for."""
+        """Complete the request with its response, unless its caller has stopped waiting."""
         if not self.waiting.response.done():
             self.waiting.response.set_result(self.response)
 
 
 @dataclass(slots=True)
 class Batch:
-    """Requests that are committed together, and the grants that they have brought."""
+    """Requests that are committed together, and the grants that were issued for them."""
 
     received: int = 0
     decided: list[DecidedRequest] = field(default_factory=list)
     grants: list[HolderGrant] = field(default_factory=list)
 
     def fail(self, error: Exception) -> None:
-        """Give all of them an error in place of their responses."""
+        """Fail all requests of the batch with an error."""
         for decided in self.decided:
             decided.waiting.fail(error)
 
 
 class Committer:
-    """The states of one term, and the only place where they change.
+    """Owns the states of one term, and makes all changes to them.
 
-    `lost` is set once another process leads, by whoever finds out first.
+    `leadership_lost` is set once another process leads, by the committer or by the heartbeat.
     """
 
-    def __init__(self, journal: Journal, config: Config, lost: asyncio.Event) -> None:
-        """Read the journal of the term before; this may take long.
+    def __init__(self, journal: Journal, config: Config, leadership_lost: asyncio.Event) -> None:
+        """Read the journal of the previous term, which may take long.
 
         Raises:
-            DamageError: That journal is damaged.
+            CorruptFileError: That journal is damaged.
         """
         self.journal = journal
         self.config = config
-        self.lost = lost
+        self.leadership_lost = leadership_lost
         self.states = journal.open(config)
-        self.waiting: list[WaitingRequest] = []
-        # Changes of work items that were decided on and are not in the log: written before any answer.
-        self.unwritten: list[WorkRecord] = []
+        self.waiting_requests: list[WaitingRequest] = []
+        # Applied records of work items that are not yet journaled; written before any response is sent.
+        self.unwritten_records: list[WorkRecord] = []
         self.has_changes = asyncio.Event()
         self.commit_count = 0
         self.request_count = 0
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether too many requests wait for another to be taken."""
-        return len(self.waiting) >= MAX_WAITING
+        """Whether too many requests are waiting to accept another."""
+        return len(self.waiting_requests) >= MAX_WAITING_REQUESTS
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Commit, forget grants that have ended, and transfer lost items; at the end, close the journal."""
+        """Run the loops for commits, expiry and transfers; at the end, stop them and close the journal."""
         loops = (self.commit_forever, self.expire_forever, self.transfer_forever)
         tasks = [asyncio.create_task(loop()) for loop in loops]
         try:
@@ -119,7 +119,7 @@
             self.journal.close()
 
     def reload(self, config: Config) -> None:
-        """Use other limits from now on; what was granted by the old ones expires."""
+        """Apply the limits of a new configuration; existing grants stay until they expire or are replaced."""
         self.config = config
         budgets = self.states.budgets
         for name in budgets.budgets:
@@ -127,30 +127,30 @@
                 budgets.set_limits(name, limits, now_ms())
 
     def submit(self, request: Request) -> asyncio.Future[Response]:
-        """Queue a request; the response comes once its effects are in the journal.
+        """Queue a request; the returned future is completed once its effects are in the journal.
 
         Raises:
             LeadershipLostError: Another process leads.
         """
-        if self.lost.is_set():
+        if self.leadership_lost.is_set():
             raise LeadershipLostError("another lease service has taken over")
         response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
-        self.waiting.append(WaitingRequest(request, response))
+        self.waiting_requests.append(WaitingRequest(request, response))
         self.has_changes.set()
         return response
 
     async def commit_forever(self) -> None:
-        """Decide on all requests that wait, write their effects with one sync, and then answer."""
+        """Apply all waiting requests, journal their effects with one sync, and then send the responses."""
         while True:
             await self.has_changes.wait()
             self.has_changes.clear()
             batch = self.decide_waiting()
             try:
                 is_written = await self.write(batch)
-            except LeadershipLostError as error:  # nobody was answered by this term, and never will be
-                self.lost.set()
+            except LeadershipLostError as error:  # no response of this batch, or a later one, is sent
+                self.leadership_lost.set()
                 batch.fail(error)
-                for waiting in self.waiting:
+                for waiting in self.waiting_requests:
                     waiting.fail(error)
                 return
             if not is_written:
@@ -159,13 +159,13 @@
             self.request_count += batch.received
             for decided in batch.decided:
                 decided.send()
-            if self.journal.is_snapshot_due() and not self.unwritten:
+            if self.journal.is_snapshot_due() and not self.unwritten_records:
                 await self.write_snapshot()
 
     def decide_waiting(self) -> Batch:
-        """Decide on all requests that wait; answer those that are rejected."""
-        received = self.waiting
-        self.waiting = []
+        """Apply all waiting requests; those that are rejected fail at once."""
+        received = self.waiting_requests
+        self.waiting_requests = []
         batch = Batch(len(received))
         for waiting in received:
             try:
@@ -179,25 +179,30 @@
         return batch
 
     async def write(self, batch: Batch) -> bool:
-        """Write a batch and all other changes; return whether there was room, else all of it has failed.
+        """Journal a batch and all unwritten records of work items.
+
+        If the journal cannot be written, all requests of the batch fail.
+
+        Returns:
+            Whether the journal was written.
 
         Raises:
             LeadershipLostError: Another process leads.
         """
-        records = self.unwritten
-        self.unwritten = []
+        records = self.unwritten_records
+        self.unwritten_records = []
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(None, self.journal.append, batch.grants, records)
-        except WriteFailedError as error:  # in the state grants count as made, until they expire
+        except WriteFailedError as error:  # grants stay reserved in the state until they expire
             log.error("grants and work items cannot be persisted: %s", error)
-            self.unwritten = [*self.states.work.undo(records), *self.unwritten]
+            self.unwritten_records = [*self.states.work.revert_unjournaled(records), *self.unwritten_records]
             batch.fail(WriteFailedError(str(error)))
             return False
         return True
 
     async def write_snapshot(self) -> None:
-        """Write a snapshot, between two commits: nothing is on its way into the log."""
+        """Write a snapshot; called between two commits, when no record is being written to the log."""
         try:
             snapshot = self.journal.snapshot(self.states)
             loop = asyncio.get_running_loop()
@@ -206,14 +211,15 @@
             log.warning("no snapshot can be written: %s", error.strerror)
 
     def decide(self, request: Request) -> Response:
-        """Apply a request to the states, and return the response to send once that is journaled."""
+        """Apply a request to the states; return the response to send once its effects are journaled."""
         now = now_ms()
         if isinstance(request, WorkRequest):
             return self.decide_work(request, now)
         budgets = self.states.budgets
-        for wanted in request.budgets:
-            if wanted.budget not in budgets.budgets and (limits := self.config.limits_of(wanted.budget)):
-                budgets.set_limits(wanted.budget, limits, now)
+        for budget_request in request.budgets:
+            name = budget_request.budget
+            if name not in budgets.budgets and (limits := self.config.limits_of(name)):
+                budgets.set_limits(name, limits, now)
         return budgets.renew(request, now)
 
     def decide_work(self, request: WorkRequest, now: int) -> WorkResponse:
@@ -221,11 +227,11 @@
         if len(request.operations) > MAX_OPERATIONS:
             raise RequestRejectedError(f"a request has {MAX_OPERATIONS} ops at most")
         decision = self.states.work.handle(request, now)
-        self.unwritten += decision.records
+        self.unwritten_records += decision.records
         return decision.response
 
     def grants_of(self, response: RenewResponse) -> list[HolderGrant]:
-        """Return the grants of a response as the state has them."""
+        """Return the grants of a response in the form of the state."""
         holder = holder_name(response.gateway, response.incarnation)
         budgets = self.states.budgets.budgets
         return [
@@ -234,15 +240,15 @@
         ]
 
     async def expire_forever(self) -> None:
-        """Forget grants that have ended."""
+        """Remove expired grants every `EXPIRY_INTERVAL_S`."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             self.states.budgets.expire(now_ms())
 
     async def transfer_forever(self) -> None:
-        """Find items that have lost their owner; the next commit writes that before anybody is answered."""
+        """Transfer items with a lost owner; the next commit journals that before any response is sent."""
         while True:
-            await asyncio.sleep(LOST_OWNER_INTERVAL_S)
+            await asyncio.sleep(LOST_OWNER_CHECK_INTERVAL_S)
             if records := self.states.work.transfer_lost_items(now_ms()):
-                self.unwritten += records
+                self.unwritten_records += records
                 self.has_changes.set()
--- a/thistletrail/leasing/config.py
+++ b/thistletrail/leasing/config.py
@@ -1,24 +1,24 @@
 """Configuration of the lease service: its leases, how many gateways may exist, and budgets by name pattern.
 
-TOML, checked in full: an unknown key or a value out of range is an error of one line that names it.
+The file is TOML. An unknown key or a value out of range is reported in one line that names it.
 
-    doors = 200            # gateways that may exist: each has a floor for when it cannot reach the service
+    doors = 200            # gateways that may exist; each has a floor that it may use without the service
     lease_ms = 3000
-    work_lease_ms = 1000   # after which a silent gateway has lost the work items that it owns
+    work_lease_ms = 1000   # a gateway that sends no request for this long loses its work items
 
     [[budgets]]
-    name = "ceiling/institution/*"    # one for each name that matches; a star stands for any part of it
-    rate = 30.0                       # units a second
+    name = "ceiling/institution/*"    # one budget for each matching name; a star matches any characters
+    rate = 30.0                       # units per second
     burst = 60
 
     [[budgets]]
-    name = "further-attempts"         # of all gateways together
+    name = "further-attempts"         # one budget for the fleet
     rate = 40.0
     burst = 80
 
     [[budgets]]
     name = "sessions"
-    open = 50                         # a count of what may be open at once
+    open = 50                         # a count that may be open at once
 """
 
 from __future__ import annotations
@@ -34,29 +34,29 @@
 from thistletrail.leasing.errors import ConfigError
 from thistletrail.leasing.messages import WORK_LEASE_MS
 
-MAX_NAME_LENGTH = 120  # characters of a budget's name
-MAX_RATE = 1e6  # units a second
-MAX_COUNT = 10**6  # of a burst, or of what may be open at once
+MAX_NAME_CHARS = 120  # of a budget's name
+MAX_RATE = 1e6  # units per second
+MAX_COUNT = 10**6  # units of a burst, or the count that may be open at once
 MAX_GATEWAYS = 1000  # five times the largest fleet
 
 
 class BudgetPattern(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Budgets whose names match a pattern: a rate with a burst, or a count of what may be open."""
+    """Limits of the budgets whose names match a pattern: a rate with a burst, or a count."""
 
-    name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+    name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
     rate: Annotated[float, Meta(gt=0, le=MAX_RATE)] | None = None
     burst: Annotated[int, Meta(ge=1, le=MAX_COUNT)] | None = None
     open: Annotated[int, Meta(ge=1, le=MAX_COUNT)] | None = None
 
     def is_complete(self) -> bool:
-        """Return whether there is either a rate with a burst, or a count, and nothing beside it."""
+        """Return whether the pattern has either a rate with a burst, or a count, but not both."""
         has_rate = self.rate is not None and self.burst is not None
         has_incomplete_rate = (self.rate is None) != (self.burst is None)
         has_count = self.open is not None
         return has_rate != has_count and not has_incomplete_rate
 
     def limits(self) -> BudgetLimits:
-        """Return the limits of each budget that matches."""
+        """Return the limits of each matching budget."""
         if self.open is not None:
             return BudgetLimits.from_rate(self.rate or 0.0, self.open)
         return BudgetLimits.from_rate(self.rate or 0.0, self.burst or 0)
@@ -71,8 +71,8 @@
     work_lease_ms: Annotated[int, Meta(ge=MIN_LEASE_MS, le=MAX_LEASE_MS)] = WORK_LEASE_MS
 
     def limits_of(self, name: str) -> BudgetLimits | None:
-        """Return the limits of a budget, by the first pattern that its name matches; None without one."""
-        if len(name) > MAX_NAME_LENGTH:
+        """Return the limits of a budget, by the first pattern that its name matches; None if none does."""
+        if len(name) > MAX_NAME_CHARS:
             return None
         matching = (pattern for pattern in self.budgets if fnmatchcase(name, pattern.name))
         pattern = next(matching, None)
@@ -83,7 +83,7 @@
     """Return the configuration in a file.
 
     Raises:
-        ConfigError: The file cannot be read or used.
+        ConfigError: The file cannot be read, or is not a valid configuration.
     """
     try:
         config = msgspec.toml.decode(path.read_bytes(), type=Config)
--- a/thistletrail/leasing/errors.py
+++ b/thistletrail/leasing/errors.py
@@ -4,15 +4,15 @@
 
 
 class LeasingError(Exception):
-    """Base class of all errors of this package; the text is one plain line."""
+    """Base class of all errors of this package; the message is one line of text."""
 
 
 class ConfigError(LeasingError):
-    """A configuration file cannot be used: correct it and start, or reload, again."""
+    """A configuration file cannot be used: correct it, then restart or reload."""
 
 
 class RequestRejectedError(LeasingError):
-    """A request is invalid or out of bounds: sending the same one again is of no use."""
+    """A request is invalid or out of bounds: retrying the same request fails again."""
 
 
 class FolderLockedError(LeasingError):
@@ -20,7 +20,7 @@
 
 
 class LeadershipLostError(LeasingError):
-    """Another process has begun a later term: nothing that was decided here may be answered any more."""
+    """Another process has begun a later term: this one may not send responses any more."""
 
 
 class FrameError(LeasingError):
@@ -28,8 +28,8 @@
 
 
 class ServiceUnavailableError(LeasingError):
-    """A lease service did not answer as one: try the next address."""
+    """A lease service did not answer, or rejected the request: try the next address."""
 
 
 class ServiceFullError(ServiceUnavailableError):
-    """A lease service cannot persist what was sent to it: go on without it, or try again later."""
+    """A lease service cannot persist a request now: continue without a lease, or retry later."""
--- a/thistletrail/leasing/http_service.py
+++ b/thistletrail/leasing/http_service.py
@@ -1,4 +1,4 @@
-"""The lease service on HTTP: signed calls, whose effects are journaled before they are answered."""
+"""HTTP interface of the lease service: signed calls, whose effects are journaled before the response."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RENEW_BYTES = 1 << 19  # of a body: 2,000 budgets with names of 120 characters
-MAX_WORK_BYTES = 8 << 20  # of a frame: 500 operations of some kilobytes, or tens of the largest requests
-MAX_STREAMS = 1000  # work calls at a time: five times the largest fleet
+MAX_RENEW_BYTES = 1 << 19  # fits 2,000 budgets with names of 120 characters
+MAX_WORK_BYTES = 8 << 20  # fits 500 operations of some kilobytes each, or tens of the largest requests
+MAX_STREAMS = 1000  # concurrent work streams: five times the largest fleet
 
 HTTP_BAD_REQUEST = 400
 HTTP_SERVICE_UNAVAILABLE = 503
@@ -45,7 +45,7 @@
 async def errors_as_responses(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Answer an expected error with its status and one plain line."""
+    """Turn an expected error into a response with its status and one line of text."""
     try:
         return await handler(request)
     except RequestRejectedError as error:
@@ -59,20 +59,22 @@
 
 
 class LeaseService:
-    """One term of the lease service: the calls that change its states.
+    """The HTTP application of one term of the lease service.
 
-    `app` is the aiohttp application; the journal is closed when that is cleaned up. `lost` is set
-    once another process leads, by whoever finds out first.
+    `app` is the aiohttp application, whose cleanup closes the journal. `leadership_lost` is set once another
+    process leads, by the committer or by the heartbeat.
     """
 
-    def __init__(self, journal: Journal, config: Config, secret: bytes, lost: asyncio.Event) -> None:
-        """Read the journal of the term before; this may take long.
+    def __init__(
+        self, journal: Journal, config: Config, secret: bytes, leadership_lost: asyncio.Event
+    ) -> None:
+        """Read the journal of the previous term, which may take long.
 
         Raises:
-            DamageError: That journal is damaged.
+            CorruptFileError: That journal is damaged.
         """
         self.secret = secret
-        self.committer = Committer(journal, config, lost)
+        self.committer = Committer(journal, config, leadership_lost)
         self.stream_count = 0
         self.app = web.Application(middlewares=[errors_as_responses], client_max_size=MAX_RENEW_BYTES)
         self.app.add_routes(
@@ -93,12 +95,12 @@
     # --- calls ---
 
     def check_signature(self, request: web.Request, body: bytes) -> None:
-        """Answer 403 unless a body is signed by the shared secret."""
+        """Raise HTTPForbidden (403) unless a body is signed by the shared secret."""
         if not hmac.compare_digest(request.headers.get(SIGNATURE_HEADER, ""), sign(self.secret, body)):
             raise web.HTTPForbidden(text="not signed by the shared secret\n")
 
     async def on_renew(self, request: web.Request) -> web.Response:
-        """Renew the leases of a holder's budgets."""
+        """Handle a renewal of a holder's budget leases."""
         body = await request.read()
         self.check_signature(request, body)
         try:
@@ -115,7 +117,7 @@
         )
 
     async def on_work_stream(self, request: web.Request) -> web.StreamResponse:
-        """Answer a gateway's long call: a response for each frame. One that is not signed ends it."""
+        """Answer each frame of a gateway's work stream; an invalid frame ends the stream."""
         if self.stream_count >= MAX_STREAMS:
             return web.Response(status=HTTP_SERVICE_UNAVAILABLE, text="too many calls\n")
         response = web.StreamResponse()
@@ -123,17 +125,17 @@
         try:
             await self.answer_frames(request, response)
         except FrameError as error:
-            log.warning("a work call ends: %s", error)
+            log.warning("closing the work stream from %s: %s", request.remote, error)
             if not response.prepared:
                 raise web.HTTPForbidden(text="not signed by the shared secret\n") from error
         except (EOFError, ConnectionError):
-            pass  # its gateway has disconnected
+            pass  # the gateway has disconnected
         finally:
             self.stream_count -= 1
         return response
 
     async def answer_frames(self, request: web.Request, response: web.StreamResponse) -> None:
-        """Answer frames until the call ends, by an error; nothing is sent before the first valid frame."""
+        """Answer frames until an error ends the stream; nothing is sent before the first valid frame."""
         frames = FrameReader(self.secret, MAX_WORK_BYTES)
         frame = await self.next_frame(request, frames)
         await response.prepare(request)
@@ -142,7 +144,12 @@
             frame = await self.next_frame(request, frames)
 
     async def next_frame(self, request: web.Request, frames: FrameReader) -> Frame:
-        """Read until a frame is complete; an EOFError at the end of the call."""
+        """Return the next frame once it is complete.
+
+        Raises:
+            EOFError: The gateway has ended the stream.
+            FrameError: The frame is invalid.
+        """
         while (frame := frames.next()) is None:
             data = await request.content.readany()
             if not data:
@@ -162,7 +169,7 @@
         except RequestRejectedError as error:
             return encode_frame(self.secret, str(error).encode(), STATUS_REJECTED)
         except LeadershipLostError as error:
-            raise EOFError from error  # its gateway goes to whoever has taken over
+            raise EOFError from error  # the gateway connects to the new leader
         except WriteFailedError as error:
             return encode_frame(self.secret, str(error).encode(), STATUS_FULL)
         return encode_frame(self.secret, msgspec.msgpack.encode(response))
@@ -170,7 +177,7 @@
     # --- status ---
 
     async def on_status(self, request: web.Request) -> web.Response:
-        """Answer what is held of each budget, and counts of work items, as JSON."""
+        """Answer with the reserved share of each budget and counts of work items, as JSON."""
         self.check_signature(request, request.path.encode())
         budgets = self.committer.states.budgets
         reserved = {
@@ -189,7 +196,7 @@
         )
 
     def work_status(self) -> dict[str, int]:
-        """Return counts of work items, by the names that `/status` has for them."""
+        """Return counts of work items under their names in `/status`."""
         work = self.committer.states.work
         counters = work.counters
         return {
@@ -206,7 +213,7 @@
         }
 
     async def on_parked(self, request: web.Request) -> web.Response:
-        """Answer the items that were given up, as their owners may have died of them."""
+        """Answer with the parked items, which were given up because their owners died, as JSON."""
         self.check_signature(request, request.path.encode())
         return web.json_response(
             [
--- a/thistletrail/leasing/journal.py
+++ b/thistletrail/leasing/journal.py
@@ -1,9 +1,9 @@
-"""The journal of one term: grants and changes of work items are synced before anybody is answered.
+"""The journal of one term: grants and changes of work items are synced before any response is sent.
 
-One process at a time leads in the folder (leadership.py); it reads what the one before it has written, and
-goes on. Grants of the same boot have their exact ends, as all processes share its clock; those of another
-boot may be relied on for the longest lease from now. Where nothing is left, a new history begins, and grants
-nothing until the longest lease that may be configured has ended.
+One process at a time leads in the data folder (leadership.py). It reads the journal of the previous term and
+continues from there. Grants of the same boot keep their exact ends, as all processes share the clock of the
+boot; grants of another boot are assumed to last for the longest configurable lease from now. If there is no
+earlier journal, a new history begins and grants nothing until the longest configurable lease has ended.
 """
 
 from __future__ import annotations
@@ -35,19 +35,20 @@
 
 log = logging.getLogger(__name__)
 
-# In the log before a snapshot replaces it: grants are some megabytes, requests and values more.
+# Size of the log at which a snapshot replaces it: 50,000 grants take some megabytes, work items more.
 MAX_RECORDS = 50_000
 MAX_LOG_BYTES = 64 << 20
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-# Fencing numbers begin at the time, by thousandths of milliseconds: no history reaches another's.
+# The fencing numbers of a history start at the wall-clock time in these units, so that no history reaches the
+# numbers of a later one.
 FENCES_PER_MS = 1000
 
-# A change of a work item as it is stored: the fields of its record, and `boot`.
+# A stored record of a work item: the fields of the record, and `boot`.
 StoredWorkRecord = dict[str, Any]
 
 
 class StoredGrant(Struct, frozen=True, kw_only=True):
-    """A grant as it is stored; `boot` says of which boot of the machine its end is."""
+    """A stored grant; `until` is a time of the machine's boot `boot`."""
 
     budget: str
     holder: str
@@ -59,7 +60,7 @@
 
 
 class StoredSnapshot(Struct, frozen=True, kw_only=True):
-    """All that may be relied on, as it is stored; without the last two before there were work leases."""
+    """A stored snapshot of both states; revisions without work leases wrote no `work_fence` and `work`."""
 
     fence: int
     boot: str
@@ -71,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredTerm:
-    """What one term has stored, not yet validated: its snapshot, and the records of the log since."""
+    """The stored data of one term, not yet validated: its snapshot, and the later records of its log."""
 
     snapshot: object
     records: list[object]
 
 
 def boot_id() -> str:
-    """Return the identity of this boot of the machine; empty where the system has none."""
+    """Return the identifier of this boot of the machine; empty if the system provides none."""
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
@@ -86,10 +87,10 @@
 
 
 def begin_history(folder: Path, config: Config) -> None:
-    """Make a folder for the first history of a fleet: nobody can hold anything, and nothing is waited for.
+    """Create a folder for the first history of a fleet, which grants at once as no earlier grants exist.
 
     Raises:
-        FolderLockedError: There is a history already, or another process has the folder.
+        FolderLockedError: There is a history already, or another process leads in the folder.
     """
     journal = Journal(begin_term(folder))
     try:
@@ -111,7 +112,7 @@
 
 
 class Journal:
-    """What one term writes: a snapshot, and a log of what has changed since."""
+    """The journal that one term writes: a snapshot, and a log of later changes."""
 
     def __init__(self, term: Term) -> None:
         self.term = term
@@ -122,10 +123,10 @@
     # --- reading ---
 
     def open(self, config: Config) -> LeasingStates:
-        """Return the states as the terms before answered them, or new ones; written as this term's snapshot.
+        """Restore the states of the previous term, or create new ones, and write them as a snapshot.
 
         Raises:
-            CorruptFileError: The journal of the term before is damaged.
+            CorruptFileError: The journal of the previous term is damaged.
         """
         states = self.read_predecessor(config)
         self.records.open()
@@ -134,7 +135,7 @@
         return states
 
     def read_predecessor(self, config: Config) -> LeasingStates:
-        """Return the states of the term before, or new ones where there is none."""
+        """Return the states of the previous term, or new ones if there is none."""
         now = now_ms()
         first_fence = time.time_ns() // 1_000_000 * FENCES_PER_MS
         previous = self.term.predecessor()
@@ -148,14 +149,14 @@
             return self.restore(stored, config, first_fence, now)
         except (KeyError, TypeError, ValueError) as error:
             raise CorruptFileError(
-                f"{self.term.folder} holds a record that the lease service does not know: {error!r}"
+                f"unknown record in the journal of {self.term.folder}: {error!r}"
             ) from error
 
     def restore(self, stored: StoredTerm, config: Config, first_fence: int, now: int) -> LeasingStates:
-        """Return the states that a snapshot and the records since add up to."""
+        """Return the states that result from a snapshot and the later records of its log."""
         snapshot = msgspec.convert(stored.snapshot, type=StoredSnapshot)
         budgets = BudgetState(snapshot.fence, now, 0, config.lease_ms)
-        is_same_boot = snapshot.boot == self.boot_id  # else the clock is another
+        is_same_boot = snapshot.boot == self.boot_id  # another boot has another clock
         budgets.quiet_until_ms = snapshot.quiet_until_ms if is_same_boot else now + MAX_LEASE_MS
         work = WorkState(max(first_fence, snapshot.work_fence), config.work_lease_ms)
         for grant in snapshot.issued:
@@ -169,13 +170,13 @@
                 work.restore(msgspec.convert(fields, type=WorkRecord))
             else:
                 skipped += 1
-        if skipped:  # the machine has started again since, and every gateway with it: all of that is over
+        if skipped:  # the machine has restarted, and the gateways on it: their work items have ended
             log.warning("%d records of work items are of another boot, and are skipped", skipped)
         work.finish_restore(now)
         return LeasingStates(budgets, work)
 
     def restore_grant(self, budgets: BudgetState, config: Config, stored: StoredGrant, now: int) -> None:
-        """Bring a grant back if it has not ended; one of another boot may last for the longest lease."""
+        """Restore a grant that has not ended; one of another boot is kept for the longest lease from now."""
         until_ms = stored.until_ms if stored.boot == self.boot_id else now + MAX_LEASE_MS
         grant = IssuedGrant(stored.fence, stored.share, until_ms, stored.units)
         limits = config.limits_of(stored.budget)
@@ -188,7 +189,7 @@
     # --- writing ---
 
     def stored_grant(self, issued: HolderGrant) -> StoredGrant:
-        """Return a grant as it is stored."""
+        """Return the stored form of a grant."""
         return StoredGrant(
             budget=issued.budget,
             holder=issued.holder,
@@ -200,16 +201,16 @@
         )
 
     def stored_work_record(self, record: WorkRecord) -> StoredWorkRecord:
-        """Return a change of a work item as it is stored."""
+        """Return the stored form of a work item's record."""
         return {**msgspec.to_builtins(record), "boot": self.boot_id}
 
     def append(self, grants: Iterable[HolderGrant], work: Iterable[WorkRecord] = ()) -> None:
-        """Write and sync grants and changes of work items.
+        """Write and sync grants and records of work items.
 
-        What is written may be answered while this term lasts, which is looked at last.
+        Afterwards it checks that this term is still the latest one: only then may responses be sent.
 
         Raises:
-            WriteFailedError: They cannot be written; the log is as before.
+            WriteFailedError: The write or sync failed; the log is unchanged.
             LeadershipLostError: A later term has begun.
         """
         stored_grants = [msgspec.to_builtins(self.stored_grant(grant)) for grant in grants]
@@ -218,11 +219,11 @@
             raise LeadershipLostError("another lease service has taken over")
 
     def is_snapshot_due(self) -> bool:
-        """Return whether the log has grown so long that a snapshot is to replace it."""
+        """Return whether the log is so large that a snapshot should replace it."""
         return self.records.record_count >= MAX_RECORDS or self.records.size_bytes >= MAX_LOG_BYTES
 
     def snapshot(self, states: LeasingStates) -> StoredSnapshot:
-        """Return all that may be relied on, as it is stored."""
+        """Return the stored form of both states."""
         return StoredSnapshot(
             fence=states.budgets.fence,
             boot=self.boot_id,
@@ -233,21 +234,21 @@
         )
 
     def write_snapshot(self, snapshot: StoredSnapshot) -> None:
-        """Write a snapshot into one file; then empty the log that it replaces."""
+        """Write a snapshot, then clear the log that it replaces."""
         replace_single_record(self.snapshot_path, msgspec.to_builtins(snapshot))
         self.records.clear()
 
     def close(self) -> None:
-        """Close the log, and let go of the term."""
+        """Close the log, and release the term."""
         self.records.close()
         self.term.close()
 
 
 def read_term(path: Path) -> StoredTerm | None:
-    """Return what is stored in a term's folder; None where no record was completed.
+    """Return the stored data of a term's folder; None if it has neither a snapshot nor a complete record.
 
-    Its process may still be there and replace its log by a snapshot: the log is read first, so that nothing
-    is missed.
+    The process of that term may still be running and replace its log with a snapshot. The log is therefore
+    read first, so that no record is missed.
 
     Raises:
         CorruptFileError: The log is damaged before its end, or there is a log without a snapshot.
--- a/thistletrail/leasing/messages.py
+++ b/thistletrail/leasing/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the lease service and the holders of leases, as they are encoded on the wire.
+"""Messages between the lease service and the lease holders, as they are encoded on the wire.
 
-Amounts are integers; times are in milliseconds. Names on the wire (`name=`, `tag=`) are older than those of
-Python and stay as they are, so that programs of different revisions understand each other.
+Amounts are integers; times are in milliseconds. The names on the wire (`name=`, `tag=`) differ from the
+attributes and must stay as they are, so that programs of different revisions can exchange messages.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class Message(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all messages and journal records: immutable, and strict about unknown fields."""
+    """Base of all messages and journal records: immutable, and unknown fields are rejected."""
 
 
 class BudgetRequest(Message, frozen=True):
-    """What a holder requests of one budget.
+    """A holder's request for a share of one budget.
 
     Attributes:
         budget: The name of the budget.
-        demand: Recent demand: a count, or thousandths of units a second.
+        demand: Recent demand: a count, or thousandths of a unit per second.
         fence: The fencing number of the latest grant that the holder has adopted; 0 for none.
-        returned_units: Unspent units that no longer fitted when that grant was adopted.
-        needed_units: Units that requests wait for now, beyond what the holder has.
+        returned_units: Units that exceeded the token bucket's capacity when that grant was adopted.
+        needed_units: Units that queued requests need now beyond what the holder has.
         in_use: How much of a count is in use.
     """
 
@@ -37,7 +37,7 @@
 
 
 class RenewRequest(Message, frozen=True):
-    """A renewal of all leases of one incarnation of a gateway; `serial` rises from request to request."""
+    """A renewal of all leases of one incarnation of a gateway; `serial` rises with each request."""
 
     gateway: int = field(name="door")
     incarnation: int = field(name="mark")
@@ -48,7 +48,7 @@
 class Grant(Message, frozen=True):
     """A share of a budget, valid from when the request was sent until the lease ends.
 
-    `units` come with it, once, into the holder's store.
+    `units` are added once to the holder's token bucket.
     """
 
     budget: str
@@ -80,37 +80,37 @@
 
 
 def parse_holder_name(name: str) -> HolderId:
-    """Return what `holder_name` made a name of."""
+    """Return the gateway and incarnation of a name that `holder_name` returned."""
     gateway, _, incarnation = name.partition("/")
     return HolderId(int(gateway), int(incarnation))
 
 
-WORK_LEASE_MS = 1000  # half of the shortest request deadline: what is taken over has time left
-MAX_OPERATIONS = 500  # of one work request
+WORK_LEASE_MS = 1000  # half of the shortest request deadline, to leave time after a takeover
+MAX_OPERATIONS = 500  # in one work request
 
 
 class WorkEffect(enum.StrEnum):
     """How often a work item may run."""
 
     SAFE = "safe"  # repeatable without limit
-    KEYED = "keyed"  # its servers drop repeats of its key within a window
-    UNSAFE = "unsafe"  # once at most
+    KEYED = "keyed"  # servers deduplicate by its idempotency key within a window
+    UNSAFE = "unsafe"  # at most once
 
 
 class BeginWork(Message, frozen=True, tag="begin"):
-    """A gateway is about to forward a work item for the first time: journaled before the first byte is sent.
+    """A gateway is about to forward a work item; this is journaled before its first byte is sent.
 
     Attributes:
-        name: Identifies the item over the whole fleet.
-        request_id: This gateway's request for it.
-        digest: Of what is requested under that name.
-        customer: Whose bound on work items it counts against.
+        name: Identifies the item in the fleet.
+        request_id: This gateway's request for the item.
+        digest: Digest of the request that the name stands for.
+        customer: The customer whose limit on work items it counts against.
         effect: How often it may run.
-        left_ms: For how long from now its result is wanted.
-        window_ms: For how long servers remember a keyed item.
-        request: Opaque to the lease service: what another gateway needs to go on.
-        server: Where the first attempt goes.
-        place: The group of servers, that drop each other's repeats, which the server belongs to.
+        left_ms: How long from now its result is wanted.
+        window_ms: How long servers remember a keyed item.
+        request: What another gateway needs to continue it; opaque to the lease service.
+        server: The server of the first attempt.
+        place: The group of servers, which deduplicate together, that the server belongs to.
     """
 
     name: str
@@ -126,9 +126,9 @@
 
 
 class AttemptWork(Message, frozen=True, tag="try"):
-    """Another attempt, at that server, by its `number` from 1 under this fence.
+    """Another attempt at `server`; `number` counts attempts under this fence from 1.
 
-    `earlier_never_ran` says that no attempt before it arrived completely at its server.
+    `earlier_never_ran` means that no earlier attempt arrived completely at its server.
     """
 
     name: str
@@ -140,7 +140,7 @@
 
 
 class CompleteWork(Message, frozen=True, tag="done"):
-    """The item has ended well with that value, which whoever requests its name again gets."""
+    """The item was served with `value`, which answers later requests for the same name."""
 
     name: str
     fence: int
@@ -148,10 +148,10 @@
 
 
 class ReleaseWork(Message, frozen=True, tag="leave"):
-    """The owner gives the item up.
+    """The owner gives up the item.
 
-    With `transfer` another gateway is to go on with it; without, nobody waits for it here any more.
-    `never_ran` says that no attempt of it has ever run.
+    With `transfer` another gateway is to continue it; without, no client of the owner waits for it any more.
+    `never_ran` means that no attempt has ever run.
     """
 
     name: str
@@ -166,8 +166,8 @@
 class WorkRequest(Message, frozen=True):
     """Operations of one incarnation of a gateway on its work items; each request renews its lease.
 
-    `incarnation` rises from one start of a gateway to the next. `accepted_fences` are those of transferred
-    items that have arrived; `is_draining` says that no more items are to be transferred to it.
+    `incarnation` rises with each start of a gateway. `accepted_fences` are the fencing numbers of transferred
+    items that have arrived; `is_draining` means that no more items should be transferred to this gateway.
     """
 
     gateway: int = field(name="door")
@@ -179,27 +179,27 @@
 
 
 class OperationStatus(enum.StrEnum):
-    """What became of an operation."""
+    """The status of an operation's result."""
 
-    PERSISTED = "kept"  # it is in the journal, and the item is the sender's under the fence of the result
-    FULL = "full"  # there is no room: the item goes on without a lease
-    ANSWERED = "answered"  # the item has ended before, with the value of the result
-    FAILED = "failed"  # the item has ended, and how is not known
+    PERSISTED = "kept"  # journaled; the sender owns the item under the fence of the result
+    FULL = "full"  # there is no room; the item continues without a work lease
+    ANSWERED = "answered"  # the item was served before, with the value of the result
+    FAILED = "failed"  # the item cannot be continued, and its value is not known
     ELSEWHERE = "elsewhere"  # another gateway owns the item
     CONFLICT = "other"  # the name stands for another request
-    LOST = "lost"  # the fence of the operation is not the present one
+    LOST = "lost"  # the operation's fence is not the current one, or the sender does not own the item
 
 
 class OperationResult(Message, frozen=True):
-    """What became of one operation.
+    """The result of one operation.
 
     Attributes:
-        status: What became of it.
+        status: Whether the operation was carried out, or why not.
         fence: The fencing number under which the sender owns the item.
-        left_ms: For how long the item may be worked on.
-        server: Where it may have run before; empty for nowhere.
-        place: The group of servers where it may have run before.
-        value: The value of an item that has ended well.
+        left_ms: How long from now the item may be attempted.
+        server: The server where it may have run before; empty if none.
+        place: The group of servers where it may have run before; empty if none.
+        value: The value of an item that was served.
     """
 
     status: OperationStatus = field(name="how")
@@ -211,9 +211,9 @@
 
 
 class TransferredWork(Message, frozen=True):
-    """An item of a lost owner that this gateway is to go on with, under a fence of its own.
+    """An item of a lost or draining owner that this gateway is to continue under a new fence.
 
-    `server` and `place` say where it may have run before; they are empty where it has not.
+    `server` and `place` are where it may have run before; they are empty if it has not run.
     """
 
     name: str
--- a/thistletrail/leasing/model_checking/budget_faults.py
+++ b/thistletrail/leasing/model_checking/budget_faults.py
@@ -17,9 +17,9 @@
 class CheckedBudgetState(BudgetState):
     """The state machine as it is, but that shares change in one step, so that traces are shorter."""
 
-    def next_share(self, present: int, wanted: int, total: int) -> int:
+    def next_share(self, current: int, target: int, total: int) -> int:
         """Return the wanted share at once."""
-        return wanted
+        return target
 
 
 class BudgetModel:
--- a/thistletrail/leasing/model_checking/budget_world.py
+++ b/thistletrail/leasing/model_checking/budget_world.py
@@ -77,7 +77,7 @@
         name: Holding(holding.issued, holding.demand, holding.acknowledged_fence)
         for name, holding in budget.holdings.items()
     }
-    return Budget(budget.limits, holdings, budget.pool_thousandths, budget.pool_at_ms, budget.turn)
+    return Budget(budget.limits, holdings, budget.pool_thousandths, budget.pool_at_ms, budget.rotation)
 
 
 def state_key(state: CheckedBudgetState) -> Hashable:
@@ -85,7 +85,7 @@
     return (
         state.fence,
         state.quiet_until_ms,
-        tuple((name, stamp.serial, stamp.at_ms) for name, stamp in sorted(state.last_requests.items())),
+        tuple((name, stamp.serial, stamp.received_ms) for name, stamp in sorted(state.last_requests.items())),
         tuple((name, budget_key(budget)) for name, budget in state.budgets.items()),
     )
 
@@ -96,7 +96,7 @@
         (name, holding.issued, holding.demand, holding.acknowledged_fence)
         for name, holding in sorted(budget.holdings.items())
     )
-    return (budget.pool_thousandths, budget.pool_at_ms, budget.turn, holdings)
+    return (budget.pool_thousandths, budget.pool_at_ms, budget.rotation, holdings)
 
 
 def copy_holder(holder: BudgetHolder) -> BudgetHolder:
--- a/thistletrail/leasing/model_checking/work_faults.py
+++ b/thistletrail/leasing/model_checking/work_faults.py
@@ -107,9 +107,9 @@
         result = super().begin(holder, operation, now_ms)
         return OperationResult(status=result.status, fence=result.fence, value=result.value)
 
-    def transferred_to(self, member: Member, now_ms: int) -> list[TransferredWork]:
+    def unaccepted_transfers(self, member: Member, now_ms: int) -> list[TransferredWork]:
         """Return items without a location."""
-        found = super().transferred_to(member, now_ms)
+        found = super().unaccepted_transfers(member, now_ms)
         return [msgspec.structs.replace(item, server="", place="") for item in found]
 
 
--- a/thistletrail/leasing/model_checking/work_world.py
+++ b/thistletrail/leasing/model_checking/work_world.py
@@ -124,7 +124,7 @@
             frozenset(map(repr, self.messages)),
             repr(sorted(self.state.store.items.items())),
             repr(sorted(membership.members.items())),
-            repr(sorted(membership.latest.items())),
+            repr(sorted(membership.latest_incarnations.items())),
             repr(gateways),
         )
 
@@ -138,13 +138,13 @@
     copied = copy.copy(state)
     copied.store = copy.copy(state.store)
     copied.store.items = {name: copy.copy(item) for name, item in state.store.items.items()}
-    copied.store.items_of_customer = dict(state.store.items_of_customer)
+    copied.store.item_count_by_customer = dict(state.store.item_count_by_customer)
     copied.membership = copy.copy(state.membership)
     copied.membership.members = {
         name: replace(member, unacknowledged=dict(member.unacknowledged))
         for name, member in state.membership.members.items()
     }
-    copied.membership.latest = dict(state.membership.latest)
+    copied.membership.latest_incarnations = dict(state.membership.latest_incarnations)
     copied.counters = replace(state.counters, ended=state.counters.ended.copy())
     copied.records = []
     return copied
--- a/thistletrail/leasing/work_holder.py
+++ b/thistletrail/leasing/work_holder.py
@@ -1,9 +1,10 @@
-"""A gateway's side of work leases: what it owns, under which fencing numbers, and until when it may act.
+"""A gateway's side of work leases: the items that it owns, their fencing numbers, and the end of its lease.
 
-Pure: time is passed in, in milliseconds of a clock that runs in suspension. A gateway calls `owns` before
-each write and each answer. Its lease counts from before the request was sent and ends early by a stated
-margin: what lies between reading the clock and the write itself. What it owned when its lease ended is lost
-to it, whoever owns it by now.
+It does no I/O and reads no clock: callers pass the time in milliseconds, by a clock that also runs while the
+machine is suspended. A gateway calls `owns` before each write to a server and each answer to a client. Its
+lease is counted from before the request was sent and ends early: by a margin for clock drift, and by one for
+the time between reading the clock and the write. When the lease ends, the gateway loses all items that it
+owned, even if no other gateway has taken them over.
 """
 
 from __future__ import annotations
@@ -26,11 +27,12 @@
     WorkResponse,
 )
 
-# Between reading the clock and the last byte's way into the kernel: a turn of the loop on a busy machine.
+# Longest time between reading the clock and passing the last byte to the kernel: one iteration of the event
+# loop on a busy machine.
 WRITE_MARGIN_MS = 50
-MAX_QUEUED = 4 * MAX_OPERATIONS  # operations that wait to be sent: past it work goes on without a lease
-MAX_REQUEST_BYTES = 4 << 20  # of bodies and values in one request: half of what the lease service takes
-MAX_BEGINS = 64  # in one request, as each may be answered by a kept value of 128 KiB
+MAX_QUEUED_OPERATIONS = 4 * MAX_OPERATIONS  # beyond it, items are forwarded without a work lease
+MAX_REQUEST_BYTES = 4 << 20  # bodies and values in one request: half of what the lease service accepts
+MAX_BEGINS_PER_REQUEST = 64  # each may be answered with a stored value of 128 KiB
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,14 +45,14 @@
 
 
 class AppliedOperation(Struct, frozen=True):
-    """An operation, and what became of it."""
+    """An operation and its result."""
 
     operation: WorkOperation
     result: OperationResult
 
 
 class AppliedResponse(Struct, frozen=True):
-    """What a response has brought: what became of each operation, and items to go on with."""
+    """The content of an applied response: operations with their results, and newly transferred items."""
 
     operations: tuple[AppliedOperation, ...] = ()
     transferred: tuple[TransferredWork, ...] = ()
@@ -64,25 +66,28 @@
         self.incarnation = incarnation
         self.serial = 0
         self.until_ms = -1
-        self.fences: dict[str, int] = {}  # by name of an owned item: the fencing number
+        self.fences: dict[str, int] = {}  # name of an owned item -> its fencing number
         self.queue: list[WorkOperation] = []
         self.in_flight: InFlightRequest | None = None
-        self.accepted_fences: list[int] = []  # of the items of the last response, to acknowledge
-        self.withdrawn: set[str] = set()  # names that were begun, and given up before there was a result
+        self.accepted_fences: list[int] = []  # of transferred items in the last response, to be acknowledged
+        self.withdrawn: set[str] = set()  # names whose `BeginWork` was given up while in flight
         self.is_draining = False
 
-    # --- what may be done ---
+    # --- ownership ---
 
     def is_alive(self, now_ms: int) -> bool:
         """Return whether the lease lasts."""
         return now_ms < self.until_ms
 
     def owns(self, name: str, fence: int, now_ms: int) -> bool:
-        """Return whether an item may be written, answered or ended now."""
+        """Return whether an item may be sent, answered or completed now under this fencing number."""
         return self.is_alive(now_ms) and self.fences.get(name) == fence
 
     def drop_expired(self, now_ms: int) -> list[str]:
-        """Return the names of what is lost as the lease has ended; it is released, if nobody has taken it."""
+        """If the lease has ended, give up all items and return their names.
+
+        They are also released at the lease service, in case it has not transferred them yet.
+        """
         if self.is_alive(now_ms) or not self.fences:
             return []
         lost = list(self.fences)
@@ -94,24 +99,24 @@
     # --- operations ---
 
     def enqueue(self, operation: WorkOperation) -> bool:
-        """Queue an operation; return whether there was room."""
-        if len(self.queue) >= MAX_QUEUED:
+        """Queue an operation; return False if the queue is full."""
+        if len(self.queue) >= MAX_QUEUED_OPERATIONS:
             return False
         self.queue.append(operation)
         return True
 
     def forget(self, name: str) -> None:
-        """Own an item no more, without a word to the lease service."""
+        """Give up an item without telling the lease service."""
         self.fences.pop(name, None)
 
     def release(self, name: str, transfer: bool = False, never_ran: bool = False) -> None:
-        """Give an item up: for another gateway with `transfer`."""
+        """Give up an item and release it at the lease service; with `transfer`, for another gateway."""
         fence = self.fences.pop(name, 0)
         if fence:
             self.queue.append(ReleaseWork(name=name, fence=fence, transfer=transfer, never_ran=never_ran))
 
     def withdraw(self, name: str) -> None:
-        """Give up on a `BeginWork` that has no result yet: it is taken back, wherever it is by now."""
+        """Withdraw a `BeginWork`: remove it from the queue, or release its item once the result arrives."""
         remaining = [op for op in self.queue if not (isinstance(op, BeginWork) and op.name == name)]
         if len(remaining) < len(self.queue):
             self.queue = remaining
@@ -121,9 +126,9 @@
     # --- requests ---
 
     def next_request(self, now_ms: int) -> WorkRequest:
-        """Return the next request, with operations that wait; one is in flight at a time."""
+        """Return the next request with queued operations; only one request is in flight at a time."""
         self.serial += 1
-        count = self.fitting_count()
+        count = self.next_operation_count()
         operations = self.queue[:count]
         self.queue = self.queue[count:]
         self.in_flight = InFlightRequest(self.serial, now_ms, operations)
@@ -136,25 +141,29 @@
             is_draining=self.is_draining,
         )
 
-    def fitting_count(self) -> int:
-        """Return how many of the queued operations go into one request: one at least."""
+    def next_operation_count(self) -> int:
+        """Return how many queued operations fit into the next request: one at least, if any are queued."""
         size = 0
         begins = 0
         for count, operation in enumerate(self.queue[:MAX_OPERATIONS]):
             size += payload_bytes(operation)
             begins += isinstance(operation, BeginWork)
-            if count and (size > MAX_REQUEST_BYTES or begins > MAX_BEGINS):
+            if count and (size > MAX_REQUEST_BYTES or begins > MAX_BEGINS_PER_REQUEST):
                 return count
         return min(MAX_OPERATIONS, len(self.queue))
 
     def requeue_unanswered(self) -> None:
-        """The request in flight got no response: its operations are sent again, some for the second time."""
+        """Queue the operations of an unanswered request again; the lease service may have applied some."""
         if self.in_flight is not None:
             self.queue = [*self.in_flight.operations, *self.queue]
             self.in_flight = None
 
     def on_rejected(self) -> list[BeginWork]:
-        """The request in flight was rejected as a whole: return what goes on without a lease."""
+        """Handle the rejection of the request in flight: queue its operations again except `BeginWork`.
+
+        Returns:
+            The `BeginWork` operations, whose items continue without a work lease.
+        """
         if self.in_flight is None:
             return []
         operations = self.in_flight.operations
@@ -166,11 +175,11 @@
         return begun
 
     def lease_end_ms(self, sent_ms: int, lease_ms: int) -> int:
-        """Return when to stop: the margins before the lease ends, counted from before the request."""
+        """Return when to stop: both margins before the end of a lease that began at `sent_ms`."""
         return sent_ms + lease_ms - max(1, int(lease_ms * MARGIN_FRACTION)) - WRITE_MARGIN_MS
 
     def on_response(self, response: WorkResponse, now_ms: int) -> AppliedResponse:
-        """Apply a response; one to a request that is not in flight any more brings nothing."""
+        """Apply a response; one to a request that is no longer in flight has no effect."""
         in_flight = self.in_flight
         if in_flight is None or response.serial != in_flight.serial:
             return AppliedResponse()
@@ -179,18 +188,18 @@
         operations = tuple(map(AppliedOperation, in_flight.operations, response.results))
         for applied in operations:
             self.apply_result(applied.operation, applied.result)
-        known = self.accepted_fences
+        already_accepted = self.accepted_fences
         self.accepted_fences = []
-        if not self.is_alive(now_ms):  # too late to go on with anything: it has not arrived
+        if not self.is_alive(now_ms):  # too late: transferred items are not accepted
             return AppliedResponse(operations)
         self.accepted_fences = [item.fence for item in response.transferred]
-        arrived = tuple(item for item in response.transferred if item.fence not in known)
+        arrived = tuple(item for item in response.transferred if item.fence not in already_accepted)
         for item in arrived:
             self.fences[item.name] = item.fence
         return AppliedResponse(operations, arrived)
 
     def apply_result(self, operation: WorkOperation, result: OperationResult) -> None:
-        """Note what an operation has made this gateway's, or shown to be lost."""
+        """Record the item that an operation's result gives to this gateway, or drop the one it lost."""
         if isinstance(operation, BeginWork):
             if result.status is OperationStatus.PERSISTED:
                 self.fences[operation.name] = result.fence
@@ -202,7 +211,7 @@
 
 
 def payload_bytes(operation: WorkOperation) -> int:
-    """Return the size of what makes an operation large."""
+    """Return the size of an operation's request or value."""
     if isinstance(operation, BeginWork):
         return len(operation.request)
     if isinstance(operation, CompleteWork):
--- a/thistletrail/leasing/work_membership.py
+++ b/thistletrail/leasing/work_membership.py
@@ -1,4 +1,4 @@
-"""Which incarnations of gateways may own work items, and which of them takes an item over."""
+"""Which incarnations of gateways may own work items, and which one takes over an item."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True)
 class Member:
-    """One incarnation of a gateway, and until when it may act.
+    """One incarnation of a gateway, with the end of its lease.
 
-    `unacknowledged` has, by fencing number, the names of transferred items that it has not yet accepted.
+    `unacknowledged` maps fencing numbers to the names of transferred items that it has not yet accepted.
     """
 
     until_ms: int
@@ -24,44 +24,44 @@
 
 
 def rendezvous_weight(holder: str, name: str) -> int:
-    """Return the weight of a holder for an item: the highest one takes it (rendezvous hashing, XXH3)."""
+    """Return a holder's weight for an item by rendezvous hashing (XXH3); the highest weight takes it."""
     return xxhash.xxh3_64_intdigest(f"{holder}|{name}".encode())
 
 
 class Membership:
-    """The holders whose leases may last, and the latest incarnation of each gateway."""
+    """The holders with leases, and the latest incarnation of each gateway."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self.latest: dict[int, int] = {}  # by gateway: its latest incarnation
+        self.latest_incarnations: dict[int, int] = {}  # by gateway number
 
-    def latest_incarnation(self, gateway: int) -> int:
-        """Return the latest incarnation of a gateway that was seen; -1 for none."""
-        return self.latest.get(gateway, -1)
+    def latest_incarnation_of(self, gateway: int) -> int:
+        """Return the latest known incarnation of a gateway; -1 if none is known."""
+        return self.latest_incarnations.get(gateway, -1)
 
-    def see(self, gateway: int, incarnation: int) -> None:
-        """Note an incarnation of a gateway: those before it are replaced."""
-        self.latest[gateway] = max(self.latest_incarnation(gateway), incarnation)
+    def record_incarnation(self, gateway: int, incarnation: int) -> None:
+        """Record an incarnation of a gateway, which replaces earlier ones."""
+        self.latest_incarnations[gateway] = max(self.latest_incarnation_of(gateway), incarnation)
 
     def is_alive(self, holder: str, now_ms: int) -> bool:
-        """Return whether a holder may still act: its lease lasts, and no later incarnation was seen."""
+        """Return whether a holder may still own items: its lease lasts, and it has not been replaced."""
         member = self.members.get(holder)
         return member is not None and now_ms < member.until_ms and not self.is_replaced(holder)
 
     def is_replaced(self, holder: str) -> bool:
-        """Return whether a later incarnation of the same gateway was seen."""
+        """Return whether a later incarnation of the same gateway is known."""
         identity = parse_holder_name(holder)
-        return identity.incarnation < self.latest_incarnation(identity.gateway)
+        return identity.incarnation < self.latest_incarnation_of(identity.gateway)
 
     def is_stale(self, request: WorkRequest) -> bool:
-        """Return whether a later request, or a later incarnation of its gateway, was seen."""
-        if request.incarnation < self.latest_incarnation(request.gateway):
+        """Return whether a request is repeated or overtaken, or its sender has been replaced."""
+        if request.incarnation < self.latest_incarnation_of(request.gateway):
             return True
         member = self.members.get(holder_name(request.gateway, request.incarnation))
         return member is not None and request.serial <= member.serial
 
     def renew(self, request: WorkRequest, until_ms: int) -> Member:
-        """Begin or renew the lease of a request's sender, and note what it has accepted."""
+        """Begin or renew the lease of a request's sender, and clear the items that it has accepted."""
         holder = holder_name(request.gateway, request.incarnation)
         member = self.members.get(holder)
         if member is None:
@@ -74,12 +74,12 @@
             member.unacknowledged.pop(fence, None)
         return member
 
-    def lost(self, now_ms: int) -> set[str]:
-        """Return the members that may not act any more."""
+    def lost_members(self, now_ms: int) -> set[str]:
+        """Return the members whose lease has ended or that were replaced."""
         return {holder for holder in self.members if not self.is_alive(holder, now_ms)}
 
-    def taker(self, item: WorkItem, now_ms: int) -> str:
-        """Return the holder that goes on with an item, by rendezvous hashing; empty if there is none."""
+    def choose_taker(self, item: WorkItem, now_ms: int) -> str:
+        """Return the holder that takes over an item, by rendezvous hashing; empty if there is none."""
         candidates = (
             holder
             for holder, member in self.members.items()
--- a/thistletrail/leasing/work_records.py
+++ b/thistletrail/leasing/work_records.py
@@ -1,7 +1,7 @@
 """Journal records of work items: every change of the work state is one of these.
 
-The names that are stored (`name=`, `tag=`) are older than those of Python and stay as they are, so that a
-process reads the journal of the one before it. `place` is a group of servers that drop each other's repeats.
+The stored names (`name=`, `tag=`) differ from the attributes and must stay as they are, so that a process can
+read the journal of an earlier revision. `place` is a group of servers that deduplicate requests together.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 class WorkOutcome(enum.StrEnum):
     """How a work item has ended."""
 
-    SERVED = "served"  # with a value, which is kept
-    UNKNOWN = "unknown"  # it may have run, and must not run again
-    PARKED = "parked"  # its owners died of it; it is kept for people to look at
+    SERVED = "served"  # completed with a value, which is stored
+    UNKNOWN = "unknown"  # may have run, and must not run again
+    PARKED = "parked"  # given up after its owners died, and kept for an operator to inspect
 
 
 class WorkBegan(Message, frozen=True, tag="began", tag_field="work"):
-    """An item has its first owner. `end_ms` is until when its result is wanted."""
+    """An item has its first owner; its result is wanted until `end_ms`."""
 
     name: str
     digest: str
@@ -37,9 +37,9 @@
 
 
 class WorkAttempted(Message, frozen=True, tag="tried", tag_field="work"):
-    """An attempt may be sent from now on; without a server, none has run so far.
+    """An attempt may be sent from now on; an empty `server` means that none has run so far.
 
-    `earlier_never_ran` says that no attempt before it has run.
+    `earlier_never_ran` means that no earlier attempt has run.
     """
 
     name: str
@@ -51,10 +51,10 @@
 
 
 class WorkOwned(Message, frozen=True, tag="owned", tag_field="work"):
-    """An item has another owner, or none.
+    """An item has another owner, or none if `owner` is empty.
 
-    `request_id` is the request for which the owner goes on with it. `awaits_taker` says that the next
-    gateway that can take it becomes its owner.
+    `request_id` is the owner's request for the item. `awaits_taker` means that the next gateway that can take
+    the item becomes its owner.
     """
 
     name: str
@@ -67,7 +67,7 @@
 
 
 class WorkEnded(Message, frozen=True, tag="ended", tag_field="work"):
-    """An outcome is kept, with its value if there is one."""
+    """An item has ended; `value` is empty unless it was served."""
 
     name: str
     outcome: WorkOutcome = field(name="how")
@@ -76,7 +76,7 @@
 
 
 class WorkDropped(Message, frozen=True, tag="dropped", tag_field="work"):
-    """An item is forgotten."""
+    """An item is removed from the store."""
 
     name: str
 
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -1,12 +1,14 @@
 """The state machine of work leases: who owns which work item, where it may have run, and how it ended.
 
-Pure: time is passed in, in milliseconds. A gateway journals an item here before its first byte goes to a
-server. Each item has one owner at a time, an incarnation of a gateway under a fencing number that only
-rises. An owner is lost when its lease ends, or when a later incarnation of its gateway is seen. Then its
-items go to other holders under higher fencing numbers, where they are of use and cannot run once too often.
+It does no I/O and reads no clock: callers pass the time in milliseconds.
 
-Every change is a record: a method here makes and applies it, and the caller journals it before anybody is
-answered. `restore` and `finish_restore` bring the records of a journal back.
+A gateway journals an item here before it sends the item's first byte to a server. Each item has at most one
+owner at a time: an incarnation of a gateway, under a fencing number that only rises. An owner is lost when
+its lease ends, or when a later incarnation of its gateway sends a request. Its items are then transferred to
+other holders under higher fencing numbers, if their results are still wanted and another run is allowed.
+
+Every change is a record. A method here creates and applies it, and the caller journals it before any response
+is sent. `restore` and `finish_restore` rebuild the state from the records of a journal.
 """
 
 from __future__ import annotations
@@ -42,7 +44,7 @@
     WorkRecord,
 )
 from thistletrail.leasing.work_store import (
-    MAX_BYTES,
+    MAX_STORED_BYTES,
     NOWHERE,
     Location,
     WorkCounters,
@@ -50,12 +52,12 @@
     WorkStore,
 )
 
-MAX_REQUEST_BYTES = 128 << 10  # of one item: a body of 64 KiB, and its fields
-MAX_VALUE_BYTES = 128 << 10  # of one value that is kept
-MAX_NAME_LENGTH = 200  # characters
-MAX_LEFT_MS = 600_000  # for which a result may be wanted
-MAX_WINDOW_MS = 600_000  # for which servers may remember an item
-MAX_TRANSFERRED = 64  # items in one response: the loss of a gateway is no burst at the next one
+MAX_REQUEST_BYTES = 128 << 10  # one item's request: a body of 64 KiB and its fields
+MAX_VALUE_BYTES = 128 << 10  # one stored value
+MAX_NAME_CHARS = 200
+MAX_LEFT_MS = 600_000  # upper bound of `left_ms`, the time for which a result is wanted
+MAX_WINDOW_MS = 600_000  # upper bound of `window_ms`, the time for which servers remember a key
+MAX_TRANSFERRED_PER_RESPONSE = 64  # limits the burst at a gateway that takes over a lost one's items
 MAX_GATEWAYS = 1000
 
 LOST = OperationResult(status=OperationStatus.LOST)
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkDecision:
-    """The response to a request, and the records to journal before it is sent."""
+    """The response to a request, and the records to journal before the response is sent."""
 
     response: WorkResponse
     records: list[WorkRecord]
@@ -75,89 +77,89 @@
 class WorkState:
     """All work items and their owners."""
 
-    membership_type = Membership  # a model checker's planted fault is a subclass
+    membership_type = Membership  # overridden by a planted fault of the model checker
 
     def __init__(self, fence: int, lease_ms: int = WORK_LEASE_MS) -> None:
-        """Begin without items; fencing numbers are above `fence`."""
+        """Create a state without items; fencing numbers are greater than `fence`."""
         self.lease_ms = lease_ms
         self.store = WorkStore(fence)
         self.membership = self.membership_type()
         self.counters = WorkCounters()
-        self.records: list[WorkRecord] = []  # of the call that is under way
+        self.records: list[WorkRecord] = []  # records of the current call
 
     # --- records ---
 
-    def change(self, record: WorkRecord) -> None:
-        """Apply a change that was decided on, and note it for the journal."""
+    def apply_and_record(self, record: WorkRecord) -> None:
+        """Apply a record, and add it to those that the caller is to journal."""
         self.store.apply(record)
         self.records.append(record)
 
     def restore(self, record: WorkRecord) -> None:
-        """Apply a record of a journal."""
+        """Apply a record that was read from a journal."""
         self.store.apply(record)
 
     def finish_restore(self, now_ms: int) -> None:
-        """All records are back: an owner may have been there up to now, so its lease begins now."""
+        """Start a new lease for each owner, as it may have been alive until now; called after all records."""
         for item in self.store.items.values():
             if item.owner and item.owner not in self.membership.members:
                 self.membership.members[item.owner] = Member(now_ms + self.lease_ms)
                 identity = parse_holder_name(item.owner)
-                self.membership.see(identity.gateway, identity.incarnation)
+                self.membership.record_incarnation(identity.gateway, identity.incarnation)
 
-    def undo(self, records: Iterable[WorkRecord]) -> list[WorkRecord]:
-        """Take back what records began that could not be journaled; return the others.
+    def revert_unjournaled(self, records: Iterable[WorkRecord]) -> list[WorkRecord]:
+        """Remove the items that unjournaled records began; return the other records, to be journaled later.
 
-        Nobody was answered: what was begun was never begun, as its gateway goes on without a lease. The other
-        records stay and are to be journaled later: they are true, or forbid more than they must.
+        No response was sent, so the gateways of these items continue without a work lease. The other records
+        remain applied: they are true, or at worst forbid more than necessary.
         """
         remaining = []
-        undone: set[str] = set()
+        removed: set[str] = set()
         for record in records:
             if isinstance(record, WorkBegan) and (item := self.store.items.get(record.name)):
-                undone.add(record.name)
+                removed.add(record.name)
                 self.store.remove(item)
-            elif record.name not in undone:
+            elif record.name not in removed:
                 remaining.append(record)
         return remaining
 
     # --- lost owners ---
 
     def transfer_lost_items(self, now_ms: int) -> list[WorkRecord]:
-        """Transfer items that have lost their owner, forget those that are of no use; return the records."""
+        """Transfer items whose owner is lost, drop items that have ended; return the records to journal."""
         self.records = []
-        self.find_lost(now_ms)
+        self.transfer_and_drop_items(now_ms)
         return self.records
 
-    def find_lost(self, now_ms: int) -> None:
-        """Look at every item for a lost owner, or for one that it waits for."""
+    def transfer_and_drop_items(self, now_ms: int) -> None:
+        """Drop items past their retention, and transfer those with a lost owner or a new taker."""
         members = self.membership.members
-        lost = self.membership.lost(now_ms)
+        lost = self.membership.lost_members(now_ms)
         for item in list(self.store.items.values()):
-            # An item is never forgotten before its end: most are done with at the first comparison.
-            if now_ms >= item.end_ms and now_ms >= item.forget_ms:
-                self.change(WorkDropped(name=item.name))
+            # No item is dropped before its end, so for most the first comparison decides.
+            if now_ms >= item.end_ms and now_ms >= item.retain_until_ms:
+                self.apply_and_record(WorkDropped(name=item.name))
             elif item.owner and (item.owner in lost or item.owner not in members):
-                self.transfer(item, item.deaths + self.has_died_of(item), now_ms)
-            elif item.awaits_taker and not self.must_wait(item, now_ms):
+                self.transfer(item, item.deaths + self.owner_had_accepted(item), now_ms)
+            elif item.awaits_taker and not self.must_wait_for_taker(item, now_ms):
                 self.transfer(item, item.deaths, now_ms)
         for holder in lost:
             del members[holder]
 
-    def has_died_of(self, item: WorkItem) -> bool:
-        """Return whether its lost owner had the item: one that was never accepted has not killed it."""
+    def owner_had_accepted(self, item: WorkItem) -> bool:
+        """Return whether the lost owner had accepted the item, so that its death counts against the item."""
         member = self.membership.members.get(item.owner)
         return member is None or item.fence not in member.unacknowledged
 
-    def must_wait(self, item: WorkItem, now_ms: int) -> bool:
-        """Return whether an item is wanted, and there is still nobody to take it."""
-        return item.is_wanted(now_ms) and not self.membership.taker(item, now_ms)
+    def must_wait_for_taker(self, item: WorkItem, now_ms: int) -> bool:
+        """Return whether an item is still wanted, and no holder can take it."""
+        return item.is_wanted(now_ms) and not self.membership.choose_taker(item, now_ms)
 
     def transfer(self, item: WorkItem, deaths: int, now_ms: int) -> None:
-        """Give an item that nobody owns any more to another holder if that is of use, or end it."""
+        """Transfer an item that has lost its owner if it is still wanted; else record its outcome, if any."""
         outcome = item.outcome_after(deaths)
         wanted = outcome is None and item.is_wanted(now_ms)
-        taker = self.membership.taker(item, now_ms) if wanted else ""
-        self.change(
+        taker = self.membership.choose_taker(item, now_ms) if wanted else ""
+        self.apply_and_record(
             WorkOwned(
                 name=item.name,
                 owner=taker,
@@ -174,16 +176,16 @@
             self.end(item, outcome, now_ms)
 
     def end(self, item: WorkItem, outcome: WorkOutcome, now_ms: int, value: bytes = b"") -> None:
-        """Keep the outcome of an item."""
-        self.change(WorkEnded(name=item.name, outcome=outcome, at_ms=now_ms, value=value))
+        """Record the outcome of an item."""
+        self.apply_and_record(WorkEnded(name=item.name, outcome=outcome, at_ms=now_ms, value=value))
         self.counters.ended[outcome] += 1
 
     # --- requests ---
 
     def handle(self, request: WorkRequest, now_ms: int) -> WorkDecision:
-        """Renew a holder's lease, and carry its operations out.
+        """Renew a holder's lease, and carry out its operations.
 
-        A request that was overtaken, or comes from an incarnation that was replaced, changes nothing.
+        A repeated or overtaken request, or one from a replaced incarnation, changes nothing.
 
         Raises:
             RequestRejectedError: The gateway's number is out of range.
@@ -193,26 +195,26 @@
             raise RequestRejectedError(f"gateways are numbered from 0 to {MAX_GATEWAYS - 1}")
         if self.membership.is_stale(request):
             return WorkDecision(self.response(request, [LOST for _ in request.operations]), [])
-        if request.incarnation > self.membership.latest_incarnation(request.gateway):
-            self.membership.see(request.gateway, request.incarnation)
-            self.find_lost(now_ms)  # an incarnation before it is lost with this
+        if request.incarnation > self.membership.latest_incarnation_of(request.gateway):
+            self.membership.record_incarnation(request.gateway, request.incarnation)
+            self.transfer_and_drop_items(now_ms)  # the items of its earlier incarnation
         member = self.membership.renew(request, now_ms + self.lease_ms)
         holder = holder_name(request.gateway, request.incarnation)
         results = [
             self.apply_operation(holder, operation, now_ms)
             for operation in request.operations[:MAX_OPERATIONS]
         ]
-        response = self.response(request, results, self.transferred_to(member, now_ms))
+        response = self.response(request, results, self.unaccepted_transfers(member, now_ms))
         return WorkDecision(response, self.records)
 
-    def transferred_to(self, member: Member, now_ms: int) -> list[TransferredWork]:
-        """Return the items that a holder has been given and has not accepted yet, as many as go at a time."""
-        found = []
-        for fence, name in list(member.unacknowledged.items())[:MAX_TRANSFERRED]:
+    def unaccepted_transfers(self, member: Member, now_ms: int) -> list[TransferredWork]:
+        """Return transferred items that a holder has not accepted yet, up to the limit of one response."""
+        unaccepted = []
+        for fence, name in list(member.unacknowledged.items())[:MAX_TRANSFERRED_PER_RESPONSE]:
             item = self.store.items.get(name)
             if item is not None and item.fence == fence:
-                found.append(item.transferred(now_ms))
-        return found
+                unaccepted.append(item.transferred(now_ms))
+        return unaccepted
 
     def response(
         self,
@@ -220,7 +222,7 @@
         results: list[OperationResult],
         transferred: Iterable[TransferredWork] = (),
     ) -> WorkResponse:
-        """Return the response to a request."""
+        """Return the response to a request, with these results and transferred items."""
         return WorkResponse(
             gateway=request.gateway,
             incarnation=request.incarnation,
@@ -233,7 +235,7 @@
     # --- operations ---
 
     def apply_operation(self, holder: str, operation: WorkOperation, now_ms: int) -> OperationResult:
-        """Carry one operation of a holder's out."""
+        """Carry out one operation of a holder."""
         if isinstance(operation, BeginWork):
             return self.begin(holder, operation, now_ms)
         item = self.store.items.get(operation.name)
@@ -241,7 +243,7 @@
             return LOST
         persisted = OperationResult(status=OperationStatus.PERSISTED, fence=operation.fence)
         if isinstance(operation, CompleteWork) and item.was_completed:
-            return persisted  # the response was lost
+            return persisted  # repeated, as the response was lost
         if item.owner != holder:
             return LOST
         if isinstance(operation, CompleteWork):
@@ -253,10 +255,10 @@
         return persisted
 
     def complete(self, item: WorkItem, operation: CompleteWork, now_ms: int) -> None:
-        """Keep the value of an item; its outcome is unknown where the value does not fit."""
+        """Store the value of an item; if it does not fit, the outcome is recorded as unknown."""
         size = len(operation.value)
         self.make_room(size)
-        if size <= MAX_VALUE_BYTES and self.store.total_bytes + size <= MAX_BYTES:
+        if size <= MAX_VALUE_BYTES and self.store.total_bytes + size <= MAX_STORED_BYTES:
             self.end(item, WorkOutcome.SERVED, now_ms, operation.value)
         else:
             self.end(item, WorkOutcome.UNKNOWN, now_ms)
@@ -268,8 +270,8 @@
         number: int = 0,
         earlier_never_ran: bool = False,
     ) -> None:
-        """Note that an item may run from now on where an operation sends it."""
-        self.change(
+        """Record that an item may run at an operation's server from now on."""
+        self.apply_and_record(
             WorkAttempted(
                 name=operation.name,
                 server=operation.server,
@@ -281,24 +283,24 @@
         )
 
     def release(self, holder: str, item: WorkItem, operation: ReleaseWork, now_ms: int) -> None:
-        """Take an item from its owner.
+        """Release an item from its owner.
 
-        It goes to another holder; or it stays without an owner, for whoever requests it again, as it may have
-        run; or it is forgotten, as it never ran.
+        With `transfer` it goes to another holder. Otherwise an item that never ran is dropped, and one that
+        may have run stays without an owner until a gateway requests it again.
         """
         if operation.transfer:
             item.declined_by |= {holder}
             if operation.never_ran:
-                self.change(
+                self.apply_and_record(
                     WorkAttempted(
                         name=operation.name, server="", place="", at_ms=now_ms, earlier_never_ran=True
                     )
                 )
             self.transfer(item, item.deaths, now_ms)
         elif operation.never_ran:
-            self.change(WorkDropped(name=item.name))
+            self.apply_and_record(WorkDropped(name=item.name))
         else:
-            self.change(
+            self.apply_and_record(
                 WorkOwned(
                     name=item.name,
                     owner="",
@@ -309,9 +311,10 @@
             )
 
     def begin(self, holder: str, operation: BeginWork, now_ms: int) -> OperationResult:
-        """Begin an item, unless there is one by that name.
+        """Begin an item, unless there already is one by that name.
 
-        Then its sender goes on with what nobody owns, gets the value that is kept, or waits for the owner.
+        For an existing item the result is its stored outcome if it has ended, or that another gateway owns
+        it; an item without an owner is given to the holder if it may run again.
         """
         item = self.store.items.get(operation.name)
         if item is None:
@@ -322,9 +325,10 @@
             return self.ended_result(item)
         end_ms = max(item.end_ms, now_ms + min(operation.left_ms, MAX_LEFT_MS))
         if item.owner:
-            if (item.owner, item.request_id) == (holder, operation.request_id):  # the response was lost
+            # The same request again: its response was lost.
+            if (item.owner, item.request_id) == (holder, operation.request_id):
                 return self.owned_result(item, item.run_before_owner, now_ms)
-            item.end_ms = end_ms  # whoever goes on with it has that much more time
+            item.end_ms = end_ms  # the repeated request extends the time for any later owner
             return ELSEWHERE
         return self.take_over(holder, item, operation, end_ms, now_ms)
 
@@ -337,11 +341,11 @@
     def take_over(
         self, holder: str, item: WorkItem, operation: BeginWork, end_ms: int, now_ms: int
     ) -> OperationResult:
-        """Give an item that nobody owns to the holder that has requested it again, if it may run again."""
+        """Give an item without an owner to the holder that requests it again, if it may run again."""
         if not item.may_run_again(now_ms):
             return FAILED
         ran_at = item.last_run
-        self.change(
+        self.apply_and_record(
             WorkOwned(
                 name=operation.name,
                 owner=holder,
@@ -356,7 +360,7 @@
         return self.owned_result(item, ran_at, now_ms)
 
     def owned_result(self, item: WorkItem, ran_at: Location, now_ms: int) -> OperationResult:
-        """Return that the item is the sender's, with where it may have run before."""
+        """Return the result for the item's owner, with the location where the item may have run before."""
         return OperationResult(
             status=OperationStatus.PERSISTED,
             fence=item.fence,
@@ -366,14 +370,14 @@
         )
 
     def begin_new(self, holder: str, operation: BeginWork, now_ms: int) -> OperationResult:
-        """Keep a new item if there is room."""
+        """Store a new item if there is room."""
         size = len(operation.request)
-        fits = size <= MAX_REQUEST_BYTES and len(operation.name) <= MAX_NAME_LENGTH
+        fits = size <= MAX_REQUEST_BYTES and len(operation.name) <= MAX_NAME_CHARS
         has_room = self.make_room(size)
         if not (fits and has_room and self.store.customer_has_room(operation.customer)):
             self.counters.rejected_full += 1
             return OperationResult(status=OperationStatus.FULL)
-        self.change(
+        self.apply_and_record(
             WorkBegan(
                 name=operation.name,
                 digest=operation.digest,
@@ -392,15 +396,16 @@
         return self.owned_result(self.store.items[operation.name], NOWHERE, now_ms)
 
     def make_room(self, size: int) -> bool:
-        """Forget the oldest outcomes where all room is taken: items under way are worth more.
+        """Evict the oldest ended items until another item of `size` bytes fits; unfinished items are kept.
 
-        Return whether another item of that size fits.
+        Returns:
+            Whether it fits.
         """
         if self.store.has_room(size):
             return True
         for item in self.store.ended_items():
             if self.store.has_room(size):
                 return True
-            self.change(WorkDropped(name=item.name))
+            self.apply_and_record(WorkDropped(name=item.name))
             self.counters.evicted += 1
         return self.store.has_room(size)
--- a/thistletrail/leasing/work_store.py
+++ b/thistletrail/leasing/work_store.py
@@ -1,4 +1,4 @@
-"""All work items, their bounds, and how journal records change them."""
+"""The store of work items: its bounds, and how journal records change it."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     WorkRecord,
 )
 
-MAX_ITEMS = 20_000  # over the fleet: 100 for each of 200 gateways, whose own bound on requests is higher
-MAX_BYTES = 64 << 20  # of requests and kept values: a third of the memory of a gateway's machine
-MAX_ITEMS_OF_CUSTOMER = 400  # no plan has so many in flight within a window
-MAX_DEATHS = 2  # of owners while they had an item: the third would die of it too
-MAX_PARKED = 100  # items kept for people to look at
+MAX_ITEMS = 20_000  # in the fleet: 100 for each of 200 gateways, whose own request limit is higher
+MAX_STORED_BYTES = 64 << 20  # requests and values: a third of the memory of a gateway's machine
+MAX_ITEMS_PER_CUSTOMER = 400  # more than any plan has in flight within an idempotency window
+MAX_OWNER_DEATHS = 2  # an item whose owners died this often is parked, as it may have caused the deaths
+MAX_PARKED = 100  # items kept for an operator to inspect
 
 
 class Location(Struct, frozen=True):
-    """Where an attempt went: a server, and the group of servers that drop each other's repeats."""
+    """Where an attempt was sent: the server, and the group of servers that deduplicate together."""
 
     server: str
     place: str
@@ -40,26 +40,26 @@
     """One work item.
 
     Attributes:
-        name: Identifies it over the whole fleet.
-        digest: Of what is requested under that name.
-        customer: Whose bound on items it counts against.
+        name: Identifies the item in the fleet.
+        digest: Digest of the request that the name stands for.
+        customer: The customer whose limit on items it counts against.
         effect: How often it may run.
         end_ms: Until when its result is wanted.
-        window_ms: For how long servers remember a keyed item.
-        request: What an owner needs to go on with it; opaque here.
-        owner: The holder that owns it; empty while nobody does.
+        window_ms: How long servers remember a keyed item.
+        request: What an owner needs to continue it; opaque to the lease service.
+        owner: The holder that owns it; empty if none does.
         fence: The fencing number of its owner.
-        request_id: The request for which its owner goes on with it.
-        last_run: The last attempt that may have run; `NOWHERE` if none has.
-        run_before_owner: The same as of when its owner got it.
+        request_id: The owner's request for the item.
+        last_run: Location of the last attempt that may have run; `NOWHERE` if none has.
+        run_before_owner: The value of `last_run` when the owner got the item.
         first_run_ms: When the first attempt that may have run was made.
-        attempt_number: Of the owner's last attempt under its fence.
-        deaths: How many owners have died while they had it.
+        attempt_number: Number of the owner's last attempt under its fence.
+        deaths: How many owners have died while they owned it.
         awaits_taker: Whether the next gateway that can take it becomes its owner.
-        outcome: How it has ended; None while it has not.
-        value: The value of an item that has ended well.
-        ended_ms: When it ended; 0 while it has not.
-        declined_by: The holders to which it was transferred and that gave it up.
+        outcome: How it has ended; None before.
+        value: The value of an item that was served.
+        ended_ms: When it ended; 0 before.
+        declined_by: The holders that released it for transfer.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
     @classmethod
     def from_record(cls, record: WorkBegan) -> WorkItem:
-        """Return a new item as its first record has it."""
+        """Return a new item with the fields of its first record."""
         return cls(
             record.name,
             record.digest,
@@ -101,42 +101,42 @@
 
     @property
     def size(self) -> int:
-        """Bytes that count against the bound."""
+        """Bytes that count against `MAX_STORED_BYTES`."""
         return len(self.request) + len(self.value) + len(self.name)
 
     @property
-    def forget_ms(self) -> int:
-        """When nobody can make use of it any more."""
+    def retain_until_ms(self) -> int:
+        """When the item may be dropped: its result is not wanted, and servers no longer remember it."""
         return max(self.end_ms, (self.ended_ms or self.first_run_ms) + self.window_ms)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt of it may have run."""
+        """Whether an attempt may have run."""
         return bool(self.last_run.server)
 
     @property
     def workable_until_ms(self) -> int:
-        """Until when it may be worked on: what has run may run again only while its servers remember it."""
+        """Until when the item may be attempted; a keyed item that ran, only while its servers remember it."""
         if self.last_run.server and self.effect is WorkEffect.KEYED:
             return min(self.end_ms, self.first_run_ms + self.window_ms)
         return self.end_ms
 
     def may_run_again(self, now_ms: int) -> bool:
-        """Return whether another attempt could not be one too many."""
+        """Return whether another attempt is allowed by the item's effect."""
         if not self.may_have_run or self.effect is WorkEffect.SAFE:
             return True
         return self.effect is WorkEffect.KEYED and now_ms < self.first_run_ms + self.window_ms
 
     def is_wanted(self, now_ms: int) -> bool:
-        """Return whether going on with the item is of use to anybody.
+        """Return whether the item should be continued by another holder.
 
-        That of a safe item is to nobody: its name is of one request, which nobody sends again.
+        A safe item is not: its name belongs to a single request, so no client asks for its result again.
         """
         return now_ms < self.end_ms and self.may_run_again(now_ms) and self.effect is not WorkEffect.SAFE
 
     def outcome_after(self, deaths: int) -> WorkOutcome | None:
-        """Return its outcome if no other holder may go on with it after so many deaths; None if one may."""
-        if deaths >= MAX_DEATHS:
+        """Return the final outcome after `deaths` owners died; None if another holder may continue."""
+        if deaths >= MAX_OWNER_DEATHS:
             return WorkOutcome.PARKED
         if self.effect is WorkEffect.UNSAFE and self.may_have_run:
             return WorkOutcome.UNKNOWN
@@ -144,7 +144,7 @@
 
     @property
     def was_completed(self) -> bool:
-        """Whether an owner has ended it."""
+        """Whether it has ended as served or unknown, rather than parked."""
         return not self.owner and self.outcome in (WorkOutcome.SERVED, WorkOutcome.UNKNOWN)
 
     def transferred(self, now_ms: int) -> TransferredWork:
@@ -159,7 +159,7 @@
         )
 
     def attempted_record(self, location: Location, number: int, earlier_never_ran: bool) -> WorkAttempted:
-        """Return the record of an attempt at the time of the first one."""
+        """Return the record of an attempt, dated with the time of the first one."""
         return WorkAttempted(
             name=self.name,
             server=location.server,
@@ -170,7 +170,7 @@
         )
 
     def records(self) -> Iterator[WorkRecord]:
-        """Yield records that bring the item back as it is."""
+        """Yield the records that restore the item to its present state."""
         yield WorkBegan(
             name=self.name,
             digest=self.digest,
@@ -201,7 +201,7 @@
 
 @dataclass(slots=True)
 class WorkCounters:
-    """How often something happened since this process began."""
+    """Counts of events since this process began."""
 
     begun: int = 0
     rejected_full: int = 0
@@ -211,23 +211,23 @@
 
 
 class WorkStore:
-    """Work items by name, with what counts against the bounds, and the highest fencing number."""
+    """Work items by name, their totals for the limits, and the highest fencing number."""
 
     def __init__(self, fence: int) -> None:
-        """Begin without items; fencing numbers are above `fence`."""
+        """Create an empty store; fencing numbers are greater than `fence`."""
         self.fence = fence
         self.items: dict[str, WorkItem] = {}
         self.total_bytes = 0
-        self.items_of_customer: dict[str, int] = {}
+        self.item_count_by_customer: dict[str, int] = {}
         self.parked: list[WorkItem] = []
 
     def has_room(self, size: int) -> bool:
-        """Return whether another item with so many bytes fits."""
-        return self.total_bytes + size <= MAX_BYTES and len(self.items) < MAX_ITEMS
+        """Return whether another item of `size` bytes fits."""
+        return self.total_bytes + size <= MAX_STORED_BYTES and len(self.items) < MAX_ITEMS
 
     def customer_has_room(self, customer: str) -> bool:
         """Return whether the customer may have another item."""
-        return self.items_of_customer.get(customer, 0) < MAX_ITEMS_OF_CUSTOMER
+        return self.item_count_by_customer.get(customer, 0) < MAX_ITEMS_PER_CUSTOMER
 
     def ended_items(self) -> list[WorkItem]:
         """Return the items that have ended, the oldest outcome first."""
@@ -235,12 +235,12 @@
         return sorted(ended, key=lambda item: item.ended_ms)
 
     def records(self) -> Iterator[WorkRecord]:
-        """Yield records that bring all items back: what a snapshot holds."""
+        """Yield the records that restore all items, for a snapshot."""
         for item in self.items.values():
             yield from item.records()
 
     def apply(self, record: WorkRecord) -> None:
-        """Make a change that a record says, new or read from a journal; one of no known item says nothing."""
+        """Apply a new record or one of a journal; a record of an unknown item has no effect."""
         if isinstance(record, WorkBegan):
             self.add(WorkItem.from_record(record))
             self.fence = max(self.fence, record.fence)
@@ -258,7 +258,7 @@
             self.remove(item)
 
     def apply_attempted(self, item: WorkItem, record: WorkAttempted) -> None:
-        """Note where the item may run from now on."""
+        """Set the location where the item may run from now on."""
         is_first_run = record.earlier_never_ran or not item.last_run.server
         if is_first_run and not item.run_before_owner.server:
             item.first_run_ms = record.at_ms
@@ -266,7 +266,7 @@
         item.attempt_number = record.number
 
     def apply_owned(self, item: WorkItem, record: WorkOwned) -> None:
-        """Give the item to another owner, or to none."""
+        """Set the item's owner; empty for none."""
         item.owner = record.owner
         item.fence = record.fence
         item.end_ms = record.end_ms
@@ -278,7 +278,7 @@
         self.fence = max(self.fence, record.fence)
 
     def apply_ended(self, item: WorkItem, record: WorkEnded) -> None:
-        """Keep the outcome of the item; nobody owns it any more."""
+        """Set the item's outcome and value, and clear its owner."""
         self.total_bytes += len(record.value) - len(item.value)
         item.outcome = record.outcome
         item.value = record.value
@@ -288,15 +288,15 @@
             self.parked = [*self.parked[1 - MAX_PARKED :], item]
 
     def add(self, item: WorkItem) -> None:
-        """Add an item, and count it."""
+        """Add an item to the store and its totals."""
         self.items[item.name] = item
         self.total_bytes += item.size
-        self.items_of_customer[item.customer] = self.items_of_customer.get(item.customer, 0) + 1
+        self.item_count_by_customer[item.customer] = self.item_count_by_customer.get(item.customer, 0) + 1
 
     def remove(self, item: WorkItem) -> None:
-        """Forget an item, and count it no more."""
+        """Remove an item from the store and its totals."""
         del self.items[item.name]
         self.total_bytes -= item.size
-        self.items_of_customer[item.customer] -= 1
-        if not self.items_of_customer[item.customer]:
-            del self.items_of_customer[item.customer]
+        self.item_count_by_customer[item.customer] -= 1
+        if not self.item_count_by_customer[item.customer]:
+            del self.item_count_by_customer[item.customer]
