--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -239,7 +239,7 @@
         first = sender.send()
         sender.send()
         sender.send()
-        assert await sender.result() is AttemptResult.NOT_SENT  # which does not count against the server
+        assert await sender.result() is AttemptResult.NOT_SENT  # it does not count against the server
         assert sender.backends.connection_count() == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
