--- a/tests/test_registry_http_service.py
+++ b/tests/test_registry_http_service.py
@@ -80,7 +80,7 @@
 def test_the_endpoint_list_and_a_watch_are_as_discovery_gives_them(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_service, "EMPTY_LINE_S", 0.05)
+    monkeypatch.setattr(http_service, "EMPTY_LINE_INTERVAL_S", 0.05)
 
     async def scenario(client: Client) -> None:
         first = await client.put("s-1", 6001, cell=3, weight=2, started_ms=7)
@@ -322,8 +322,8 @@
 def test_a_registry_that_began_empty_answers_no_reads_until_it_may_be_filled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    now = http_service.now_ms()
-    monkeypatch.setattr(http_service, "now_ms", lambda: now)
+    now = http_service.monotonic_ms()
+    monkeypatch.setattr(http_service, "monotonic_ms", lambda: now)
     service = RegistryService(tmp_path, 5.0)
     with pytest.raises(UnavailableError, match=r"answers reads in 5\.0 s"):
         service.require_available()
--- a/thistletrail/__init__.py
+++ b/thistletrail/__init__.py
@@ -1,1 +1,1 @@
-"""A quota-keeping gateway for a fleet of scan servers, its services, and the tools that test them."""
+"""A gateway that enforces quotas for a fleet of scan servers, its services, and their test tools."""
--- a/thistletrail/command_line.py
+++ b/thistletrail/command_line.py
@@ -1,4 +1,4 @@
-"""What command lines have in common: one plain line for bad input, and exit codes."""
+"""Behaviour that the command lines share: one-line error messages, exit codes and signals."""
 
 from __future__ import annotations
 
@@ -9,17 +9,25 @@
 
 import click
 
-BAD_INPUT, STOPPED = 2, 130  # exit codes; 1 is a fault's
+# Exit codes; Python itself exits with 1 on an unhandled exception.
+EXIT_BAD_INPUT = 2
+EXIT_INTERRUPTED = 130
+
 HELP = {"help_option_names": ["-h", "--help"]}
+"""Context settings of click that add `-h` to `--help`."""
 
 
 class Group(click.Group):
-    """Bad input is one plain line and exit code 2; Ctrl-C says so and leaves no process."""
+    """A command group with one-line error messages and no traceback for bad input and Ctrl-C.
+
+    Bad input exits with code 2. Ctrl-C prints `stopped`, exits with code 130 and leaves no child process.
+    """
 
-    errors: ClassVar[tuple[type[Exception], ...]] = ()  # whose text is one plain line
+    errors: ClassVar[tuple[type[Exception], ...]] = ()
+    """Exceptions that are printed as one line, as bad input is, without a traceback."""
 
     def main(self, *args: object, **kwargs: object) -> object:  # type: ignore[override]
-        """Run the command that the arguments name, and end with its exit code."""
+        """Run the command that the arguments name; an error ends the process with its exit code."""
         try:
             return super().main(*args, **{**kwargs, "standalone_mode": False})
         except click.ClickException as error:
@@ -28,14 +36,15 @@
             click.echo(f"{self.name}: {error}", err=True)
         except (click.Abort, KeyboardInterrupt):
             click.echo(f"{self.name}: stopped", err=True)
-            sys.exit(STOPPED)
+            sys.exit(EXIT_INTERRUPTED)
         except BrokenPipeError:
-            os.dup2(os.open(os.devnull, os.O_WRONLY), 1)  # its reader has gone: nothing is left to say
+            # The reader of standard output has closed it; the null device takes what Python flushes at exit.
+            os.dup2(os.open(os.devnull, os.O_WRONLY), 1)
             sys.exit(0)
-        sys.exit(BAD_INPUT)
+        sys.exit(EXIT_BAD_INPUT)
 
 
 def end_on_signals() -> None:
-    """SIGINT and SIGTERM end the command, also where whoever started it had SIGINT ignored."""
-    for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, signal.default_int_handler)
+    """Make SIGINT and SIGTERM raise `KeyboardInterrupt`, even if the parent process had SIGINT ignored."""
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        signal.signal(signal_number, signal.default_int_handler)
--- a/thistletrail/process_lifetime.py
+++ b/thistletrail/process_lifetime.py
@@ -1,18 +1,19 @@
-"""How long a child process lives: no longer than its parent, however that one ends."""
+"""Ends a child process when its parent process ends, for whatever reason."""
 
 import ctypes
 import os
 import signal
 
-PR_SET_PDEATHSIG = 1  # the option of prctl(2) by which the kernel signals a process whose parent has ended
+PR_SET_PDEATHSIG = 1
+"""Option of prctl(2): the kernel sends a signal to the calling process when its parent ends."""
 
 
-def die_with_parent(parent: int) -> None:
+def die_with_parent(parent_pid: int) -> None:
     """Have the kernel kill this process when its parent ends, even by SIGKILL (Linux only).
 
-    Called in a child before it runs its program, with the process id of its parent. A parent that has ended
-    before the kernel was asked is not told of any more: then the child ends here.
+    A child calls it with the process id of its parent, before it runs its program. The kernel sends no signal
+    for a parent that ended before the call to prctl, so the child kills itself in that case.
     """
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    if os.getppid() != parent:
+    if os.getppid() != parent_pid:
         os.kill(os.getpid(), signal.SIGKILL)
--- a/thistletrail/registry/__init__.py
+++ b/thistletrail/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Service registry: instances, leases, generations, watches, read replicas and the client that registers."""
+"""Service registry: instances, leases, generations, watches, read replicas and the registration client."""
--- a/thistletrail/registry/__main__.py
+++ b/thistletrail/registry/__main__.py
@@ -1,6 +1,6 @@
-"""Command line of the registry, a primary or a read replica.
+"""Command line of the registry.
 
-`python -m thistletrail.registry --data DIRECTORY`, or `--follow HOST:PORT`.
+`python -m thistletrail.registry --data DIRECTORY` runs a primary, `--follow HOST:PORT` a read replica.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 from thistletrail.write_ahead_log.record_file import CorruptFileError
 
 SHUTDOWN_TIMEOUT_S = 3.0
-"""For responses that are being sent when the process is to end."""
+"""Time limit for responses in progress when the process shuts down."""
 
 MAX_HEADER_BYTES = 8190
-"""Of the request line, and of one header field."""
+"""Maximum length of the request line and of each header field."""
 
 DEFAULT_FILL_S = 5.0
-"""Above a third of the usual lease: by then scan servers have renewed and found that they must register."""
+"""Longer than the renewal interval, a third of the default lease: by then scan servers have tried to renew
+and learned that they must register again."""
 
 MAX_FILL_S = 600
-"""The longest lease, in seconds."""
+"""The longest lease that an instance can have, in seconds."""
 
 MAX_PORT = 65_535
 
@@ -39,7 +40,7 @@
 
 
 async def serve(create_service: ServiceFactory, host: str, port: int) -> None:
-    """Serve until SIGTERM or SIGINT; then watches end, and everything is synced to disk."""
+    """Serve until SIGTERM or SIGINT, then end all watches and sync the state to disk."""
     runner = web.AppRunner(
         create_service().app,
         access_log=None,
@@ -61,7 +62,7 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Split HOST:PORT; raises `click.BadParameter` if it is not that."""
+    """Return host and port of HOST:PORT; raises `click.BadParameter` for another text."""
     host, separator, port = address.rpartition(":")
     if not separator or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise click.BadParameter(f"'{address}' is not HOST:PORT")
@@ -69,7 +70,10 @@
 
 
 def service_factory(data: Path | None, follow: str | None, fill_s: float) -> ServiceFactory:
-    """Choose the service by the options; raises `click.UsageError` unless exactly one is given."""
+    """Return a factory of the primary in directory `data`, or of a follower of `follow` (HOST:PORT).
+
+    Raises `click.UsageError` unless exactly one of the two is given.
+    """
     if data is not None and follow is None:
         return lambda: RegistryService(data, fill_s)
     if follow is not None and data is None:
@@ -109,11 +113,11 @@
     except CorruptFileError as error:
         sys.exit(f"registry: {error}")
     except OSError as error:
-        sys.exit(f"registry: {data or follow} or {listen}: {error.strerror}")
+        sys.exit(f"registry: cannot use {data or follow} or listen at {listen}: {error.strerror}")
 
 
 def run() -> None:
-    """Run the command; a wrong option is one plain line on standard error and exit code 2."""
+    """Run the command; an invalid option prints one line to standard error and exits with code 2."""
     with contextlib.suppress(KeyboardInterrupt, click.Abort):
         try:
             main(prog_name="python -m thistletrail.registry", standalone_mode=False)
--- a/thistletrail/registry/errors.py
+++ b/thistletrail/registry/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the registry, by what a caller can do about them."""
+"""Errors of the registry, grouped by how a caller can respond to them."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class RejectedError(RegistryError):
-    """An input is invalid or not acceptable now; nothing has changed, and the same input fails again.
+    """A request is invalid or cannot be accepted now; it changed nothing, and a repetition fails again.
 
-    The message is one sentence for the sender.
+    The message is one sentence and is sent to the client.
     """
 
 
 class ConflictError(RejectedError):
-    """An update went by an older generation than the instance has; read it again and decide anew."""
+    """An update named an outdated generation of the instance; read the instance and decide again."""
 
 
 class UnknownInstanceError(RejectedError):
-    """There is no such instance; register it."""
+    """No instance is registered under this id; register it."""
 
 
 class StorageError(RejectedError):
@@ -27,7 +27,7 @@
 
 
 class UnavailableError(RegistryError):
-    """There is no endpoint list to answer with yet; retry after `retry_after_s` seconds, if that is known."""
+    """There is no endpoint list to serve yet; retry after `retry_after_s` seconds, None if unknown."""
 
     def __init__(self, message: str, retry_after_s: float | None = None) -> None:
         super().__init__(message)
@@ -35,16 +35,16 @@
 
 
 class MalformedResponseError(RegistryError):
-    """Another registry answered with something that cannot be used; a later attempt may succeed."""
+    """Another registry sent an invalid response; a later attempt may succeed."""
 
 
 class RegistrationError(RegistryError):
-    """A registration call failed. The message is one sentence, the registry's own where it sent one."""
+    """A request of a registration failed. The message is the error text of the registry if it sent one."""
 
 
 class RegistrationRejectedError(RegistrationError):
-    """The registry rejected the call; the same call fails again."""
+    """The registry rejected the request; a repetition fails again."""
 
 
 class RegistryUnreachableError(RegistrationError):
-    """No usable answer within the allowed attempts; the call may be repeated later."""
+    """No usable response within the allowed attempts; the request may be repeated later."""
--- a/thistletrail/registry/follower.py
+++ b/thistletrail/registry/follower.py
@@ -1,7 +1,7 @@
-"""A read replica: the same endpoint list under the same generations, from a watch of another registry.
+"""A read replica: serves the endpoint list of another registry, which it watches, with the same generations.
 
-It serves what it received last for as long as the source is unreachable, and says how old that may be. A
-follower can follow another follower. What it stores is bounded like the primary's instances and history.
+While the source is unreachable, the follower serves the list that it received last, and reports its age. A
+follower can follow another follower. Its instances and its history have the same bounds as the primary's.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     ReadService,
     background_task,
     json_error,
-    now_ms,
+    monotonic_ms,
 )
 from thistletrail.registry.instance import Instance, Lifecycle
 from thistletrail.registry.limits import MAX_HISTORY, NO_GENERATION
@@ -36,21 +36,21 @@
 CONNECT_TIMEOUT_S = 1.0
 
 READ_TIMEOUT_S = 5.0
-"""An empty line comes every 2 s, so a watch without one for so long is dead."""
+"""A source sends an empty line every 2 s, so a watch without any data for this long is dead."""
 
 BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
-"""Bounds of the delay between attempts, drawn with full jitter."""
+"""Base and maximum of the backoff between attempts, which has full jitter."""
 
 MAX_RETRY_AFTER_S = 30.0
-"""Longest delay taken from `Retry-After`: as long as the source retains expired leases."""
+"""Maximum delay accepted from `Retry-After`: the time for which the source retains expired leases."""
 
 MAX_LINE_BYTES = 4 << 20
-"""Of the complete endpoint list with `MAX_INSTANCES`."""
+"""Maximum length of a line: that of the complete endpoint list with `MAX_INSTANCES`."""
 
 
 class RetryLaterError(RegistryError):
-    """The source has no endpoint list yet; retry after `retry_after_s` seconds."""
+    """The source has no endpoint list yet; a retry can succeed after `retry_after_s` seconds."""
 
     def __init__(self, retry_after_s: float) -> None:
         super().__init__(f"the source has no endpoint list for another {retry_after_s:g} s")
@@ -58,7 +58,7 @@
 
 
 class Replica:
-    """The endpoint list that the updates of a source make together, and the history of these updates."""
+    """The endpoint list built from the updates of a source, and the history of these updates."""
 
     def __init__(self) -> None:
         self.generation = NO_GENERATION
@@ -73,15 +73,15 @@
         return WatchUpdate(self.generation, True, tuple(self.instances.values()))
 
     def update_after(self, generation: int) -> WatchUpdate:
-        """Return what changed after `generation`; the complete list if no update ended with that."""
+        """Return the changes after `generation`, or the complete list if no retained update ended with it."""
         update = update_since(self.history, self.floor, self.generation, generation)
         return update or self.full_update()
 
     def apply(self, update: WatchUpdate) -> bool:
         """Apply an update of the source; return whether the generation changed.
 
-        A complete list replaces everything whatever its generation, as one of another history does. Changes
-        that are older than the replica are ignored.
+        A complete list replaces everything, even at a lower generation: it may belong to another history.
+        Changes up to the generation of the replica are ignored.
         """
         if update.is_reset:
             return self._reset(update)
@@ -107,7 +107,7 @@
         return not is_same_generation
 
     def _trim_history(self) -> None:
-        """Drop the oldest updates, each as a whole: no reader resumes in the middle of one."""
+        """Drop the oldest updates, always complete ones: no reader resumes in the middle of an update."""
         while len(self.history) > MAX_HISTORY:
             self.floor = self.history[0].generation
             while self.history and self.history[0].generation == self.floor:
@@ -115,32 +115,33 @@
 
 
 class Follower(ReadService):
-    """Serves a replica for reading and updates it by a watch of `source` (HOST:PORT)."""
+    """Serves reads from a replica, which a watch of `source` (HOST:PORT) updates."""
 
     def __init__(self, source: str, generator: random.Random | None = None) -> None:
-        """`generator` draws the jitter of the delays between attempts."""
+        """Create an empty replica of `source`; `generator` draws the jitter of the backoff."""
         self.replica = Replica()
         super().__init__(self.replica)
         self.source = source
         self._random = generator or random.Random()
         self._received_ms: int | None = None
-        """When the source last sent anything, an empty line included; monotonic."""
+        """Monotonic time of the last line from the source, empty ones included; None before the first."""
         for path in (WRITE_PATH, RENEW_PATH):
             self.app.router.add_route("*", path, self._reject_write)
-        self.app.cleanup_ctx.append(self._run)
+        self.app.cleanup_ctx.append(self._run_watch)
 
-    async def _run(self, _: web.Application) -> AsyncIterator[None]:
+    async def _run_watch(self, _: web.Application) -> AsyncIterator[None]:
+        """Watch the source while the application runs."""
         async with background_task(self.follow()):
             yield
 
     def age_ms(self) -> int:
-        """Return the time since the source last sent anything, 0 before that.
+        """Return the milliseconds since the last line from the source, or 0 before the first.
 
-        What it sent may have had an age of its own, which is not included.
+        If the source is itself a follower, the age of its own list is not included.
         """
         if self._received_ms is None:
             return 0
-        return now_ms() - self._received_ms
+        return monotonic_ms() - self._received_ms
 
     def require_available(self) -> None:
         """Raise `UnavailableError` until the first endpoint list has been received."""
@@ -155,7 +156,7 @@
         return json_error(HTTPStatus.FORBIDDEN, f"this is a follower: write to {self.source}")
 
     async def follow(self) -> None:
-        """Watch the source until cancelled; a watch that ends is resumed at the generation it had reached."""
+        """Watch the source until cancelled; when a watch ends, resume at the generation that it reached."""
         failures = 0
         timeout = ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_TIMEOUT_S)
         async with ClientSession(read_bufsize=MAX_LINE_BYTES, timeout=timeout) as session:
@@ -185,12 +186,13 @@
             async for line in response.content:
                 if line.strip() and self.replica.apply(decode_update(line)):
                     self.notify_watchers()
-                self._received_ms = now_ms()
+                self._received_ms = monotonic_ms()
 
 
 def _check_watch_response(response: ClientResponse) -> None:
+    """Raise `RetryLaterError` for 503 with `Retry-After`, `MalformedResponseError` for others except 200."""
     retry_after = response.headers.get("Retry-After", "")
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE and retry_after.isdecimal():
         raise RetryLaterError(min(MAX_RETRY_AFTER_S, float(retry_after)))
     if response.status != HTTPStatus.OK:
-        raise MalformedResponseError(f"expected status 200, found {response.status}")
+        raise MalformedResponseError(f"expected status 200 from {response.url}, found {response.status}")
--- a/thistletrail/registry/http_service.py
+++ b/thistletrail/registry/http_service.py
@@ -1,7 +1,8 @@
-"""The registry on HTTP/1.1: reads in the form that discovery expects, and writes.
+"""The registry over HTTP/1.1: reads and watches in the format of the discovery protocol, and writes.
 
-Watchers have no queue. Each has the generation that it was sent last and gets what changed since, merged by
-instance, whenever its connection takes more. An update is encoded once for all watchers at one generation.
+Watchers have no queue. For each watcher the service knows the generation that it sent last, and sends the
+changes since then, merged by instance, whenever the connection accepts more data. An update is encoded once
+for all watchers at the same generation.
 """
 
 from __future__ import annotations
@@ -39,47 +40,47 @@
 WRITE_PATH = "/instances/{id}"
 RENEW_PATH = f"{WRITE_PATH}/renew"
 
-EMPTY_LINE_S = 2.0
-"""An empty line goes to a watcher for which nothing changed for so long, as the protocol demands."""
+EMPTY_LINE_INTERVAL_S = 2.0
+"""A watcher gets an empty line after this long without a change, as the discovery protocol requires."""
 
-LEASE_CHECK_S = 1.0
-"""Between checks for expired leases."""
+LEASE_CHECK_INTERVAL_S = 1.0
+"""Time between two checks for expired leases."""
 
 MAX_WATCHERS = 1000
-"""Five times the largest fleet."""
+"""Five times the size of the largest fleet."""
 
 MAX_BODY_BYTES = 4096
-"""Of a request; a registration takes a tenth of that."""
+"""Maximum size of a request body, ten times that of a registration."""
 
 WATCHER_WRITE_TIMEOUT_S = 10.0
-"""A watch ends when its reader takes nothing of what it was sent for so long."""
+"""A watch is closed if its reader accepts no data for this long."""
 
 WATCHER_BUFFER_BYTES = 32_768
-"""That are buffered for one watcher before writing to it waits."""
+"""Size of the write buffer of one watcher; writes to a full one wait."""
 
 MAX_ENCODED_UPDATES = 64
-"""Encoded updates that are cached; watchers that keep up are at one generation or two."""
+"""Size of the cache of encoded updates; watchers that keep up are at one of the last two generations."""
 
 MAX_GENERATION_DIGITS = 16
-"""Of the parameter `after`: enough for every generation below 2**53."""
+"""Maximum length of the parameter `after`: enough for every generation below 2**53."""
 
 NANOSECONDS_PER_MS = 1_000_000
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def now_ms() -> int:
-    """Return the monotonic clock in milliseconds."""
+def monotonic_ms() -> int:
+    """Return the time of the monotonic clock in milliseconds."""
     return time.monotonic_ns() // NANOSECONDS_PER_MS
 
 
 def unix_time_ms() -> int:
-    """Return the wall clock in milliseconds since 1970."""
+    """Return the time of the system clock in milliseconds since 1970."""
     return time.time_ns() // NANOSECONDS_PER_MS
 
 
 def json_error(status: int, message: str, headers: Mapping[str, str] | None = None) -> web.Response:
-    """Return an error response: one sentence under the key `error`."""
+    """Return a JSON error response that has the message, one sentence, under the key `error`."""
     return web.json_response({"error": message}, status=status, headers=headers)
 
 
@@ -96,13 +97,13 @@
 def _retry_after_header(error: UnavailableError) -> dict[str, str]:
     if error.retry_after_s is None:
         return {}
-    # Whole seconds (RFC 9110, 10.2.3), rounded up so that nobody comes back too early.
+    # Whole seconds (RFC 9110, 10.2.3), rounded up so that clients do not retry too early.
     return {"Retry-After": str(math.ceil(error.retry_after_s))}
 
 
 @web.middleware
 async def error_middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Turn the errors of the registry, and HTTP errors of the framework, into JSON responses."""
+    """Convert the errors of the registry and the HTTP errors of aiohttp to JSON responses."""
     try:
         return await handler(request)
     except RejectedError as error:
@@ -117,7 +118,7 @@
 
 @contextlib.asynccontextmanager
 async def background_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Run a coroutine for the duration of the block, then cancel it and wait for its end."""
+    """Run a coroutine as a task for the duration of the block, then cancel it and wait until it has ended."""
     task = asyncio.create_task(coroutine)
     try:
         yield
@@ -127,7 +128,7 @@
 
 
 class RegistryView(Protocol):
-    """An endpoint list that can be read: the store of the primary, or the replica of a follower."""
+    """A readable endpoint list: the store of the primary, or the replica of a follower."""
 
     @property
     def generation(self) -> int:
@@ -137,48 +138,51 @@
         """Return the complete endpoint list."""
 
     def update_after(self, generation: int) -> WatchUpdate:
-        """Return what changed after `generation`, or the complete list."""
+        """Return the changes after `generation`, or the complete list if those are not retained."""
 
 
 class ReadService:
-    """The read side: an endpoint list and its watchers, as an aiohttp application in `app`."""
+    """Serves an endpoint list to readers and watchers; `app` is the aiohttp application."""
 
     def __init__(self, view: RegistryView) -> None:
         self.view = view
         self.watcher_count = 0
         self.encoded_updates: dict[tuple[int, int], bytes] = {}
-        """Encoded updates by the generation before (`NO_GENERATION` for the complete list) and after."""
+        """Cached lines by the generation before the update (`NO_GENERATION`: complete list) and after it."""
         self._is_stopping = False
-        # Replaced at each change: whoever waits for the previous one is woken.
+        # Replaced at each change; setting the previous event wakes all watchers that wait for it.
         self._changed = asyncio.Event()
         self.app = web.Application(middlewares=[error_middleware], client_max_size=MAX_BODY_BYTES)
         self.app.add_routes([web.get(READ_PATH, self._get_endpoints), web.get(STATUS_PATH, self._get_status)])
         self.app.on_shutdown.append(self._end_watches)
 
     def age_ms(self) -> int:
-        """Return how old the endpoint list may be; the primary's own is never old."""
+        """Return the maximum age of the endpoint list in milliseconds; on the primary it is always 0."""
         return 0
 
     def require_available(self) -> None:
-        """Raise `UnavailableError` if there is no endpoint list to answer with."""
+        """Raise `UnavailableError` if there is no endpoint list to serve."""
 
     def status_fields(self) -> dict[str, object]:
-        """Return what the kind of service adds to the answer of `/status`."""
+        """Return the fields that this kind of service adds to the response of `/status`."""
         return {}
 
     def notify_watchers(self) -> None:
-        """Wake all watchers, as the endpoint list has changed or the watches are to end."""
+        """Wake all watchers; to be called when the endpoint list has changed or the watches must end."""
         changed = self._changed
         self._changed = asyncio.Event()
         changed.set()
 
     async def _end_watches(self, _: web.Application) -> None:
-        """Let each watch end after its last complete line."""
+        """End each watch after the line that is being sent."""
         self._is_stopping = True
         self.notify_watchers()
 
     def _encoded_update(self, after: int | None) -> bytes:
-        """Return the line for readers at generation `after` (None: at none), encoded once for all of them."""
+        """Return the encoded update for readers at generation `after`, the complete list if that is None.
+
+        The line is encoded once for all readers at the same generation.
+        """
         key = (NO_GENERATION if after is None else after, self.view.generation)
         line = self.encoded_updates.get(key)
         if line is None:
@@ -221,16 +225,17 @@
             if request.transport is not None:
                 request.transport.abort()
         except ConnectionError:
-            # The reader has disconnected.
+            # The reader disconnected, so no response can be completed.
             pass
         return response
 
     async def _send_updates(self, response: web.StreamResponse, after: int | None) -> None:
-        """Send an update whenever there is one, else empty lines, until the service stops.
+        """Send each update, and empty lines while there is none, until the service stops.
 
-        Raises `TimeoutError` if the reader takes nothing and `ConnectionError` if it has disconnected.
+        Raises `TimeoutError` if the reader accepts no data for `WATCHER_WRITE_TIMEOUT_S`, and
+        `ConnectionError` if it has disconnected.
         """
-        # The first update is sent even when it is empty: it tells the reader that it is up to date.
+        # The first update is sent even if it is empty: it tells the reader that its list is up to date.
         is_first = True
         while not self._is_stopping:
             changed = self._changed
@@ -239,10 +244,10 @@
                 after = self.view.generation
                 is_first = False
                 await asyncio.wait_for(response.write(line), WATCHER_WRITE_TIMEOUT_S)
-                # There may have been another change while it was sent.
+                # The list may have changed while the line was being sent.
                 continue
             try:
-                await asyncio.wait_for(changed.wait(), EMPTY_LINE_S)
+                await asyncio.wait_for(changed.wait(), EMPTY_LINE_INTERVAL_S)
             except TimeoutError:
                 await asyncio.wait_for(response.write(b"\n"), WATCHER_WRITE_TIMEOUT_S)
 
@@ -258,7 +263,7 @@
 
 
 def _parse_after(text: str) -> int | None:
-    """Return the generation of the parameter `after`, None if it is empty."""
+    """Return the generation in the parameter `after`, or None if it is empty; raises `RejectedError`."""
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > MAX_GENERATION_DIGITS:
@@ -267,17 +272,17 @@
 
 
 class RegistryService(ReadService):
-    """The primary: it accepts writes and owns the store, its leases and its journal."""
+    """The primary: accepts writes and owns the store, its leases and its journal."""
 
     def __init__(self, directory: Path, fill_s: float = 0.0) -> None:
-        """Read the directory; raises `CorruptFileError` if its files are damaged.
+        """Restore the store from `directory`; raises `CorruptFileError` if its files are damaged.
 
-        A history that began with nothing does not answer reads for `fill_s` seconds: running scan servers
-        register meanwhile, and clients would take an empty endpoint list for the loss of all of them.
+        A registry that began empty rejects reads for `fill_s` seconds. Meanwhile running scan servers
+        register: readers would take an empty endpoint list for the loss of all scan servers.
         """
         self.journal = Journal(directory)
-        self.store: Store = self.journal.open(unix_time_ms(), now_ms())
-        self._filled_at_ms = now_ms() + round(fill_s * MS_PER_SECOND)
+        self.store: Store = self.journal.open(unix_time_ms(), monotonic_ms())
+        self._fill_end_ms = monotonic_ms() + round(fill_s * MS_PER_SECOND)
         super().__init__(self.store)
         self.app.add_routes(
             [
@@ -287,13 +292,13 @@
                 web.delete(WRITE_PATH, self._delete_instance),
             ]
         )
-        self.app.cleanup_ctx.append(self._run)
+        self.app.cleanup_ctx.append(self._run_lease_checks)
 
     def require_available(self) -> None:
-        """Raise `UnavailableError` while the endpoint list is still being filled."""
+        """Raise `UnavailableError` while scan servers fill the list of a registry that began empty."""
         if not self.journal.is_filling():
             return
-        remaining_s = (self._filled_at_ms - now_ms()) / MS_PER_SECOND
+        remaining_s = (self._fill_end_ms - monotonic_ms()) / MS_PER_SECOND
         if remaining_s > 0:
             raise UnavailableError(
                 f"the registry began empty and answers reads in {remaining_s:.1f} s", remaining_s
@@ -305,12 +310,13 @@
         return {"role": "first", "instances": len(self.store.instances)}
 
     def notify_watchers(self) -> None:
-        """Wake all watchers, and write a snapshot if the journal has grown long."""
+        """Wake all watchers, and write a snapshot if the journal needs one."""
         super().notify_watchers()
         if self.journal.needs_snapshot():
             self.journal.write_snapshot(self.store)
 
-    async def _run(self, _: web.Application) -> AsyncIterator[None]:
+    async def _run_lease_checks(self, _: web.Application) -> AsyncIterator[None]:
+        """Check leases while the application runs; then write a snapshot and close the journal."""
         async with background_task(self._check_leases()):
             yield
         self.journal.write_snapshot(self.store)
@@ -318,11 +324,11 @@
 
     async def _check_leases(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_CHECK_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             try:
-                deleted = self.store.expire_leases(now_ms())
+                deleted = self.store.expire_leases(monotonic_ms())
             except RejectedError as error:
-                # The message says all: a traceback would add nothing to a full disk.
+                # The message names the cause, such as a full disk; a traceback would add nothing.
                 log.error("instances with expired leases are retained for now: %s", error)
                 continue
             if deleted:
@@ -341,11 +347,11 @@
             raise RejectedError("id stands in the path")
         generation_before = self.store.generation
         instance = parse_instance({**values, "id": request.match_info["id"]})
-        registered = self.store.register(instance, now_ms())
+        registered = self.store.register(instance, monotonic_ms())
         return self._respond_to_write(generation_before, registered.generation)
 
     async def _post_renewal(self, request: web.Request) -> web.Response:
-        renewed = self.store.renew(request.match_info["id"], now_ms())
+        renewed = self.store.renew(request.match_info["id"], monotonic_ms())
         return _generation_response(renewed.generation)
 
     async def _patch_instance(self, request: web.Request) -> web.Response:
@@ -354,7 +360,7 @@
             raise RejectedError("an update has a generation, a whole number, and a lifecycle")
         generation_before = self.store.generation
         updated = self.store.update(
-            request.match_info["id"], values["generation"], values["lifecycle"], now_ms()
+            request.match_info["id"], values["generation"], values["lifecycle"], monotonic_ms()
         )
         return self._respond_to_write(generation_before, updated.generation)
 
--- a/thistletrail/registry/instance.py
+++ b/thistletrail/registry/instance.py
@@ -16,11 +16,12 @@
 MAX_WEIGHT = 1e6
 DEFAULT_WEIGHT = 1.0
 MAX_STARTED_MS = 100_000_000_000_000
-"""Unix milliseconds in the year 5138: a bound against nonsense."""
+"""Unix time in milliseconds, in the year 5138: rejects values that cannot be a start time."""
 
 MAX_NAME_CHARACTERS = 64
+
 MAX_ECHOED_CHARACTERS = 40
-"""Of a key that a client sent, in the error text that goes back to it."""
+"""An unknown key is cut to this length in the error text that is sent to the client."""
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,64}", re.ASCII)
 ADDRESS_PATTERN = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})", re.ASCII)
@@ -33,7 +34,10 @@
 
 
 class Lifecycle(StrEnum):
-    """What an instance may be used for. The values are the ones on the wire and on disk."""
+    """State of an instance; the values are also those on the wire and on disk.
+
+    `SERVING` takes requests, `DRAINING` takes no new ones, and `DELETED` is no longer registered.
+    """
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -42,10 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """A scan server as registered; `generation` is that of its last change, 0 before it has one.
+    """A registered scan server. `generation` is that of its last change, 0 before the first one.
 
-    `address` is IPv4:PORT, `started_ms` Unix milliseconds (0 where the start is not recent), `lease_ms` the
-    length of its lease in milliseconds, and `weight` its share of the load relative to others.
+    `address` is IPv4:PORT, `started_ms` the start of its process in Unix milliseconds (0 if that is not
+    recent), `lease_ms` the length of its lease in milliseconds, and `weight` its share of the load relative
+    to others.
     """
 
     id: str
@@ -61,9 +66,9 @@
 
 
 def parse_instance(values: Mapping[str, object]) -> Instance:
-    """Build an instance, `SERVING` and without a generation, from the decoded JSON of a registration.
+    """Return the instance that the decoded JSON of a registration describes, `SERVING` and with generation 0.
 
-    Raises `RejectedError` that names the key which is unknown, missing or invalid.
+    Raises `RejectedError`, whose message names the unknown, missing or invalid key.
     """
     _check_keys(values)
     return Instance(
@@ -114,14 +119,14 @@
 
 def _parse_integer(values: Mapping[str, object], key: str, default: int, minimum: int, maximum: int) -> int:
     value = values.get(key, default)
-    # `type`, as a bool is an int too.
+    # isinstance() would accept a bool, which is a subclass of int.
     if type(value) is not int or not minimum <= value <= maximum:
         raise RejectedError(f"{key} is not a whole number from {minimum} to {maximum}")
     return value
 
 
 def _parse_weight(value: object) -> float:
-    # A bool is an int too; the comparison is also false for a NaN.
+    # A bool is a subclass of int, so it is excluded. The comparison is false for a NaN.
     if isinstance(value, int | float) and not isinstance(value, bool) and 0 < value <= MAX_WEIGHT:
         return float(value)
     raise RejectedError(f"weight is not a number above 0 and up to {MAX_WEIGHT:g}")
--- a/thistletrail/registry/journal.py
+++ b/thistletrail/registry/journal.py
@@ -1,8 +1,8 @@
 """Persistence of the registry: a journal of changes and a snapshot that replaces it from time to time.
 
-A directory holds `snapshot` (the registry at some generation) and `log` (the changes since, oldest first). A
-change is synced before the client that made it is answered. The file `filling` exists while a history that
-began with nothing may not contain yet all instances that are running.
+A directory holds `snapshot` (the registry at one generation) and `log` (the changes since, oldest first). A
+change is synced to disk before the client that made it gets its response. The file `filling` exists in a
+history that began empty, until running instances have had time to register.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 log = logging.getLogger(__name__)
 
 MAX_JOURNAL_RECORDS = 4096
-"""Changes in the journal before a snapshot takes their place."""
+"""A snapshot replaces the journal once it holds this many changes."""
 
 SNAPSHOT_FILE_NAME = "snapshot"
 JOURNAL_FILE_NAME = "log"
 FILLING_FILE_NAME = "filling"
 
-# Names on disk. They stay as they are when a field of a class is renamed.
+# Keys on disk. They must not change when a field of a class is renamed.
 STORED_KEY_OF_FIELD = {
     "id": "id",
     "address": "address",
@@ -45,19 +45,19 @@
     "lease_ms": "lease_ms",
     "generation": "generation",
 }
-"""Keys of a stored instance by field of `Instance`, in the order in which they are written."""
+"""Key of each field of `Instance` in a stored instance, in the order in which the keys are written."""
 
 STORED_SNAPSHOT_GENERATION = "generation"
 STORED_SNAPSHOT_INSTANCES = "instances"
 
 
 def encode_instance(instance: Instance) -> dict[str, object]:
-    """Return the stored form of an instance: a record of the journal, or an entry of the snapshot."""
+    """Return the stored form of an instance: a record of the journal or an entry of the snapshot."""
     return {key: getattr(instance, field) for field, key in STORED_KEY_OF_FIELD.items()}
 
 
 def decode_instance(value: object) -> Instance:
-    """Return the instance of a stored form; raises `ValueError` that says what is wrong with it."""
+    """Return the instance that a stored form describes; raises `ValueError` if it is malformed."""
     if not isinstance(value, Mapping):
         raise ValueError(f"expected an object, found {type(value).__name__}")
     expected = set(STORED_KEY_OF_FIELD.values())
@@ -77,19 +77,21 @@
 
 
 def decode_snapshot(value: object) -> StoreSnapshot:
-    """Return the snapshot of a stored form; raises `ValueError` that says what is wrong with it."""
+    """Return the snapshot that a stored form describes; raises `ValueError` if it is malformed."""
     if not isinstance(value, Mapping):
         raise ValueError(f"expected an object, found {type(value).__name__}")
     try:
         generation = int(value[STORED_SNAPSHOT_GENERATION])
         instances = tuple(decode_instance(entry) for entry in value[STORED_SNAPSHOT_INSTANCES])
     except (KeyError, TypeError) as error:
-        raise ValueError(f"this is not a snapshot: {error!r}") from error
+        raise ValueError(
+            f"expected a snapshot with a generation and a list of instances: {error!r}"
+        ) from error
     return StoreSnapshot(generation, instances)
 
 
 class Journal:
-    """The files of one store. One process at a time may have them open."""
+    """The files of one store in `directory`. Only one process at a time may have them open."""
 
     def __init__(self, directory: Path) -> None:
         self.records = RecordFile(directory / JOURNAL_FILE_NAME)
@@ -98,25 +100,25 @@
         self._filling_path = directory / FILLING_FILE_NAME
 
     def is_filling(self) -> bool:
-        """Whether the history began with nothing and may not contain yet what is running."""
+        """Whether the history began empty and running instances may not have registered yet."""
         return self._filling_path.exists()
 
     def end_filling(self) -> None:
-        """Note that all running instances have had the time to register; a second call has no effect."""
+        """Record that all running instances have had time to register; a second call has no effect."""
         self._filling_path.unlink(missing_ok=True)
 
     def open(self, unix_ms: int, now_ms: int) -> Store:
-        """Return the store as it was left, or one with a new history; its changes are then persisted here.
+        """Return the store as persisted, or an empty one with a new history, and persist its later changes.
 
-        Leases get the grace period. Raises `CorruptFileError` if the files are damaged, `OSError` if they
-        cannot be read or written.
+        All leases get the grace period. Raises `CorruptFileError` if the files are damaged and `OSError` if
+        they cannot be read or written.
         """
         self._directory.mkdir(parents=True, exist_ok=True)
         self._remove_incomplete_snapshot()
         store = self._restore(now_ms) or Store(unix_ms, now_ms, log.warning)
         self._replay(store)
         if not self._snapshot_path.exists():
-            # A new history has to be the same one after the next crash.
+            # Persists the start of the new history, so that the registry resumes it after a crash.
             self._filling_path.touch()
             self.write_snapshot(store)
         store.persist = self.append
@@ -140,41 +142,42 @@
 
     def _replay(self, store: Store) -> None:
         """Apply the changes of the journal that the snapshot does not contain."""
-        for number, value in enumerate(self.records.open(), 1):
+        for record_number, value in enumerate(self.records.open(), 1):
             try:
                 change = decode_instance(value)
             except ValueError as error:
                 raise CorruptFileError(
-                    f"{self.records.path}: record {number} is not a change: {error}"
+                    f"{self.records.path}: record {record_number} is not a change: {error}"
                 ) from error
-            # Older ones are left over from a crash between writing the snapshot and clearing the journal.
+            # Older changes remain if the process crashed after writing the snapshot and before clearing the
+            # journal.
             if change.generation > store.generation:
                 store.apply(change)
 
     def append(self, changes: Sequence[Instance]) -> None:
-        """Write changes and sync them, all or none; raises `StorageError` if that fails."""
+        """Write changes and sync them to disk, all or none; raises `StorageError` if that fails."""
         try:
             self.records.append(encode_instance(change) for change in changes)
         except WriteFailedError as error:
             raise StorageError(f"the change cannot be stored: {error}") from error
 
     def needs_snapshot(self) -> bool:
-        """Whether the journal is so long that a snapshot should take its place."""
+        """Whether the journal is long enough to be replaced by a snapshot."""
         return self.records.record_count >= MAX_JOURNAL_RECORDS
 
     def write_snapshot(self, store: Store) -> None:
-        """Write the complete store, then clear the journal.
+        """Write a snapshot of the complete store, then clear the journal.
 
-        A crash in between leaves changes that the snapshot contains already. If there is no room, a warning
-        is logged and the journal goes on growing until a later call succeeds.
+        After a crash between the two steps the journal holds changes that the snapshot already contains. If
+        the snapshot cannot be written, a warning is logged and the journal grows until a later call succeeds.
         """
         try:
             replace_single_record(self._snapshot_path, encode_snapshot(store.snapshot()))
         except OSError as error:
-            log.warning("no snapshot can be written: %s", error.strerror)
+            log.warning("no snapshot can be written to %s: %s", self._snapshot_path, error.strerror)
             return
         self.records.clear()
 
     def close(self) -> None:
-        """Release the files; a second call has no effect."""
+        """Close the journal file; a second call has no effect."""
         self.records.close()
--- a/thistletrail/registry/registration.py
+++ b/thistletrail/registry/registration.py
@@ -1,8 +1,8 @@
-"""The registry's client for an instance: it registers, renews its lease, drains and deregisters.
+"""The registry client of an instance: registers it, renews its lease, drains and deregisters it.
 
-For an asyncio program: `await registration.start()`, `await registration.drain()`, `await
-registration.deregister()`. A background task renews the lease, also while the registry cannot be reached, and
-registers again when the registry does not know the instance any more.
+An asyncio program calls `await registration.start()`, `await registration.drain()` and `await
+registration.deregister()`. A background task renews the lease, retries while the registry is unreachable, and
+registers the instance again if the registry no longer knows it.
 """
 
 from __future__ import annotations
@@ -29,27 +29,28 @@
 log = logging.getLogger(__name__)
 
 RENEWAL_FRACTION = 1 / 3
-"""Of the lease, after which it is renewed: two renewals may get lost."""
+"""Renewal interval as a fraction of the lease: the lease survives the loss of two renewals."""
 
 RENEWAL_JITTER = 0.25
-"""Of the renewal interval, by which it is shortened at random, so that a fleet's renewals spread out."""
+"""Maximum fraction by which jitter shortens a renewal interval, so that a fleet's renewals spread out."""
 
-CALL_TIMEOUT_S = 2.0
-"""For one call; a lease is longer than several of them."""
+REQUEST_TIMEOUT_S = 2.0
+"""Time limit of one attempt, a fifth of the default lease."""
 
 BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
-"""Bounds of the delay between attempts, drawn with full jitter."""
+"""Base and maximum of the backoff between attempts, which has full jitter."""
 
 MAX_ATTEMPTS = 5
-"""Of a drain or a deregistration before it is given up: the lease then ends the registration."""
+"""Maximum attempts of a drain or a deregistration; if all fail, the registration ends with its lease."""
 
 UNLIMITED_ATTEMPTS = 0
+"""Value of `max_attempts` for retries without a limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What an instance registers with (docs/registry.md). None leaves a value to the registry's default."""
+    """Values of a registration (docs/registry.md); for None the registry uses its default."""
 
     address: str
     zone: str
@@ -60,13 +61,13 @@
     lease_ms: int | None = None
 
     def to_json(self) -> dict[str, object]:
-        """Return the body of a registration."""
+        """Return the request body of a registration, without the values that are None."""
         return {key: value for key, value in asdict(self).items() if value is not None}
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryResponse:
-    """An answer of the registry: the status, the generation of the instance, and the error text, if any."""
+    """A response of the registry: status, generation of the instance and error text; None if absent."""
 
     status: int
     generation: int | None = None
@@ -76,7 +77,8 @@
 class Registration:
     """The registration of one instance at one registry.
 
-    `generation` is the instance's as the registry answered last, `NO_GENERATION` before the first answer.
+    `generation` is the generation of the instance in the last successful response of the registry, and
+    `NO_GENERATION` before the first.
     """
 
     def __init__(
@@ -86,35 +88,35 @@
         settings: InstanceSettings,
         generator: random.Random | None = None,
     ) -> None:
-        """`registry_address` is HOST:PORT; `generator` draws the jitter of renewals and retries."""
+        """Prepare a registration; `registry_address` is HOST:PORT, `generator` draws all jitter."""
         self.generation = NO_GENERATION
         self._url = f"http://{registry_address}/instances/{instance_id}"
         self._settings = settings
         lease_ms = DEFAULT_LEASE_MS if settings.lease_ms is None else settings.lease_ms
         self.renewal_interval_s = lease_ms / MS_PER_SECOND * RENEWAL_FRACTION
-        """Seconds between two renewals, before jitter shortens them."""
+        """Time between two renewals before jitter shortens it."""
         self._random = generator or random.Random()
-        # A registry that has lost its data answers no reads until all instances can have registered again,
-        # which is by their next renewal.
+        # A registry that lost its data rejects reads until all instances have had time to register again.
+        # They do so at their next renewal, so a longer backoff would come too late.
         self._max_backoff_s = min(MAX_BACKOFF_S, self.renewal_interval_s)
         self._session: ClientSession | None = None
         self._renewal_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Register, retrying for as long as the registry cannot be reached; then renew in the background.
+        """Register, with retries until the registry answers, then renew in the background.
 
         Raises `RegistrationRejectedError` if the registry rejects the registration.
         """
-        self._session = ClientSession(timeout=ClientTimeout(CALL_TIMEOUT_S))
+        self._session = ClientSession(timeout=ClientTimeout(REQUEST_TIMEOUT_S))
         await self._register()
         self.start_renewing()
 
     def start_renewing(self) -> None:
-        """Renew in the background until `stop_renewing`, `deregister` or `aclose`."""
+        """Start the background renewal, which `stop_renewing`, `deregister` and `aclose` stop."""
         self._renewal_task = asyncio.create_task(self._renew_forever())
 
     async def stop_renewing(self) -> None:
-        """Cancel the background renewal and wait for its end; no effect if there is none."""
+        """Cancel the background renewal and wait until it has ended; no effect if there is none."""
         if self._renewal_task is None:
             return
         self._renewal_task.cancel()
@@ -122,10 +124,10 @@
         self._renewal_task = None
 
     async def drain(self) -> None:
-        """Set the instance to `DRAINING`, whatever its generation is by now.
+        """Set the instance to `DRAINING`, whatever its current generation is.
 
-        Raises `RegistrationError` if the registry cannot be reached or rejects it. An instance that the
-        registry does not know is left alone.
+        No effect if the registry does not know the instance. Raises `RegistrationError` if the registry
+        cannot be reached or rejects the drain.
         """
         for _ in range(MAX_ATTEMPTS):
             body = {"generation": self.generation, "lifecycle": Lifecycle.DRAINING}
@@ -134,11 +136,11 @@
             )
             if response.status != HTTPStatus.CONFLICT:
                 return
-            # Somebody else changed the instance: the renewal answers with its generation.
+            # Another client changed the instance; the response to a renewal has its current generation.
             await self.renew(MAX_ATTEMPTS)
 
     async def deregister(self) -> None:
-        """Stop renewing and delete the instance; no effect if the registry does not know it any more.
+        """Stop renewing and delete the instance; no effect if the registry no longer knows it.
 
         Raises `RegistrationError` if the registry cannot be reached. A second call has no effect.
         """
@@ -151,7 +153,7 @@
             await self.aclose()
 
     async def aclose(self) -> None:
-        """Stop without deregistering, like a process that dies: the lease then expires."""
+        """Stop without deregistering, as a process that crashes does: the lease then expires."""
         await self.stop_renewing()
         if self._session is not None:
             await self._session.close()
@@ -171,10 +173,10 @@
         max_attempts: int = UNLIMITED_ATTEMPTS,
         accepted: Collection[int] = (HTTPStatus.OK,),
     ) -> RegistryResponse:
-        """Repeat a call until the registry answers with a status below 500, and return the answer.
+        """Repeat a request until the registry answers with a status below 500, and return that response.
 
-        Raises `RegistryUnreachableError` after `max_attempts`, and `RegistrationRejectedError` for a status
-        that is not in `accepted`.
+        Raises `RegistryUnreachableError` after `max_attempts` attempts, and `RegistrationRejectedError` for a
+        status that is not in `accepted`.
         """
         response = await self._request_until_answered(method, path, body, max_attempts)
         if response.status not in accepted:
@@ -204,9 +206,15 @@
     async def request_once(
         self, method: str, path: str, body: Mapping[str, object] | None
     ) -> RegistryResponse:
-        """Send one request to the path behind the instance's; raises aiohttp's errors, or `ValueError`."""
+        """Send one request to the URL of the instance extended by `path`, and return the response.
+
+        Raises `RegistrationError` if the registration is closed, `aiohttp.ClientError`, `OSError` or
+        `TimeoutError` if there is no response, and `ValueError` if that is not JSON.
+        """
         if self._session is None:
-            raise RegistrationError("the registration is closed")
+            raise RegistrationError(
+                f"{method} {self._url}{path}: the registration is not started or is closed"
+            )
         async with self._session.request(method, self._url + path, json=body) as response:
             return _decode_response(response.status, await response.text())
 
@@ -219,16 +227,16 @@
             try:
                 response = await self.renew(accepted=(HTTPStatus.OK, HTTPStatus.NOT_FOUND))
                 if response.status == HTTPStatus.NOT_FOUND:
-                    # The registry has lost its data, or the lease expired while renewals did not arrive.
+                    # The registry lost its data, or the lease expired because renewals did not arrive.
                     log.warning("the registry does not know this instance: it registers again")
                     await self._register()
             except RegistrationError as error:
-                # The message is the sentence of the registry: a traceback would add nothing.
+                # The message is the text that the registry sent; a traceback would add nothing.
                 log.error("the registry rejects this instance: %s", error)
 
 
 def _decode_response(status: int, text: str) -> RegistryResponse:
-    """Decode a JSON body; raises `ValueError` if it is not JSON."""
+    """Return the response with this JSON body; raises `ValueError` if the body is not JSON."""
     value = json.loads(text)
     if not isinstance(value, dict):
         return RegistryResponse(status)
--- a/thistletrail/registry/store.py
+++ b/thistletrail/registry/store.py
@@ -1,7 +1,7 @@
 """The registry's state: instances with leases, a generation for each change, and a bounded history.
 
-It performs no I/O and reads no clock: the time comes in as `now_ms` of a monotonic clock and, where a new
-history begins, as `unix_ms`.
+The module performs no I/O and reads no clock. Callers pass the time: `now_ms`, in milliseconds of a monotonic
+clock, and, where a new history begins, `unix_ms`, in milliseconds since 1970.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 from thistletrail.registry.watch_update import WatchUpdate, update_since
 
 GENERATIONS_PER_MS = 1024
-"""A new history begins at the Unix time in milliseconds times this.
+"""The first generation of a new history is the Unix time in milliseconds times this factor.
 
-A later history, also after the loss of all data, so begins above an earlier one that made no more than that
-many changes a millisecond. Generations stay below `MAX_GENERATION` until the year 2248.
+A history that begins after the loss of all data therefore starts above the earlier one, unless that one had
+more than this many changes per millisecond. Generations stay below `MAX_GENERATION` until the year 2248.
 """
 
 MASS_EXPIRY_SHARE = 0.3
-"""Share of all instances; if more of them expire within the window, the registry was probably cut off."""
+"""If a larger share of all leases expires within the window, the registry was probably cut off."""
 
 MASS_EXPIRY_MIN_COUNT = 3
-"""Fewer expired leases than this are never a mass expiry, whatever their share."""
+"""Fewer expired leases than this do not count as a mass expiry, whatever their share."""
 
 MASS_EXPIRY_WINDOW_MS = 10_000
-"""Expired leases that count together, and how long each instance is retained after its lease expired."""
+"""Leases that expire within this time count together. An expired instance is retained for as long."""
 
 GRACE_PERIOD_MS = 30_000
-"""How long expired leases are retained after a mass expiry, a start or a pause."""
+"""How long instances are retained after a mass expiry, or after the registry started or was paused."""
 
-PAUSE_MS = 5_000
-"""After longer than this without a check of the leases the process paused and may have missed renewals."""
+PAUSE_THRESHOLD_MS = 5_000
+"""A longer time between two lease checks means that the process was paused and may have missed renewals."""
 
 MAX_ECHOED_ID_CHARACTERS = 64
-"""Of an unknown id, in the error text that goes back to the client."""
+"""An unknown id is cut to this length in the error text that is sent to the client."""
 
 WarningSink = Callable[[str], None]
 PersistChanges = Callable[[Sequence[Instance]], None]
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """What outlives the process. Leases do not: after a restore all instances get the grace period."""
+    """The persisted state. It excludes leases: after a restore, all instances get the grace period."""
 
     generation: int
     instances: tuple[Instance, ...]
 
 
 def discard_warning(message: str) -> None:
-    """Ignore a warning: the default where nobody reads them."""
+    """Ignore a warning: the default sink of a store."""
 
 
 def discard_changes(changes: Sequence[Instance]) -> None:
@@ -64,11 +64,12 @@
 class Store:
     """All instances and their leases. Its size is bounded by `MAX_INSTANCES` and `MAX_HISTORY`.
 
-    `persist` is called with the changes before they take effect; if it raises, the store stays as it was.
+    A change is an instance in its new state, with the generation of that change. `persist` is called with the
+    changes before they take effect; if it raises, the store is unchanged.
     """
 
     def __init__(self, unix_ms: int, now_ms: int, warn: WarningSink = discard_warning) -> None:
-        """Begin a new history, above every generation of an older one."""
+        """Begin a new history with generations above those of any earlier one; `warn` receives log texts."""
         self.generation = min(unix_ms * GENERATIONS_PER_MS, MAX_GENERATION - 1)
         self.floor = self.generation
         """The generation before the oldest change in `history`."""
@@ -76,20 +77,20 @@
         """The changes after `floor`, in order of their generations."""
         self.instances: dict[str, Instance] = {}
         self.lease_end_ms: dict[str, int] = {}
-        """When the lease of an instance expires, by its id."""
+        """End of the lease of each instance, by id."""
         self.expired_since_ms: dict[str, int] = {}
-        """Instances whose leases have expired and that are not deleted yet, and since when, by id."""
+        """When the lease was found expired, by id, for instances that are still retained."""
         self.grace_end_ms = 0
-        """Until when no instance is deleted for its expired lease."""
+        """No instance is deleted for an expired lease before this time."""
         self.persist: PersistChanges = discard_changes
         self.id_by_address: dict[str, str] = {}
-        """Ids of the instances by the address that each has taken last."""
-        self._checked_ms = now_ms
+        """Id of the instance that currently has an address, by address."""
+        self._last_lease_check_ms = now_ms
         self._warn = warn
 
     @classmethod
     def restore(cls, snapshot: StoreSnapshot, now_ms: int, warn: WarningSink = discard_warning) -> Self:
-        """Return the store of a snapshot; its history begins there."""
+        """Return a store with the instances of a snapshot and a history that begins at its generation."""
         store = cls(0, now_ms, warn)
         store.generation = snapshot.generation
         store.floor = snapshot.generation
@@ -99,7 +100,7 @@
         return store
 
     def snapshot(self) -> StoreSnapshot:
-        """Return what a later process needs to go on with this history."""
+        """Return the state from which a later process continues this history."""
         return StoreSnapshot(self.generation, tuple(self.instances.values()))
 
     # --- writes ---
@@ -107,26 +108,30 @@
     def register(self, instance: Instance, now_ms: int) -> Instance:
         """Register an instance and begin its lease; return it with its generation.
 
-        The same registration again only renews the lease, as a client repeats it when the answer was lost.
-        Another address or start time is a new process. Another instance that had the address is deleted,
-        because a machine runs one at a time. Raises `RejectedError` if the registry is full.
+        Repeating a registration only renews the lease: a client repeats it when the response was lost. A
+        different address or start time means a new process, which is set to `SERVING`. Another instance
+        registered at the same address is deleted, because a machine runs one instance at a time. Raises
+        `RejectedError` if the registry is full.
         """
-        known = self.instances.get(instance.id)
-        if known is None and len(self.instances) >= MAX_INSTANCES:
+        existing = self.instances.get(instance.id)
+        if existing is None and len(self.instances) >= MAX_INSTANCES:
             raise RejectedError(f"there are {MAX_INSTANCES} instances already")
-        if known is not None and _is_same_registration(instance, known):
+        if existing is not None and _is_same_registration(instance, existing):
             self.renew(instance.id, now_ms)
-            return known
+            return existing
         changes = [replace(instance, lifecycle=Lifecycle.SERVING)]
-        previous_id = self.id_by_address.get(instance.address)
-        if previous_id is not None and previous_id != instance.id:
-            changes.insert(0, replace(self.instances[previous_id], lifecycle=Lifecycle.DELETED))
+        previous_holder_id = self.id_by_address.get(instance.address)
+        if previous_holder_id is not None and previous_holder_id != instance.id:
+            changes.insert(0, replace(self.instances[previous_holder_id], lifecycle=Lifecycle.DELETED))
         registered = self._commit(changes)[-1]
         self.renew(instance.id, now_ms)
         return registered
 
     def renew(self, instance_id: str, now_ms: int) -> Instance:
-        """Extend the lease by its full length from now, which is no change and has no generation."""
+        """Extend the lease to its full length from now, which creates no new generation; return the instance.
+
+        Raises `UnknownInstanceError` if there is no instance with that id.
+        """
         instance = self.get(instance_id)
         self.lease_end_ms[instance_id] = now_ms + instance.lease_ms
         self.expired_since_ms.pop(instance_id, None)
@@ -135,7 +140,8 @@
     def update(self, instance_id: str, generation: int, lifecycle: str, now_ms: int) -> Instance:
         """Set an instance to `SERVING` or `DRAINING` and renew its lease.
 
-        `generation` is the instance's as the writer knows it; a later one raises `ConflictError`.
+        Raises `ConflictError` unless `generation` is the instance's current one, `RejectedError` for another
+        lifecycle, and `UnknownInstanceError` if there is no instance with that id.
         """
         instance = self.get(instance_id)
         if lifecycle not in (Lifecycle.SERVING, Lifecycle.DRAINING):
@@ -150,17 +156,17 @@
         return self._commit([replace(instance, lifecycle=Lifecycle(lifecycle))])[0]
 
     def deregister(self, instance_id: str) -> Instance:
-        """Delete an instance at its own request, at once; return it as deleted."""
+        """Delete an instance immediately, at its own request; return its last state, `DELETED`."""
         return self._commit([replace(self.get(instance_id), lifecycle=Lifecycle.DELETED)])[0]
 
     def get(self, instance_id: str) -> Instance:
-        """Return an instance; raises `UnknownInstanceError` if there is none with that id."""
+        """Return the instance with that id; raises `UnknownInstanceError` if there is none."""
         if instance_id not in self.instances:
             raise UnknownInstanceError(f"there is no instance '{instance_id[:MAX_ECHOED_ID_CHARACTERS]}'")
         return self.instances[instance_id]
 
     def _commit(self, instances: Sequence[Instance]) -> list[Instance]:
-        """Give the changes the next generations, persist them and apply them: all of them or none."""
+        """Assign the next generations, then persist and apply the changes, all or none; return them."""
         if self.generation + len(instances) > MAX_GENERATION:
             raise RejectedError("the generations of this history are used up")
         changes = [
@@ -173,9 +179,9 @@
         return changes
 
     def apply(self, change: Instance) -> None:
-        """Apply a change that already has its generation, which must be above the current one."""
+        """Apply a change with its generation; raises `ValueError` unless that is above the current one."""
         if change.generation <= self.generation:
-            raise ValueError(f"generation {change.generation} comes after {self.generation}")
+            raise ValueError(f"expected a generation above {self.generation}, found {change.generation}")
         self.generation = change.generation
         self._release_address(change.id)
         if change.lifecycle == Lifecycle.DELETED:
@@ -190,25 +196,30 @@
             self.floor = self.history.popleft().generation
 
     def _release_address(self, instance_id: str) -> None:
-        known = self.instances.get(instance_id)
-        if known is not None and self.id_by_address.get(known.address) == instance_id:
-            del self.id_by_address[known.address]
+        existing = self.instances.get(instance_id)
+        if existing is not None and self.id_by_address.get(existing.address) == instance_id:
+            del self.id_by_address[existing.address]
 
     # --- leases ---
 
     def expire_leases(self, now_ms: int) -> list[Instance]:
-        """Delete instances whose leases expired long enough ago; return them. To be called every second."""
-        paused_ms = now_ms - self._checked_ms
-        if paused_ms > PAUSE_MS:
+        """Delete instances whose leases expired at least `MASS_EXPIRY_WINDOW_MS` ago; return these changes.
+
+        Must be called every second: a gap above `PAUSE_THRESHOLD_MS` begins a grace period, in which no
+        instance is deleted for its expired lease.
+        """
+        paused_ms = now_ms - self._last_lease_check_ms
+        if paused_ms > PAUSE_THRESHOLD_MS:
             self.begin_grace_period(now_ms, f"the registry paused for {paused_ms / MS_PER_SECOND:.0f} s")
-        self._checked_ms = now_ms
+        self._last_lease_check_ms = now_ms
         for instance_id, lease_end_ms in self.lease_end_ms.items():
             if lease_end_ms <= now_ms:
                 self.expired_since_ms.setdefault(instance_id, now_ms)
         self._detect_mass_expiry(now_ms)
         if now_ms < self.grace_end_ms:
             return []
-        # A mass expiry shows only once most have expired, so each instance is retained for the window first.
+        # A mass expiry is recognizable only after several leases have expired, so each instance is first
+        # retained for the length of the window.
         deleted = [
             replace(self.instances[instance_id], lifecycle=Lifecycle.DELETED)
             for instance_id, since_ms in self.expired_since_ms.items()
@@ -217,31 +228,30 @@
         return self._commit(deleted) if deleted else []
 
     def _detect_mass_expiry(self, now_ms: int) -> None:
-        """Begin a grace period if so many leases expired lately that the registry was probably cut off."""
-        recent = [
+        """Begin a grace period if so many leases expired recently that the registry was probably cut off."""
+        recent_expiries_ms = [
             since_ms
             for since_ms in self.expired_since_ms.values()
             if now_ms - since_ms <= MASS_EXPIRY_WINDOW_MS
         ]
-        is_mass = len(recent) >= MASS_EXPIRY_MIN_COUNT and len(recent) > MASS_EXPIRY_SHARE * len(
-            self.instances
-        )
-        # Leases that a grace period has retained already do not begin another one.
-        has_new = now_ms in recent
-        if not is_mass or not has_new or now_ms < self.grace_end_ms:
+        count = len(recent_expiries_ms)
+        is_mass_expiry = count >= MASS_EXPIRY_MIN_COUNT and count > MASS_EXPIRY_SHARE * len(self.instances)
+        # Leases that a grace period has already retained do not begin another one.
+        has_new_expiry = now_ms in recent_expiries_ms
+        if not is_mass_expiry or not has_new_expiry or now_ms < self.grace_end_ms:
             return
         self.grace_end_ms = now_ms + GRACE_PERIOD_MS
         self._warn(
-            f"{len(recent)} of {len(self.instances)} leases expired in "
+            f"{count} of {len(self.instances)} leases expired in "
             f"{MASS_EXPIRY_WINDOW_MS // MS_PER_SECOND} s: retained for {GRACE_PERIOD_MS // MS_PER_SECOND} s, "
             "as the registry may have been cut off"
         )
 
     def begin_grace_period(self, now_ms: int, reason: str) -> None:
-        """Retain all instances for the grace period, as renewals may have been missed; `reason` is logged."""
+        """Retain all instances for `GRACE_PERIOD_MS`, as renewals may have been missed; log `reason`."""
         grace_end_ms = now_ms + GRACE_PERIOD_MS
         self.grace_end_ms = max(self.grace_end_ms, grace_end_ms)
-        self._checked_ms = now_ms
+        self._last_lease_check_ms = now_ms
         if self.instances:
             grace_period_s = GRACE_PERIOD_MS // MS_PER_SECOND
             self._warn(f"{reason}: {len(self.instances)} leases are retained for {grace_period_s} s")
@@ -256,10 +266,10 @@
         return WatchUpdate(self.generation, True, tuple(self.instances.values()))
 
     def update_after(self, generation: int) -> WatchUpdate:
-        """Return what changed after `generation`; the complete list if that is not in this history."""
+        """Return the changes after `generation`, or the complete list if that is not in this history."""
         update = update_since(self.history, self.floor, self.generation, generation)
         return update or self.full_update()
 
 
-def _is_same_registration(instance: Instance, known: Instance) -> bool:
-    return replace(instance, lifecycle=known.lifecycle, generation=known.generation) == known
+def _is_same_registration(instance: Instance, existing: Instance) -> bool:
+    return replace(instance, lifecycle=existing.lifecycle, generation=existing.generation) == existing
--- a/thistletrail/registry/watch_update.py
+++ b/thistletrail/registry/watch_update.py
@@ -1,6 +1,6 @@
-"""What a reader of the registry receives, its JSON form, and how it follows from a history of changes.
+"""Updates that readers of the registry receive, their JSON format, and their construction from a history.
 
-The JSON form is the one that discovery expects: an object with `generation`, `reset` and `instances`.
+The JSON format is that of the discovery protocol: an object with `generation`, `reset` and `instances`.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     "weight": "weight",
     "started_ms": "startedAtMs",
 }
-"""Keys of an entry on the wire by field of `Instance`, in the order in which they are sent."""
+"""Key of each field of `Instance` in an entry on the wire, in the order in which the keys are sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchUpdate:
-    """The complete endpoint list if `is_reset`, else each instance that changed, once, in its last state.
+    """The complete endpoint list if `is_reset`, otherwise each changed instance once, in its last state.
 
     `generation` is that of the registry after the update.
     """
@@ -40,7 +40,7 @@
 
 
 def encode_update(update: WatchUpdate) -> bytes:
-    """Return the update as one line of JSON that ends with a newline."""
+    """Return the update as one line of JSON, with its newline."""
     value = {
         "generation": update.generation,
         "reset": update.is_reset,
@@ -64,19 +64,33 @@
         is_reset = value["reset"]
         entries = value["instances"]
     except (ValueError, KeyError, TypeError, RecursionError) as error:
-        raise MalformedResponseError("a line of the watch is not a watch update") from error
+        raise MalformedResponseError(
+            "expected a JSON object with generation, reset and instances in a watch line: "
+            f"{type(error).__name__}: {error}"
+        ) from error
     if type(generation) is not int or not 0 <= generation <= MAX_GENERATION:
-        raise MalformedResponseError("the generation of a watch update is not a generation")
+        raise MalformedResponseError(
+            f"expected an integer from 0 to {MAX_GENERATION} as generation of a watch update, "
+            f"found an invalid {type(generation).__name__}"
+        )
     if type(is_reset) is not bool:
-        raise MalformedResponseError("reset of a watch update is neither true nor false")
+        raise MalformedResponseError(
+            f"expected true or false as reset of a watch update, found {type(is_reset).__name__}"
+        )
     if not isinstance(entries, list) or len(entries) > MAX_INSTANCES + MAX_HISTORY:
-        raise MalformedResponseError("the instances of a watch update are not a list of bounded length")
+        found = f"{len(entries)} entries" if isinstance(entries, list) else type(entries).__name__
+        raise MalformedResponseError(
+            f"expected a list of at most {MAX_INSTANCES + MAX_HISTORY} instances in a watch update, "
+            f"found {found}"
+        )
     return WatchUpdate(generation, is_reset, tuple(_decode_entry(entry, generation) for entry in entries))
 
 
 def _decode_entry(entry: object, generation: int) -> Instance:
     if not isinstance(entry, Mapping) or entry.get("lifecycle") not in tuple(Lifecycle):
-        raise MalformedResponseError("an entry of a watch update has no known lifecycle")
+        raise MalformedResponseError(
+            f"expected one of the lifecycles {', '.join(Lifecycle)} in each entry of a watch update"
+        )
     values = {
         field: entry[key] for field, key in WIRE_KEY_OF_FIELD.items() if field != "lifecycle" and key in entry
     }
@@ -88,7 +102,7 @@
 
 
 def update_since(history: Sequence[Instance], floor: int, latest: int, generation: int) -> WatchUpdate | None:
-    """Return what changed after `generation`, or None if it is not a generation of this history.
+    """Return the changes after `generation`, or None if that is not a generation of this history.
 
     `history` holds the changes after `floor` up to `latest`, in order of their generations.
     """
@@ -106,7 +120,7 @@
     last_by_id: dict[str, Instance] = {}
     for change in changes:
         if change.generation > generation:
-            # Removed first, so that it moves to the end.
+            # Removed first so that the instance moves to the end of the order.
             last_by_id.pop(change.id, None)
             last_by_id[change.id] = change
     return tuple(last_by_id.values())
--- a/thistletrail/write_ahead_log/__init__.py
+++ b/thistletrail/write_ahead_log/__init__.py
@@ -1,1 +1,1 @@
-"""Write-ahead log: files of checksummed records, synced before the request behind them is answered."""
+"""Write-ahead log: files of checksummed records, synced to disk before a request is answered."""
--- a/thistletrail/write_ahead_log/record_file.py
+++ b/thistletrail/write_ahead_log/record_file.py
@@ -1,8 +1,8 @@
 """Append-only files of checksummed records, and single-record files that are replaced atomically.
 
-A record is a header (magic, length, CRC-32) followed by one JSON value. A record that a crash has truncated
-at the end of an append-only file is dropped with a warning. Damage anywhere else raises `CorruptFileError`,
-because what follows it cannot be trusted.
+A record is a header (magic, length, CRC-32) followed by one JSON value. A last record that a crash truncated
+is dropped with a warning. Damage anywhere else raises `CorruptFileError`, because the records after it cannot
+be trusted.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 """Magic, length of the JSON text in bytes, CRC-32 of that text; in network byte order."""
 
 RECORD_MAGIC = b"RstR"
-"""Stored in every file, so it keeps the value of the first release whatever the package is called."""
+"""Stored in every record, so it keeps the value of the first release, whatever the name of the package."""
 
 TEMPORARY_SUFFIX = ".new"
-"""Of the file that `replace_single_record` writes and then renames; a left-over one is incomplete."""
+"""Suffix of the file that `replace_single_record` writes and then renames; a remaining one is incomplete."""
 
 FILE_MODE = 0o644
-"""Permissions of a record file: its owner writes, everybody reads."""
+"""Permissions of a record file: writable by its owner, readable by all."""
 
 
 class WriteAheadLogError(Exception):
@@ -36,22 +36,22 @@
 
 
 class CorruptFileError(WriteAheadLogError):
-    """Stored data is damaged or inconsistent, and an operator has to look at it.
+    """Stored data is damaged or inconsistent and needs an operator.
 
-    The message is one line that names the file and, where it is known, the place.
+    The message is one line that names the file and, if known, the position of the damage.
     """
 
 
 class WriteFailedError(WriteAheadLogError):
-    """Records could not be stored, for example on a full disk; the file is as before, so a retry is safe.
+    """Records could not be stored, for example on a full disk; the file is unchanged, so a retry is safe.
 
-    The message is the operating system's reason.
+    The message is the error text of the operating system.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class DecodedRecord:
-    """One record of a file and the offset in bytes at which the next one begins."""
+    """The value of one record and the byte offset of its end."""
 
     value: object
     end: int
@@ -59,20 +59,20 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedRecords:
-    """The complete records at the start of a file and the offset in bytes at which they end."""
+    """The values of the complete records at the start of a file and the byte offset of their end."""
 
     values: list[object]
     end: int
 
 
 def encode_record(value: object) -> bytes:
-    """Return the header and the compact JSON text of `value`; a NaN or an infinity raises `ValueError`."""
+    """Return the record with `value` as compact JSON; raises `ValueError` for a NaN or an infinity."""
     text = json.dumps(value, separators=(",", ":"), allow_nan=False).encode()
     return RECORD_HEADER.pack(RECORD_MAGIC, len(text), zlib.crc32(text)) + text
 
 
 def decode_record(data: bytes, offset: int) -> DecodedRecord | None:
-    """Return the record that begins at `offset` bytes, or None if there is no complete and valid one."""
+    """Return the record that begins at byte `offset`, or None if none there is complete and valid."""
     if len(data) - offset < RECORD_HEADER.size:
         return None
     magic, length, checksum = RECORD_HEADER.unpack_from(data, offset)
@@ -88,7 +88,7 @@
 
 
 def decode_records(data: bytes, file_name: str) -> DecodedRecords:
-    """Decode all records up to a truncated tail, if there is one.
+    """Decode the records of a file, except for a truncated tail; `file_name` appears in errors.
 
     Raises `CorruptFileError` if a valid record follows a damaged one: a crash damages only the tail.
     """
@@ -106,7 +106,7 @@
 
 
 def has_record_after(data: bytes, offset: int) -> bool:
-    """Whether a valid record begins anywhere behind `offset`."""
+    """Whether a valid record begins anywhere after byte `offset`."""
     candidate = data.find(RECORD_MAGIC, offset + 1)
     while candidate >= 0:
         if decode_record(data, candidate) is not None:
@@ -116,9 +116,9 @@
 
 
 class RecordFile:
-    """An append-only file of records. One process at a time may have it open.
+    """An append-only file of records. Only one process at a time may have it open.
 
-    `size_bytes` and `record_count` describe what is stored; both are 0 until `open` has been called.
+    `size_bytes` and `record_count` describe the stored records; both are 0 until `open` is called.
     """
 
     def __init__(self, path: Path) -> None:
@@ -128,9 +128,9 @@
         self._descriptor: int | None = None
 
     def open(self) -> list[object]:
-        """Open or create the file, cut off a truncated tail and return the values of all records.
+        """Open or create the file, remove a truncated tail and return the values of all records.
 
-        Raises `CorruptFileError` for damage before the tail, and `OSError` if the file cannot be opened.
+        Raises `CorruptFileError` for damage before the tail and `OSError` if the file cannot be opened.
         """
         data = self.path.read_bytes() if self.path.exists() else b""
         decoded = decode_records(data, str(self.path))
@@ -146,9 +146,9 @@
         return decoded.values
 
     def append(self, values: Iterable[object]) -> None:
-        """Write records and sync them to disk, all or none; no effect on a file that is not open.
+        """Write records and sync them to disk, all or none; no effect if the file is not open.
 
-        Raises `WriteFailedError` if the operating system cannot store them.
+        Raises `WriteFailedError` if the operating system cannot store the records.
         """
         records = [encode_record(value) for value in values]
         data = b"".join(records)
@@ -169,7 +169,7 @@
         os.fsync(descriptor)
 
     def clear(self) -> None:
-        """Remove all records, once a snapshot has taken their place; no effect on a file that is not open."""
+        """Remove all records after a snapshot has replaced them; no effect if the file is not open."""
         if self._descriptor is None:
             return
         os.ftruncate(self._descriptor, 0)
@@ -178,14 +178,14 @@
         self.record_count = 0
 
     def close(self) -> None:
-        """Release the file; a second call has no effect."""
+        """Close the file; a second call has no effect."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
 
 
 def read_single_record(path: Path) -> object | None:
-    """Return the value of a file that `replace_single_record` wrote, or None if there is no file.
+    """Return the value in a file written by `replace_single_record`, or None if there is no file.
 
     Raises `CorruptFileError` if the file is not exactly one valid record.
     """
@@ -194,14 +194,14 @@
     data = path.read_bytes()
     record = decode_record(data, 0)
     if record is None or record.end != len(data):
-        raise CorruptFileError(f"{path} is damaged")
+        raise CorruptFileError(f"{path} is damaged: expected one valid record in its {len(data)} bytes")
     return record.value
 
 
 def replace_single_record(path: Path, value: object) -> None:
-    """Atomically replace a file by one record and sync it, so that a crash leaves the old or the new one.
+    """Atomically replace a file by one record and sync it: a crash leaves the old file or the new one.
 
-    Raises `OSError` if it cannot be written; the old file then stays.
+    Raises `OSError` if the new file cannot be written; the old one then remains.
     """
     temporary_path = path.with_name(path.name + TEMPORARY_SUFFIX)
     with temporary_path.open("wb") as file:
@@ -213,7 +213,7 @@
 
 
 def sync_directory(path: Path) -> None:
-    """Sync a directory, so that files created or renamed in it survive a power failure."""
+    """Sync a directory to disk, so that files created or renamed in it survive a power failure."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
