--- a/tests/test_process_lifetime.py
+++ b/tests/test_process_lifetime.py
@@ -1,4 +1,4 @@
-"""A child ends with its parent, also where the parent is killed before the child could ask for that."""
+"""A child process ends with its parent, even if the parent is killed before the child calls prctl."""
 
 import os
 import select
@@ -8,36 +8,37 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-GONE_S = 20.0  # for a killed process to be gone: machines may be slow
-# Starts a child that says its process id, waits until its parent is gone, and only then asks to die with it.
-PARENT = """
+EXIT_TIMEOUT_S = 20.0
+
+# Starts a child that writes its process id to the pipe and calls die_with_parent after its parent has ended.
+PARENT_CODE = """
 import os, subprocess, sys, time
 from thistletrail.process_lifetime import die_with_parent
 
 parent, pipe = os.getpid(), int(sys.argv[1])
 
-def ask_too_late():
+def call_too_late():
     os.write(pipe, b"%d" % os.getpid())
     while os.getppid() == parent:
         time.sleep(0.01)
     die_with_parent(parent)
 
 sleep = [sys.executable, "-c", "import time; time.sleep(600)"]
-subprocess.Popen(sleep, preexec_fn=ask_too_late, pass_fds=[pipe])
+subprocess.Popen(sleep, preexec_fn=call_too_late, pass_fds=[pipe])
 """
 
 
-def test_child_ends_whose_parent_was_killed_before_it_asked() -> None:
+def test_a_child_ends_if_its_parent_was_killed_before_the_call_to_prctl() -> None:
     reader, writer = os.pipe()
-    parent = subprocess.Popen([sys.executable, "-c", PARENT, str(writer)], cwd=ROOT, pass_fds=[writer])
+    parent = subprocess.Popen([sys.executable, "-c", PARENT_CODE, str(writer)], cwd=ROOT, pass_fds=[writer])
     os.close(writer)
-    child = int(os.read(reader, 32))
+    child_pid = int(os.read(reader, 32))
     parent.kill()
     parent.wait()
-    ended, _, _ = select.select([reader], [], [], GONE_S)
+    readable, _, _ = select.select([reader], [], [], EXIT_TIMEOUT_S)
     try:
-        assert ended and os.read(reader, 1) == b""  # nobody has the other end any more
+        assert readable and os.read(reader, 1) == b""  # no process holds the write end any more
     finally:
         os.close(reader)
-        if not ended:
-            os.kill(child, signal.SIGKILL)
+        if not readable:
+            os.kill(child_pid, signal.SIGKILL)
--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -1,4 +1,4 @@
-"""A gateway before scan servers that register with the registry, which fails in several ways."""
+"""A gateway and scan servers that register with a registry, while the registry fails in several ways."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class RestartableRegistry:
-    """A registry that can be killed and started again at its address."""
+    """A registry that can be stopped and started again at the same address."""
 
     def __init__(self, port: int = 0) -> None:
         self.port = port
@@ -39,53 +39,55 @@
 
 
 @contextlib.asynccontextmanager
-async def registered(service: Address, *names: str) -> AsyncIterator[dict[str, tuple[Backend, Registration]]]:
-    """Stub scan servers that have registered."""
-    found = {}
+async def registered_servers(
+    registry: Address, *names: str
+) -> AsyncIterator[dict[str, tuple[Backend, Registration]]]:
+    """Start stub scan servers, register them, and yield both by name."""
+    servers = {}
     for number, name in enumerate(names):
         backend = Backend()
         host, port = await backend.start()
         settings = InstanceSettings(address=f"{host}:{port}", zone="a", machine_type="m2")
-        registration = Registration(f"{service[0]}:{service[1]}", name, settings, random.Random(number))
+        registration = Registration(f"{registry[0]}:{registry[1]}", name, settings, random.Random(number))
         await registration.start()
-        found[name] = backend, registration
+        servers[name] = backend, registration
     try:
-        yield found
+        yield servers
     finally:
-        for _, registration in found.values():
+        for _, registration in servers.values():
             await registration.aclose()
 
 
-async def gateway_at(discovery: Address) -> GatewayServer:
+async def start_gateway(discovery: Address) -> GatewayServer:
     gateway = GatewayServer(replace(CONFIG, discovery=(discovery,)))
     await gateway.start()
     return gateway
 
 
 async def send_queries(client: Client, count: int, prefix: str) -> None:
-    """So many requests, each of which has to be served."""
+    """Send `count` requests and assert that each is served."""
     for number in range(count):
         assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
 async def wait_until_known(gateway: GatewayServer, *names: str, state: ServerState = ServerState.UP) -> None:
-    """Wait until the gateway knows just these in that state."""
+    """Wait until exactly these scan servers have that state at the gateway."""
 
-    def found() -> set[str]:
+    def names_in_state() -> set[str]:
         return {
             name for name, server in gateway.policy.servers_by_name.items() if server.entry.state is state
         }
 
-    while found() != set(names):
+    while names_in_state() != set(names):
         await asyncio.sleep(0.01)
 
 
-def test_no_request_fails_while_the_registry_is_killed_and_comes_back(tmp_path: Path) -> None:
+def test_no_request_fails_while_the_registry_is_stopped_and_restarted(tmp_path: Path) -> None:
     async def scenario() -> None:
         registry = RestartableRegistry()
         address = await registry.start(RegistryService(tmp_path))
-        async with registered(address, "s-1", "s-2"):
-            gateway = await gateway_at(address)
+        async with registered_servers(address, "s-1", "s-2"):
+            gateway = await start_gateway(address)
             await wait_until_known(gateway, "s-1", "s-2")
             client = await Client.open(gateway.address)
             await send_queries(client, 5, "before")
@@ -93,7 +95,7 @@
             await send_queries(client, 20, "away")
             await registry.start(RegistryService(tmp_path))
             await send_queries(client, 5, "back")
-            async with registered(address, "s-3"):
+            async with registered_servers(address, "s-3"):
                 await wait_until_known(gateway, "s-1", "s-2", "s-3")
                 await send_queries(client, 5, "more")
             gateway.close()
@@ -102,19 +104,19 @@
     run(scenario())
 
 
-def test_a_drain_reported_by_the_registry_is_obeyed_at_once(tmp_path: Path) -> None:
+def test_a_draining_scan_server_gets_no_more_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
         registry = RestartableRegistry()
         address = await registry.start(RegistryService(tmp_path))
-        async with registered(address, "s-1", "s-2") as servers:
-            gateway = await gateway_at(address)
+        async with registered_servers(address, "s-1", "s-2") as servers:
+            gateway = await start_gateway(address)
             await wait_until_known(gateway, "s-1", "s-2")
             client = await Client.open(gateway.address)
             await servers["s-1"][1].drain()
             await wait_until_known(gateway, "s-1", state=ServerState.DRAINING)
-            before = len(servers["s-1"][0].commands)
+            commands_before = len(servers["s-1"][0].commands)
             await send_queries(client, 20, "drained")
-            assert len(servers["s-1"][0].commands) == before
+            assert len(servers["s-1"][0].commands) == commands_before
             await servers["s-1"][1].deregister()
             await wait_until_known(gateway, "s-2")
             await send_queries(client, 5, "left")
@@ -124,22 +126,22 @@
     run(scenario())
 
 
-def test_a_registry_that_lost_its_data_is_filled_again_by_its_scan_servers(tmp_path: Path) -> None:
+def test_scan_servers_register_again_with_a_registry_that_lost_its_data(tmp_path: Path) -> None:
     async def scenario() -> None:
         registry = RestartableRegistry()
         address = await registry.start(RegistryService(tmp_path / "a"))
-        async with registered(address, "s-1") as servers:
+        async with registered_servers(address, "s-1") as servers:
             _, registration = servers["s-1"]
-            registration.renewal_interval_s = 0.1  # renews soon, and so finds out soon
+            registration.renewal_interval_s = 0.1  # a renewal tells the server that it must register again
             await registration.stop_renewing()
             registration.start_renewing()
-            gateway = await gateway_at(address)
+            gateway = await start_gateway(address)
             await wait_until_known(gateway, "s-1")
             client = await Client.open(gateway.address)
             await registry.stop()
-            fresh = RegistryService(tmp_path / "b")
-            await registry.start(fresh)
-            while not fresh.store.instances:
+            empty_registry = RegistryService(tmp_path / "b")
+            await registry.start(empty_registry)
+            while not empty_registry.store.instances:
                 await asyncio.sleep(0.01)
             await wait_until_known(gateway, "s-1")
             await send_queries(client, 5, "again")
@@ -149,20 +151,20 @@
     run(scenario())
 
 
-def test_a_gateway_reads_a_follower_and_is_moved_to_another(tmp_path: Path) -> None:
+def test_a_gateway_reads_from_a_follower_and_switches_to_the_primary(tmp_path: Path) -> None:
     async def scenario() -> None:
         registry, follower_registry = RestartableRegistry(), RestartableRegistry()
-        first = await registry.start(RegistryService(tmp_path))
-        async with registered(first, "s-1") as servers:
-            follower = Follower(f"{first[0]}:{first[1]}", random.Random(1))
-            second = await follower_registry.start(follower)
+        primary_address = await registry.start(RegistryService(tmp_path))
+        async with registered_servers(primary_address, "s-1") as servers:
+            follower = Follower(f"{primary_address[0]}:{primary_address[1]}", random.Random(1))
+            follower_address = await follower_registry.start(follower)
             while not follower.replica.instances:
                 await asyncio.sleep(0.01)
-            gateway = await gateway_at(second)
+            gateway = await start_gateway(follower_address)
             await wait_until_known(gateway, "s-1")
             client = await Client.open(gateway.address)
             await send_queries(client, 5, "follower")
-            gateway.reconfigure(replace(gateway.config, discovery=(first,)))  # as SIGHUP does
+            gateway.reconfigure(replace(gateway.config, discovery=(primary_address,)))  # as SIGHUP does
             await follower_registry.stop()
             await servers["s-1"][1].drain()
             await wait_until_known(gateway, "s-1", state=ServerState.DRAINING)
--- a/tests/test_registry_stored_bytes.py
+++ b/tests/test_registry_stored_bytes.py
@@ -1,6 +1,6 @@
-"""Files of the registry as the first release wrote them: they are read, and written byte for byte, as then.
+"""The registry reads the files of its first release and writes the same bytes.
 
-The bytes were recorded with revision a1df16a, whose registry was still a package of its own.
+The bytes were recorded at revision a1df16a, whose registry was still a separate package.
 """
 
 from contextlib import closing
@@ -78,7 +78,7 @@
 
 
 def apply_step(store: Store, step: int) -> None:
-    """Make the change behind one element of ALL_RECORDS."""
+    """Make the change that the element of ALL_RECORDS at index `step` records."""
     if step == 0:
         store.register(FULL_INSTANCE, 0)
     elif step == 1:
@@ -96,7 +96,7 @@
     (directory / "log").write_bytes(records)
 
 
-def test_a_new_history_has_the_recorded_files(tmp_path: Path) -> None:
+def test_a_new_history_writes_the_recorded_files(tmp_path: Path) -> None:
     with closing(Journal(tmp_path)) as journal:
         journal.open(UNIX_MS, 0)
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == {
@@ -141,7 +141,7 @@
     assert store.instances == {"s-3": replace(INSTANCE_AT_REUSED_ADDRESS, generation=FIRST_GENERATION + 6)}
 
 
-def test_an_incomplete_last_record_is_cut_off(tmp_path: Path) -> None:
+def test_an_incomplete_last_record_is_removed(tmp_path: Path) -> None:
     write_directory(tmp_path, REGISTER_RECORD + DRAIN_RECORD[:40])
     with closing(Journal(tmp_path)) as journal:
         store = journal.open(UNIX_MS, 0)
--- a/thistletrail/registry/store.py
+++ b/thistletrail/registry/store.py
@@ -17,7 +17,7 @@
 from thistletrail.registry.watch_update import WatchUpdate, update_since
 
 GENERATIONS_PER_MS = 1024
-"""The first generation of a new history is the Unix time in milliseconds times this factor.
+"""A new history begins at the generation that is the Unix time in milliseconds times this factor.
 
 A history that begins after the loss of all data therefore starts above the earlier one, unless that one had
 more than this many changes per millisecond. Generations stay below `MAX_GENERATION` until the year 2248.
