--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -1,4 +1,4 @@
-"""The lease service: its journal over crashes, its wire, a standby, several processes with faults between."""
+"""Tests of the lease service: journal recovery, leadership, its HTTP interface, and processes that fail."""
 
 import asyncio
 import contextlib
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("", "missing required field `budgets`"),
         ("x = 1", "x"),
@@ -83,32 +83,32 @@
         ("nonsense", "c.toml: "),
     ],
 )
-def test_what_is_wrong_with_a_configuration_is_one_line(tmp_path: Path, text: str, said: str) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
     path = tmp_path / "c.toml"
     path.write_text(text)
     with pytest.raises(ConfigError) as caught:
         read_config(path)
-    assert said in str(caught.value) and "\n" not in str(caught.value)
+    assert expected in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_budgets_are_known_by_the_form_of_their_names() -> None:
+def test_budgets_get_limits_by_the_pattern_of_their_names() -> None:
     assert CONFIG.limits_of("rate/a") == LIMITS["rate/a"] and CONFIG.limits_of("open") == LIMITS["open"]
     assert CONFIG.limits_of("other") is None and CONFIG.limits_of("rate/" + "x" * 200) is None
 
 
-# --- the log ---
+# --- the journal ---
 
 
 @pytest.fixture
-def still(monkeypatch: pytest.MonkeyPatch) -> int:
-    """A clock that stands still, so that no lease is over however slow the machine is."""
+def fixed_now_ms(monkeypatch: pytest.MonkeyPatch) -> int:
+    """Stop the journal's clock, so that no lease ends on a slow machine."""
     now = now_ms()
     monkeypatch.setattr(journal_module, "now_ms", lambda: now)
     return now
 
 
-def grown(folder: Path, now: int, count: int = 6) -> list[int]:
-    """A folder with some acknowledged grants; the log's size after each."""
+def write_grants(folder: Path, now: int, count: int = 6) -> list[int]:
+    """Journal `count` grants in a new folder; return the log's size after each."""
     begin_history(folder, CONFIG)
     journal = Journal(begin_term(folder))
     state = journal.open(CONFIG).budgets
@@ -121,32 +121,32 @@
             serial=serial,
             budgets=(BudgetRequest(budget="open", demand=9),),
         )
-        answer = state.renew(request, now)
+        response = state.renew(request, now)
         holder = f"{serial % 3}/1"
         journal.append([HolderGrant("open", holder, state.budgets["open"].holdings[holder].issued[-1])])
-        assert answer.grants
+        assert response.grants
         sizes.append(journal.records.size_bytes)
     journal.close()
     return sizes
 
 
 def test_no_acknowledged_grant_is_lost_wherever_the_log_is_cut(
-    tmp_path: Path, still: int, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, fixed_now_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(os, "fsync", lambda file: None)  # what a sync would keep is cut off here
-    sizes = grown(tmp_path / "whole", still)
-    whole = log_of(tmp_path / "whole").read_bytes()
-    for cut in range(sizes[2], len(whole) + 1):
-        journal = Journal(begin_term(copied(tmp_path / "whole", tmp_path / f"{cut}", whole[:cut])))
+    monkeypatch.setattr(os, "fsync", lambda file: None)  # the cuts stand for what was not synced
+    sizes = write_grants(tmp_path / "whole", fixed_now_ms)
+    complete_log = log_of(tmp_path / "whole").read_bytes()
+    for cut in range(sizes[2], len(complete_log) + 1):
+        journal = Journal(begin_term(copied(tmp_path / "whole", tmp_path / f"{cut}", complete_log[:cut])))
         state = journal.open(CONFIG).budgets
         known = sum(size <= cut for size in sizes)
         assert len(list(state.issued_grants())) == known
-        highest = max(held.grant.fence for held in state.issued_grants())
+        highest = max(issued.grant.fence for issued in state.issued_grants())
         answer = state.renew(
             RenewRequest(
                 gateway=9, incarnation=1, serial=0, budgets=(BudgetRequest(budget="open", demand=64),)
             ),
-            still,
+            fixed_now_ms,
         )
         assert answer.grants[0].fence > highest
         assert answer.grants[0].share <= leasable_total(64) - sum(
@@ -155,8 +155,10 @@
         journal.close()
 
 
-def test_damage_is_one_line_and_a_lost_folder_waits_for_the_longest_lease(tmp_path: Path, still: int) -> None:
-    sizes = grown(tmp_path / "whole", still)
+def test_damage_is_reported_in_one_line_and_a_new_folder_waits_for_the_longest_lease(
+    tmp_path: Path, fixed_now_ms: int
+) -> None:
+    sizes = write_grants(tmp_path / "whole", fixed_now_ms)
     data = bytearray(log_of(tmp_path / "whole").read_bytes())
     damaged = bytearray(data)
     damaged[sizes[1] + 20] ^= 1
@@ -164,31 +166,33 @@
         Journal(begin_term(copied(tmp_path / "whole", tmp_path / "damaged", damaged))).open(CONFIG)
     assert "\n" not in str(caught.value)
     fresh = Journal(begin_term(tmp_path / "other"))
-    assert fresh.open(CONFIG).budgets.quiet_until_ms == still + MAX_LEASE_MS
+    assert fresh.open(CONFIG).budgets.quiet_until_ms == fixed_now_ms + MAX_LEASE_MS
     third = copied(tmp_path / "whole", tmp_path / "third", data[: sizes[0]])
     log_of(third).with_name("snapshot").unlink()
     with pytest.raises(CorruptFileError, match="is missing, but there is a log"):
         Journal(begin_term(third)).open(CONFIG)
 
 
-def test_what_was_granted_before_a_restart_of_the_machine_has_the_longest_lease(
-    tmp_path: Path, still: int, monkeypatch: pytest.MonkeyPatch
+def test_grants_of_another_boot_are_kept_for_the_longest_lease(
+    tmp_path: Path, fixed_now_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    grown(tmp_path, still)
+    write_grants(tmp_path, fixed_now_ms)
     monkeypatch.setattr(journal_module, "boot_id", lambda: "another")
     journal = Journal(begin_term(tmp_path))
     state = journal.open(CONFIG).budgets
-    ends = {held.grant.until_ms for held in state.issued_grants()}
-    assert ends == {still + MAX_LEASE_MS} and state.quiet_until_ms == still + MAX_LEASE_MS
+    ends = {issued.grant.until_ms for issued in state.issued_grants()}
+    assert ends == {fixed_now_ms + MAX_LEASE_MS} and state.quiet_until_ms == fixed_now_ms + MAX_LEASE_MS
     journal.close()
 
 
 def held_by(journal: Journal) -> list[HolderGrant]:
-    return sorted(journal.open(CONFIG).budgets.issued_grants(), key=lambda held: held.grant.fence)
+    return sorted(journal.open(CONFIG).budgets.issued_grants(), key=lambda issued: issued.grant.fence)
 
 
-def test_a_snapshot_takes_the_logs_place_and_one_process_has_a_folder(tmp_path: Path, still: int) -> None:
-    grown(tmp_path, still)
+def test_a_snapshot_replaces_the_log_and_one_process_leads_in_a_folder(
+    tmp_path: Path, fixed_now_ms: int
+) -> None:
+    write_grants(tmp_path, fixed_now_ms)
     journal = Journal(begin_term(tmp_path))
     before = held_by(journal)
     assert len(before) == 6 and log_of(tmp_path).stat().st_size == 0
@@ -200,13 +204,13 @@
     again.close()
     with pytest.raises(FolderLockedError, match="there is a history"):
         begin_history(tmp_path, CONFIG)
-    after = Journal(begin_term(tmp_path))  # which has begun a term, and answered nobody
+    after = Journal(begin_term(tmp_path))  # the failed call has begun a term without a journal
     assert held_by(after) == before
     after.close()
 
 
-def test_a_folder_from_before_there_were_terms_is_gone_on_with(tmp_path: Path, still: int) -> None:
-    grown(tmp_path / "now", still)
+def test_a_folder_of_a_revision_without_terms_is_continued(tmp_path: Path, fixed_now_ms: int) -> None:
+    write_grants(tmp_path / "now", fixed_now_ms)
     (tmp_path / "then").mkdir()
     for name in ("log", "snapshot", "lock"):
         (term_folder(tmp_path / "now", 2) / name).rename(tmp_path / "then" / name)
@@ -218,24 +222,24 @@
 # --- leadership ---
 
 
-def test_a_replaced_leader_answers_nothing_more_and_its_successor_knows_all_it_answered(
-    tmp_path: Path, still: int
+def test_a_replaced_leader_stops_answering_and_its_successor_has_all_it_answered(
+    tmp_path: Path, fixed_now_ms: int
 ) -> None:
-    grown(tmp_path, still)
+    write_grants(tmp_path, fixed_now_ms)
     old = Journal(begin_term(tmp_path))
     before = held_by(old)
-    answered = HolderGrant("open", "7/1", IssuedGrant(10**18, 3, still + 1500))
+    answered = HolderGrant("open", "7/1", IssuedGrant(10**18, 3, fixed_now_ms + 1500))
     old.append([answered])
-    late = Term(tmp_path, old.term.number)  # as a standby that has seen no heartbeat
+    late = Term(tmp_path, old.term.number)  # as a standby does that polled without a heartbeat
     with pytest.raises(LeadershipLostError, match="taken over"):
-        old.append([HolderGrant("open", "8/1", IssuedGrant(10**18 + 1, 3, still + 1500))])
+        old.append([HolderGrant("open", "8/1", IssuedGrant(10**18 + 1, 3, fixed_now_ms + 1500))])
     assert not old.term.is_current() and late.is_current()
     new = Journal(late)
     known = held_by(new)
-    # What was written and never answered may be there too.
-    assert [one for one in known if one.holder != "8/1"] == [*before, answered]
+    # A grant that was written and never answered may be there too.
+    assert [grant for grant in known if grant.holder != "8/1"] == [*before, answered]
     with pytest.raises(FolderLockedError):
-        Term(tmp_path, old.term.number)  # for one process alone
+        Term(tmp_path, old.term.number)  # a term begins once
     old.close()
     new.close()
     last = Journal(begin_term(tmp_path))
@@ -243,8 +247,10 @@
     last.close()
 
 
-def test_a_term_whose_process_died_before_it_answered_anything_is_skipped(tmp_path: Path, still: int) -> None:
-    grown(tmp_path, still)
+def test_a_term_whose_process_died_before_it_answered_anything_is_skipped(
+    tmp_path: Path, fixed_now_ms: int
+) -> None:
+    write_grants(tmp_path, fixed_now_ms)
     for _ in range(3):
         term = begin_term(tmp_path)
         term.close()
@@ -253,7 +259,7 @@
     journal.close()
 
 
-def test_a_process_that_died_before_it_had_a_lock_keeps_nobody_out(
+def test_a_term_whose_process_died_before_it_had_a_lock_is_replaced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("thistletrail.leasing.leadership.POLL_INTERVAL_S", 0.001)
@@ -263,8 +269,8 @@
     term.close()
 
 
-def test_a_program_from_before_there_were_terms_is_not_replaced(tmp_path: Path) -> None:
-    """It gives no heartbeat, and would go on beside its successor."""
+def test_a_running_revision_without_terms_is_not_replaced(tmp_path: Path) -> None:
+    """It sends no heartbeats, and would keep running beside its successor."""
     lock = os.open(tmp_path / "lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(lock, fcntl.LOCK_EX)
     watch = LeaderWatch(tmp_path)
@@ -277,7 +283,7 @@
     assert watch.ended_term() == 0
 
 
-def test_a_folder_that_was_lost_and_made_again_is_not_the_same_term(tmp_path: Path, still: int) -> None:
+def test_a_term_ends_when_its_folder_is_removed_and_created_again(tmp_path: Path, fixed_now_ms: int) -> None:
     begin_history(tmp_path / "data", CONFIG)
     old = Journal(begin_term(tmp_path / "data"))
     old.open(CONFIG)
@@ -288,11 +294,11 @@
     assert again.number == old.term.number and again.is_current()
     with pytest.raises(LeadershipLostError):
         old.append([])
-    for one in (old, new, again):
-        one.close()
+    for closable in (old, new, again):
+        closable.close()
 
 
-def test_a_standby_goes_by_heartbeats_and_not_by_its_own_time(tmp_path: Path) -> None:
+def test_a_standby_counts_polls_without_a_heartbeat_and_reads_no_clock(tmp_path: Path) -> None:
     term = begin_term(tmp_path)
     watch = LeaderWatch(tmp_path)
     for number in range(3 * MAX_POLLS_WITHOUT_HEARTBEAT):
@@ -300,16 +306,16 @@
         assert watch.ended_term() is None
     term.heartbeat()
     assert term.path.stat().st_mtime_ns > 3 * MAX_POLLS_WITHOUT_HEARTBEAT and watch.ended_term() is None
-    looks = [watch.ended_term() for _ in range(MAX_POLLS_WITHOUT_HEARTBEAT)]
-    assert looks == [None] * (MAX_POLLS_WITHOUT_HEARTBEAT - 1) + [1]  # none was seen in so many looks
+    polls = [watch.ended_term() for _ in range(MAX_POLLS_WITHOUT_HEARTBEAT)]
+    assert polls == [None] * (MAX_POLLS_WITHOUT_HEARTBEAT - 1) + [1]
     term.close()
     assert LeaderWatch(tmp_path).ended_term() == 1  # its process has ended
 
 
-def test_a_full_disk_leaves_the_log_as_it_was(
-    tmp_path: Path, still: int, monkeypatch: pytest.MonkeyPatch
+def test_a_full_disk_leaves_the_log_unchanged(
+    tmp_path: Path, fixed_now_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    grown(tmp_path, still)
+    write_grants(tmp_path, fixed_now_ms)
     journal = Journal(begin_term(tmp_path))
     state = journal.open(CONFIG).budgets
     journal.append(list(state.issued_grants())[:1])
@@ -326,12 +332,12 @@
     journal.close()
 
 
-# --- the wire, and several processes ---
+# --- the HTTP interface, and several processes ---
 
 
 @dataclass
 class Fleet:
-    """A lease service with its standbys, and holders, each a process of its own."""
+    """A lease service with standbys, and holders; each is a separate process."""
 
     folder: Path
     services: list[Process] = field(default_factory=list)
@@ -340,7 +346,7 @@
     holders: dict[int, Process] = field(default_factory=dict)
     starts: int = 0
 
-    def words(self, number: int) -> tuple[str, ...]:
+    def arguments(self, number: int) -> tuple[str, ...]:
         host, port = self.addresses[number]
         return (
             "-m",
@@ -358,16 +364,16 @@
         )
 
     async def service(self, number: int) -> Process:
-        """Started, and waited for until it serves."""
-        process, _ = await start_program(self.words(number), self.folder / f"service-{number}.log")
+        """Start a lease service, and wait until it serves."""
+        process, _ = await start_program(self.arguments(number), self.folder / f"service-{number}.log")
         self.services.append(process)
         return process
 
     def standby(self, number: int) -> None:
-        """Started, and not waited for: it serves once the other has gone."""
+        """Start a standby without waiting; it serves once the leader has ended."""
         self.standbys.append(
             subprocess.Popen(
-                [sys.executable, *self.words(number)],
+                [sys.executable, *self.arguments(number)],
                 cwd=ROOT,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
@@ -380,10 +386,10 @@
             process.wait()
         self.standbys.clear()
 
-    def granted_after(self, moment: int, part: int = 50) -> bool:
-        """Whether so much is held by grants that were all taken over later than that."""
-        return self.held("open") >= part and all(
-            record["at"] > moment for record in self.last("open").values()
+    def granted_after(self, after_ms: int, min_share: int = 50) -> bool:
+        """Return whether `min_share` is held, by grants that were all adopted after `after_ms`."""
+        return self.held("open") >= min_share and all(
+            record["at"] > after_ms for record in self.last("open").values()
         )
 
     async def holder(self, gateway: int, demand: int = 1000) -> None:
@@ -406,40 +412,40 @@
         )
 
     def records(self) -> list[dict]:
-        found = [
+        records = [
             msgspec.json.decode(line)
             for path in self.folder.glob("holder-*.jsonl")
             for line in path.read_bytes().splitlines()
         ]
-        return sorted(found, key=lambda record: record["at"])
+        return sorted(records, key=lambda record: record["at"])
 
     def held(self, budget: str, gateway: int | None = None) -> int:
-        """What holders may use now, by what they noted."""
+        """Return the sum of shares that holders may use now, by their records."""
         now = now_ms()
         return sum(
             record["part"]
-            for (who, _), record in self.last(budget).items()
-            if record["until"] > now and gateway in (None, who)
+            for (holder_id, _), record in self.last(budget).items()
+            if record["until"] > now and gateway in (None, holder_id)
         )
 
     def last(self, budget: str) -> dict[tuple[int, int], dict]:
-        """Each holder's last grant."""
+        """Return each holder's latest record of a grant."""
         return {
             (record["door"], record["mark"]): record
             for record in self.records()
             if record["kind"] == "held" and record["budget"] == budget
         }
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, holds: Callable[[], bool]) -> None:
         async with asyncio.timeout(30):
             while not holds():
                 await asyncio.sleep(0.05)
 
 
 @contextlib.asynccontextmanager
-async def fleet(folder: Path, holders: int) -> AsyncIterator[Fleet]:
+async def running_fleet(folder: Path, holders: int) -> AsyncIterator[Fleet]:
     hosts = [f"127.77.{os.getpid() % 256}.{number}" for number in (1, 2, 3)]
-    found = Fleet(folder, addresses=[(host, free_port(host=host)) for host in hosts])
+    fleet = Fleet(folder, addresses=[(host, free_port(host=host)) for host in hosts])
     (folder / "c.toml").write_text(
         "doors = 16\nlease_ms = 1500\n[[budgets]]\nname = 'rate/*'\nrate = 200.0\nburst = 40\n"
         "[[budgets]]\nname = 'open'\nopen = 64\n"
@@ -447,40 +453,42 @@
     (folder / "secret").write_text(SECRET)
     begin_history(folder / "data", CONFIG)
     try:
-        await found.service(0)
-        found.standby(1)
-        found.standby(2)
-        await asyncio.gather(*(found.holder(gateway) for gateway in range(holders)))
-        yield found
+        await fleet.service(0)
+        fleet.standby(1)
+        fleet.standby(2)
+        await asyncio.gather(*(fleet.holder(gateway) for gateway in range(holders)))
+        yield fleet
     finally:
-        for process in (*found.services, *found.holders.values()):
+        for process in (*fleet.services, *fleet.holders.values()):
             process.kill()
             await process.process.wait()
-        found.kill_standbys()
+        fleet.kill_standbys()
 
 
-def most_held(records: list[dict], budget: str) -> int:
-    """The most that all holders together believed in at any moment: each grant counts until it is left behind
-    by a later one of its holder, or its lease is over."""
-    changes, open_ = [], {}
+def max_held(records: list[dict], budget: str) -> int:
+    """Return the largest sum of shares that all holders could use at any moment.
+
+    Each grant counts until its holder adopts a later one, or its lease ends.
+    """
+    deltas, open_ = [], {}
     for record in records:
         if record["kind"] == "held" and record["budget"] == budget:
-            who = record["door"], record["mark"]
-            if who in open_:
-                at, until, part = open_.pop(who)
-                changes += [(at, part), (min(until, record["at"]), -part)]
-            open_[who] = record["at"], record["until"], record["part"]
+            holder_id = record["door"], record["mark"]
+            if holder_id in open_:
+                at, until, part = open_.pop(holder_id)
+                deltas += [(at, part), (min(until, record["at"]), -part)]
+            open_[holder_id] = record["at"], record["until"], record["part"]
     for at, until, part in open_.values():
-        changes += [(at, part), (until, -part)]
-    most = total = 0
-    for _, change in sorted(changes):
-        total += change
-        most = max(most, total)
-    return most
+        deltas += [(at, part), (until, -part)]
+    maximum = total = 0
+    for _, delta in sorted(deltas):
+        total += delta
+        maximum = max(maximum, total)
+    return maximum
 
 
-def overdrawn(records: list[dict], budget: str) -> float:
-    """By how much all that was spent ever went beyond one store of the total."""
+def overspent_units(records: list[dict], budget: str) -> float:
+    """Return by how many units the spends exceeded one token bucket with the budget's rate and burst."""
     spent = [record["at"] for record in records if record["kind"] == "spent" and record["budget"] == budget]
     limits, worst = LIMITS[budget], 0.0
     store = Store(limits.total / 1000, limits.burst, spent[0] * 1000 if spent else 0)
@@ -489,143 +497,147 @@
     return -worst
 
 
-def kept_within(found: Fleet) -> None:
-    records = found.records()
-    assert most_held(records, "open") <= leasable_total(64)
-    assert most_held(records, "rate/a") <= leasable_total(200_000)
-    assert overdrawn(records, "rate/a") <= 1.0  # times are noted in whole milliseconds
+def assert_within_total(fleet: Fleet) -> None:
+    records = fleet.records()
+    assert max_held(records, "open") <= leasable_total(64)
+    assert max_held(records, "rate/a") <= leasable_total(200_000)
+    assert overspent_units(records, "rate/a") <= 1.0  # times are recorded in whole milliseconds
     fences = [record["fence"] for record in records if record["kind"] == "held"]
     assert len(set(fences)) == len(fences)
 
 
-def run(job: Callable[[Fleet], object], folder: Path, holders: int) -> None:
-    async def act() -> None:
-        async with fleet(folder, holders) as found:
-            await job(found)
-        kept_within(found)
+def run(scenario: Callable[[Fleet], object], folder: Path, holders: int) -> None:
+    async def run_scenario() -> None:
+        async with running_fleet(folder, holders) as fleet:
+            await scenario(fleet)
+        assert_within_total(fleet)
 
-    asyncio.run(act())
+    asyncio.run(run_scenario())
 
 
-def test_a_standby_goes_on_with_all_grants_when_the_leader_is_killed(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        await found.until(lambda: found.held("open") >= 50)
-        for process in found.services:
+def test_a_standby_continues_all_grants_when_the_leader_is_killed(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        for process in fleet.services:
             process.kill()
-        died = now_ms()
-        await found.until(
-            lambda: any(record["kind"] == "held" and record["at"] > died + 200 for record in found.records())
+        killed_ms = now_ms()
+        await fleet.wait_until(
+            lambda: any(
+                record["kind"] == "held" and record["at"] > killed_ms + 200 for record in fleet.records()
+            )
         )
-        await found.until(lambda: found.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
 
-    run(act, tmp_path, 6)
+    run(scenario, tmp_path, 6)
 
 
-def test_a_leader_that_hangs_is_replaced_and_harms_nobody_when_it_wakes(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        await found.until(lambda: found.held("open") >= 50)
-        found.services[0].process.send_signal(signal.SIGSTOP)
-        stopped = now_ms()
-        await found.until(lambda: found.granted_after(stopped + 1500))
-        found.services[0].process.send_signal(signal.SIGCONT)  # with requests under way
-        woke = now_ms()
-        await found.until(lambda: found.granted_after(woke))
-        found.kill_standbys()  # it stands by, and is the last one that is left
-        killed = now_ms()
-        await found.until(lambda: found.granted_after(killed + 1500))
+def test_a_leader_that_hangs_is_replaced_and_does_no_harm_when_it_resumes(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        fleet.services[0].process.send_signal(signal.SIGSTOP)
+        stopped_ms = now_ms()
+        await fleet.wait_until(lambda: fleet.granted_after(stopped_ms + 1500))
+        fleet.services[0].process.send_signal(signal.SIGCONT)  # with requests in progress
+        resumed_ms = now_ms()
+        await fleet.wait_until(lambda: fleet.granted_after(resumed_ms))
+        fleet.kill_standbys()  # the former leader is a standby now, and the only process left
+        killed_ms = now_ms()
+        await fleet.wait_until(lambda: fleet.granted_after(killed_ms + 1500))
 
-    run(act, tmp_path, 6)
+    run(scenario, tmp_path, 6)
 
 
-def test_three_lease_services_killed_one_by_one_and_all_at_once_at_any_moment(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        await found.until(lambda: found.held("open") >= 50)
+def test_shares_stay_within_the_total_when_lease_services_are_killed_at_any_moment(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
         for turn in range(6):
             await asyncio.sleep(0.11 * turn)
-            if turn % 2:  # one of them, whichever has the office
-                found.standbys[turn % len(found.standbys)].kill()
+            if turn % 2:  # one of them, whether it leads or not
+                fleet.standbys[turn % len(fleet.standbys)].kill()
             else:
-                for process in (*found.services, *found.standbys):
+                for process in (*fleet.services, *fleet.standbys):
                     process.kill()
-            found.standby(turn % 3)
-            found.standby((turn + 1) % 3)
-        killed = now_ms()
-        await found.until(lambda: found.granted_after(killed))
+            fleet.standby(turn % 3)
+            fleet.standby((turn + 1) % 3)
+        killed_ms = now_ms()
+        await fleet.wait_until(lambda: fleet.granted_after(killed_ms))
 
-    run(act, tmp_path, 5)
+    run(scenario, tmp_path, 5)
 
 
-def test_a_folder_lost_under_a_living_leader_is_waited_out_by_its_successor(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        await found.until(lambda: found.held("open") >= 50)
-        (found.folder / "data").rename(found.folder / "gone")
-        lost = now_ms()
-        await found.until(lambda: found.granted_after(lost + MAX_LEASE_MS))
-        # What was asked for since then: a lease ends 2% early.
+def test_after_the_loss_of_the_folder_a_successor_waits_for_the_longest_lease(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        (fleet.folder / "data").rename(fleet.folder / "removed")
+        lost_ms = now_ms()
+        await fleet.wait_until(lambda: fleet.granted_after(lost_ms + MAX_LEASE_MS))
+        # Grants that were requested after the loss; a holder stops 2% before its lease ends.
         later = [
             record["at"]
-            for record in found.records()
-            if record["kind"] == "held" and record["until"] - CONFIG.lease_ms * 49 // 50 > lost
+            for record in fleet.records()
+            if record["kind"] == "held" and record["until"] - CONFIG.lease_ms * 49 // 50 > lost_ms
         ]
-        assert min(later) >= lost + MAX_LEASE_MS
+        assert min(later) >= lost_ms + MAX_LEASE_MS
 
-    run(act, tmp_path, 4)
+    run(scenario, tmp_path, 4)
 
 
-def test_shares_of_the_dead_and_the_paused_are_used_elsewhere_and_never_twice(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        await found.until(lambda: found.held("open") >= 50)
-        found.holders[0].process.send_signal(signal.SIGSTOP)
+def test_shares_of_dead_and_paused_holders_go_to_others_and_are_never_used_twice(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        fleet.holders[0].process.send_signal(signal.SIGSTOP)
         for gateway in (1, 2):
-            found.holders[gateway].kill()
-            await found.holders[gateway].process.wait()
-        await found.holder(1)  # back as a new incarnation, within the lease of the old one
-        # Three are left of five: what the dead and the paused one had goes to them.
-        await found.until(lambda: found.held("open", 3) >= 17)
-        assert found.held("open", 0) == 0
-        found.holders[0].process.send_signal(signal.SIGCONT)
-        await found.until(lambda: found.held("open", 0) >= 8)
-
-    run(act, tmp_path, 5)
-
-
-def test_all_killed_at_once_come_back_within_the_total(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        await found.until(lambda: found.held("open") >= 50)
-        for process in (*found.services, *found.holders.values()):
+            fleet.holders[gateway].kill()
+            await fleet.holders[gateway].process.wait()
+        await fleet.holder(1)  # restarts within the lease of its old incarnation
+        # Three of five are left, and get the shares of the dead and the paused holder.
+        await fleet.wait_until(lambda: fleet.held("open", 3) >= 17)
+        assert fleet.held("open", 0) == 0
+        fleet.holders[0].process.send_signal(signal.SIGCONT)
+        await fleet.wait_until(lambda: fleet.held("open", 0) >= 8)
+
+    run(scenario, tmp_path, 5)
+
+
+def test_shares_stay_within_the_total_when_all_processes_are_killed_and_restarted(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        for process in (*fleet.services, *fleet.holders.values()):
             process.kill()
-        await asyncio.gather(*(found.holder(gateway) for gateway in range(5)))
+        await asyncio.gather(*(fleet.holder(gateway) for gateway in range(5)))
         marks = set(range(6, 11))
-        await found.until(
+        await fleet.wait_until(
             lambda: marks
-            <= {record["mark"] for record in found.records() if record["kind"] == "held" and record["part"]}
+            <= {record["mark"] for record in fleet.records() if record["kind"] == "held" and record["part"]}
         )
 
-    run(act, tmp_path, 5)
+    run(scenario, tmp_path, 5)
 
 
-def test_who_lacks_the_secret_is_answered_nothing(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        host, port = found.addresses[0]
+def test_calls_without_the_secret_are_rejected(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        host, port = fleet.addresses[0]
         url = f"http://{host}:{port}"
-        ask = msgspec.msgpack.encode(
+        request_body = msgspec.msgpack.encode(
             RenewRequest(
                 gateway=0, incarnation=1, serial=1, budgets=(BudgetRequest(budget="open", demand=5),)
             )
         )
         async with ClientSession() as session:
-            for headers in ({}, {SIGNATURE_HEADER: "0"}, {SIGNATURE_HEADER: sign(b"x" * 16, ask)}):
-                async with session.post(url + RENEW_PATH, data=ask, headers=headers) as answer:
+            for headers in ({}, {SIGNATURE_HEADER: "0"}, {SIGNATURE_HEADER: sign(b"x" * 16, request_body)}):
+                async with session.post(url + RENEW_PATH, data=request_body, headers=headers) as answer:
                     assert answer.status == 403 and b"secret" in await answer.read()
             async with session.get(f"{url}/status") as answer:
                 assert answer.status == 403
             secret = SECRET.encode()
             async with session.post(
-                url + RENEW_PATH, data=ask, headers={SIGNATURE_HEADER: sign(secret, ask)}
+                url + RENEW_PATH, data=request_body, headers={SIGNATURE_HEADER: sign(secret, request_body)}
             ) as answer:
-                said = await answer.read()
-                assert answer.status == 200 and answer.headers[SIGNATURE_HEADER] == sign(secret, said)
-                assert msgspec.msgpack.decode(said, type=RenewResponse).grants[0].share > 0
+                response_body = await answer.read()
+                assert answer.status == 200 and answer.headers[SIGNATURE_HEADER] == sign(
+                    secret, response_body
+                )
+                assert msgspec.msgpack.decode(response_body, type=RenewResponse).grants[0].share > 0
             for body, status in ((b"nonsense", 400), (b"\x00" * (1 << 20), 413)):
                 signed = {SIGNATURE_HEADER: sign(secret, body)}
                 async with session.post(url + RENEW_PATH, data=body, headers=signed) as answer:
@@ -635,12 +647,12 @@
             ) as answer:
                 assert (await answer.json())["budgets"]["open"]["whole"] == 64
 
-    run(act, tmp_path, 0)
+    run(scenario, tmp_path, 0)
 
 
-def test_a_call_on_work_is_for_who_has_the_secret_and_nonsense_is_one_sentence(tmp_path: Path) -> None:
-    async def act(found: Fleet) -> None:
-        address, secret = found.addresses[0], SECRET.encode()
+def test_work_streams_need_the_secret_and_answer_invalid_requests_with_a_text(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        address, secret = fleet.addresses[0], SECRET.encode()
         stranger = WorkStream(address, b"x" * 16)
         with pytest.raises(ServiceUnavailableError, match="403"):
             await stranger.call(WorkRequest(gateway=0, incarnation=1, serial=1))
@@ -653,8 +665,8 @@
         many = tuple(ReleaseWork(name="n", fence=1) for _ in range(MAX_OPERATIONS + 1))
         with pytest.raises(ServiceUnavailableError, match=f"{MAX_OPERATIONS} ops at most"):
             await stream.call(WorkRequest(gateway=0, incarnation=1, serial=1, operations=many))
-        # All on one connection, which goes on.
-        begin_ = BeginWork(
+        # All of this is on one connection, which stays open.
+        begin_work = BeginWork(
             name="n",
             request_id="i",
             digest="d",
@@ -667,57 +679,59 @@
             place="p",
         )
         answer = msgspec.msgpack.decode(
-            await stream.call(WorkRequest(gateway=0, incarnation=1, serial=2, operations=(begin_,))),
+            await stream.call(WorkRequest(gateway=0, incarnation=1, serial=2, operations=(begin_work,))),
             type=WorkResponse,
         )
-        assert [one.status for one in answer.results] == ["kept"]
+        assert [result.status for result in answer.results] == ["kept"]
         stream.close()
-        # What it holds, by the command.
+        # The status command.
         (tmp_path / "s").write_text(SECRET)
         (tmp_path / "x").write_text("x" * 16)
         at = "{}:{}".format(*address)
-        words = [sys.executable, "-m", "thistletrail.leasing", "status", "--at", at, "--secret"]
-        for more, code, said in (
+        command = [sys.executable, "-m", "thistletrail.leasing", "status", "--at", at, "--secret"]
+        for arguments, code, expected in (
             (["s"], 0, '"intents": 1'),
             (["s", "--parked"], 0, "[]"),
             (["x"], 1, "not signed"),
         ):
             done = await asyncio.to_thread(
                 subprocess.run,
-                [*words, str(tmp_path / more[0]), *more[1:]],
+                [*command, str(tmp_path / arguments[0]), *arguments[1:]],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
                 timeout=60,
                 check=False,
             )
-            assert done.returncode == code and said in done.stdout + done.stderr
+            assert done.returncode == code and expected in done.stdout + done.stderr
             assert "Traceback" not in done.stderr
 
-    run(act, tmp_path, 0)
+    run(scenario, tmp_path, 0)
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "arguments, expected",
     [
         (["serve", "--data", "x", "--config", "/nowhere", "--secret", "/nowhere"], "No such file"),
         (["serve"], "Missing option"),
         (["bogus"], "No such command"),
     ],
 )
-def test_bad_input_is_reported_and_is_no_crash(words: list[str], said: str, tmp_path: Path) -> None:
+def test_invalid_arguments_are_reported_without_a_traceback(
+    arguments: list[str], expected: str, tmp_path: Path
+) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "thistletrail.leasing", *words],
+        [sys.executable, "-m", "thistletrail.leasing", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=30,
         check=False,
     )
-    assert done.returncode != 0 and said in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode != 0 and expected in done.stderr and "Traceback" not in done.stderr
 
 
-def test_the_check_is_a_command() -> None:
+def test_the_check_command_reports_each_model() -> None:
     done = subprocess.run(
         [
             sys.executable,
--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -1,4 +1,4 @@
-"""The state machine of fleet-wide budgets: division, leases, fences, floors, and the model checker."""
+"""Tests of the state machine of fleet-wide budgets: division, leases, fences, floors, the model checker."""
 
 import random
 
@@ -34,31 +34,31 @@
 
 NOW = 1_000_000
 COUNT, RATE = BudgetLimits(100), BudgetLimits(10_000, 20)
-CALM = settings(derandomize=True, deadline=None, database=None)
+DETERMINISTIC = settings(derandomize=True, deadline=None, database=None)
 
 
 # --- division ---
 
 
-@CALM
+@DETERMINISTIC
 @given(
     st.integers(0, 10_000),
     st.dictionaries(st.text(max_size=3), st.integers(0, 5_000), max_size=30),
     st.integers(0, 1000),
 )
 def test_shares_add_up_to_the_total_and_are_max_min_fair(
-    whole: int, demands: dict[str, int], turn: int
+    total: int, demands: dict[str, int], turn: int
 ) -> None:
-    shares = divide(whole, demands, turn)
+    shares = divide(total, demands, turn)
     assert shares.keys() == demands.keys() and all(share >= 0 for share in shares.values())
-    assert sum(shares.values()) == (whole if demands else 0)
+    assert sum(shares.values()) == (total if demands else 0)
     for name, share in shares.items():
-        if share < demands[name]:  # it lacks: nobody has a unit more than it, beyond a rounding
+        if share < demands[name]:  # unsatisfied: no other share is larger, but for the rounding remainder
             assert all(other <= share + 1 for other in shares.values())
 
 
-def test_units_that_do_not_divide_go_round() -> None:
-    """Five units among 17 gateways, each of which wants one: all get as much in the long run."""
+def test_indivisible_units_rotate_among_names() -> None:
+    """Five units are divided among 17 gateways that each demand one; over many divisions all get the same."""
     names = {f"d{n}": 1 for n in range(17)}
     total = dict.fromkeys(names, 0)
     for turn in range(17 * 20):
@@ -67,32 +67,32 @@
     assert set(total.values()) == {5 * 20}
 
 
-def test_a_lie_about_demand_is_worth_a_fair_share_at_most() -> None:
+def test_excessive_demand_gets_a_fair_share_at_most() -> None:
     shares = divide(1000, {"liar": 10**12, "a": 100, "b": 400, "c": 400})
     assert shares == {"liar": 300, "a": 100, "b": 300, "c": 300}
 
 
 def test_a_share_grows_in_bounded_steps_and_shrinks_at_once() -> None:
-    way = [0]
-    while way[-1] < 900:
-        way.append(bounded_step(way[-1], 900, 1000))
-    assert way == [0, 250, 500, 750, 900]
+    steps = [0]
+    while steps[-1] < 900:
+        steps.append(bounded_step(steps[-1], 900, 1000))
+    assert steps == [0, 250, 500, 750, 900]
     assert bounded_step(900, 10, 1000) == 10
     assert (
         bounded_step(100, 80, 1000) == 100 and bounded_step(100, 74, 1000) == 74
-    )  # a little too large: it stays
+    )  # a share that is at most a quarter too large is kept
 
 
 # --- the checker ---
 
 
 @pytest.mark.parametrize("is_first_holding_all", [False, True])
-def test_all_states_of_a_small_fleet_hold(is_first_holding_all: bool) -> None:
+def test_all_states_of_a_small_fleet_satisfy_the_properties(is_first_holding_all: bool) -> None:
     result = check_near_states(BudgetModel, 2, 2, 4, is_first_holding_all)
     assert result.violation == "" and result.states > 1500
 
 
-def test_random_walks_of_a_larger_fleet_hold() -> None:
+def test_random_walks_of_a_larger_fleet_satisfy_the_properties() -> None:
     result = check_walks(BudgetModel, 5, 2, Walks(12, 60, 3))
     assert result.violation == "" and result.states == 12 * 60
 
@@ -100,7 +100,7 @@
 WALKS = (2, 1, Walks(1200, 30, 1))  # gateways, budgets, and the walks
 
 
-def test_nothing_is_found_on_these_walks_where_nothing_is_planted() -> None:
+def test_walks_without_a_planted_fault_find_no_violation() -> None:
     result = check_all_walks(BudgetModel, *WALKS)
     assert result.violation == "", result.trace
     assert result.states > 30_000
@@ -112,7 +112,7 @@
     assert result.violation and result.trace
 
 
-def test_the_checker_sees_each_kind_of_event() -> None:
+def test_the_model_has_each_kind_of_event() -> None:
     first = first_world(BudgetModel, 2, 2, True)
     kinds = {transition.kind for transition in transitions(first)}
     assert {
@@ -138,173 +138,183 @@
 # --- the state machine by itself ---
 
 
-def state(**terms: BudgetLimits) -> BudgetState:
-    found = BudgetState(1000, NOW, 0)
-    for name, one in (terms or {"open": COUNT, "rate": RATE}).items():
-        found.set_limits(name, one, NOW)
-    return found
+def make_state(**limits_by_name: BudgetLimits) -> BudgetState:
+    service = BudgetState(1000, NOW, 0)
+    for name, limits in (limits_by_name or {"open": COUNT, "rate": RATE}).items():
+        service.set_limits(name, limits, NOW)
+    return service
 
 
-def holder(
-    gateway: int, incarnation: int = 1, gateways: int = 10, demand: int = 1000, **terms: BudgetLimits
+def make_holder(
+    gateway: int, incarnation: int = 1, gateways: int = 10, demand: int = 1000, **limits_by_name: BudgetLimits
 ) -> BudgetHolder:
-    found = BudgetHolder(gateway, incarnation, gateways)
-    for name, one in (terms or {"open": COUNT, "rate": RATE}).items():
-        found.set_demand(name, one, Demand(demand), NOW)
-    return found
+    created = BudgetHolder(gateway, incarnation, gateways)
+    for name, limits in (limits_by_name or {"open": COUNT, "rate": RATE}).items():
+        created.set_demand(name, limits, Demand(demand), NOW)
+    return created
 
 
 def renew(service: BudgetState, *holders: BudgetHolder, now: int = NOW, times: int = 1) -> None:
     for _ in range(times):
-        for one in holders:
-            for lease in one.leases.values():
+        for holder in holders:
+            for lease in holder.leases.values():
                 lease.last_demand_ms = now
-            one.on_response(service.renew(one.next_request(now), now), now)
+            holder.on_response(service.renew(holder.next_request(now), now), now)
 
 
-def leased(one: BudgetHolder, budget: str, now: int = NOW) -> int:
-    lease = one.leases[budget]
+def leased_share(holder: BudgetHolder, budget: str, now: int = NOW) -> int:
+    lease = holder.leases[budget]
     return lease.share if now < lease.until_ms else 0
 
 
 def test_two_gateways_settle_at_half_each_and_a_third_makes_them_share() -> None:
-    service, first, second, third = state(), holder(0), holder(1), holder(2)
+    service, first, second, third = make_state(), make_holder(0), make_holder(1), make_holder(2)
     renew(service, first, times=5)
-    assert leased(first, "open") == leasable_total(100) == 90
+    assert leased_share(first, "open") == leasable_total(100) == 90
     renew(service, first, second, times=6)
-    assert {leased(first, "open"), leased(second, "open")} == {45}
+    assert {leased_share(first, "open"), leased_share(second, "open")} == {45}
     renew(service, first, second, third, times=8)
-    assert [leased(one, "open") for one in (first, second, third)] == [30, 30, 30]
+    assert [leased_share(holder, "open") for holder in (first, second, third)] == [30, 30, 30]
 
 
-def test_the_share_of_a_dead_gateway_is_in_use_elsewhere_after_its_lease() -> None:
-    service, first, second = state(), holder(0), holder(1)
+def test_the_share_of_a_dead_gateway_goes_to_others_after_its_lease() -> None:
+    service, first, second = make_state(), make_holder(0), make_holder(1)
     renew(service, first, second, times=6)
     for now in range(NOW + 1000, NOW + LEASE_MS, 1000):
         renew(service, second, now=now)
-        assert leased(second, "open", now) <= 45  # what the dead one may still rely on is reserved
+        assert leased_share(second, "open", now) <= 45  # what the dead gateway may still use is reserved
     for step in range(4):
         renew(service, second, now=NOW + LEASE_MS + 1000 * step)
-    assert leased(second, "open", NOW + LEASE_MS + 3000) == 90
+    assert leased_share(second, "open", NOW + LEASE_MS + 3000) == 90
 
 
-def test_a_new_incarnation_does_not_get_the_old_ones_share_before_it_has_expired() -> None:
-    service, old = state(), holder(0, incarnation=1)
+def test_a_new_incarnation_gets_the_old_ones_share_only_after_its_lease() -> None:
+    service, old = make_state(), make_holder(0, incarnation=1)
     renew(service, old, times=5)
-    fresh = holder(0, incarnation=2)
+    fresh = make_holder(0, incarnation=2)
     renew(service, fresh, now=NOW + 1000)
-    assert leased(fresh, "open", NOW + 1000) == 0 and leased(old, "open", NOW + 1000) == 90
+    assert leased_share(fresh, "open", NOW + 1000) == 0 and leased_share(old, "open", NOW + 1000) == 90
     for step in range(5):
         renew(service, fresh, now=NOW + LEASE_MS + 1000 * step)
-    assert leased(fresh, "open", NOW + LEASE_MS + 4000) == 90
-    assert leased(old, "open", NOW + LEASE_MS + 4000) == 0  # a paused one that wakes looks at its clock
+    assert leased_share(fresh, "open", NOW + LEASE_MS + 4000) == 90
+    assert (
+        leased_share(old, "open", NOW + LEASE_MS + 4000) == 0
+    )  # a paused gateway reads the clock when it resumes
 
 
-def test_a_response_after_its_lease_or_of_another_incarnation_is_of_no_use() -> None:
-    service, one = state(), holder(0)
-    request = one.next_request(NOW)
+def test_a_response_after_its_lease_or_of_another_incarnation_is_ignored() -> None:
+    service, holder = make_state(), make_holder(0)
+    request = holder.next_request(NOW)
     response = service.renew(request, NOW)
-    assert not one.on_response(response, NOW + LEASE_MS) and leased(one, "open") == 0
-    request = one.next_request(NOW)
+    assert not holder.on_response(response, NOW + LEASE_MS) and leased_share(holder, "open") == 0
+    request = holder.next_request(NOW)
     response = service.renew(request, NOW)
-    assert not holder(0, incarnation=9).on_response(response, NOW)
-    assert one.on_response(response, NOW + LEASE_MS // 2) and not one.on_response(
+    assert not make_holder(0, incarnation=9).on_response(response, NOW)
+    assert holder.on_response(response, NOW + LEASE_MS // 2) and not holder.on_response(
         response, NOW + LEASE_MS // 2
     )
     # The lease counts from before the request was sent, and ends early.
-    assert NOW + 0.9 * LEASE_MS < one.leases["open"].until_ms < NOW + LEASE_MS
+    assert NOW + 0.9 * LEASE_MS < holder.leases["open"].until_ms < NOW + LEASE_MS
 
 
-def test_the_same_request_again_and_older_ones_are_granted_nothing() -> None:
-    service, one = state(), holder(0)
-    first, second = one.next_request(NOW), one.next_request(NOW)
+def test_repeated_and_overtaken_requests_get_no_grants() -> None:
+    service, holder = make_state(), make_holder(0)
+    first, second = holder.next_request(NOW), holder.next_request(NOW)
     assert service.renew(second, NOW).grants
     assert not service.renew(first, NOW).grants and not service.renew(second, NOW).grants
 
 
-def test_without_the_lease_service_there_is_the_floor_and_back_without_a_jump() -> None:
-    service, one = state(), holder(0)
-    renew(service, one, times=5)
-    assert one.usable_share("open", NOW) == 90 + 1
-    gone = NOW + LEASE_MS
-    assert one.usable_share("open", gone) == floor_share(100, 10) == 1
-    renew(service, one, now=gone + 5000)
-    assert one.usable_share("open", gone + 5000) <= 1 + 25  # a step at a time
+def test_the_floor_applies_without_the_lease_service_and_shares_return_in_steps() -> None:
+    service, holder = make_state(), make_holder(0)
+    renew(service, holder, times=5)
+    assert holder.usable_share("open", NOW) == 90 + 1
+    expired = NOW + LEASE_MS
+    assert holder.usable_share("open", expired) == floor_share(100, 10) == 1
+    renew(service, holder, now=expired + 5000)
+    assert holder.usable_share("open", expired + 5000) <= 1 + 25  # one step per renewal
     assert 10 * floor_share(100, 10) + leasable_total(100) == 100
 
 
-def test_nothing_is_granted_after_a_loss_until_the_longest_lease_is_over() -> None:
-    service, one = BudgetState(2000, NOW, 10_000), holder(0)
-    for name, terms in (("open", COUNT), ("rate", RATE)):
-        service.set_limits(name, terms, NOW)
-    renew(service, one, now=NOW + 9_999)
-    assert leased(one, "open", NOW + 9_999) == 0
-    renew(service, one, now=NOW + 10_000)
-    assert leased(one, "open", NOW + 10_000) > 0
+def test_a_new_history_grants_nothing_until_the_longest_lease_has_ended() -> None:
+    service, holder = BudgetState(2000, NOW, 10_000), make_holder(0)
+    for name, limits in (("open", COUNT), ("rate", RATE)):
+        service.set_limits(name, limits, NOW)
+    renew(service, holder, now=NOW + 9_999)
+    assert leased_share(holder, "open", NOW + 9_999) == 0
+    renew(service, holder, now=NOW + 10_000)
+    assert leased_share(holder, "open", NOW + 10_000) > 0
 
 
 def test_a_smaller_total_is_reached_as_holders_acknowledge_or_expire() -> None:
-    service, first, second = state(), holder(0), holder(1)
+    service, first, second = make_state(), make_holder(0), make_holder(1)
     renew(service, first, second, times=6)
     service.set_limits("open", BudgetLimits(20), NOW)
     renew(service, first)
-    assert leased(first, "open") + leased(second, "open") <= 90
+    assert leased_share(first, "open") + leased_share(second, "open") <= 90
     renew(service, first, second, times=3)
-    assert leased(first, "open") + leased(second, "open") <= leasable_total(20)
+    assert leased_share(first, "open") + leased_share(second, "open") <= leasable_total(20)
 
 
-def need(units: int, *holders: BudgetHolder) -> None:
-    for one in holders:
-        one.leases["rate"].needed_units = units
+def set_needed_units(units: int, *holders: BudgetHolder) -> None:
+    for holder in holders:
+        holder.leases["rate"].needed_units = units
 
 
-def test_units_come_in_at_the_rate_and_stores_and_pool_hold_the_burst() -> None:
-    service, one, two = state(), holder(0), holder(1)
-    need(10, one, two)
+def test_units_are_added_at_the_rate_and_buckets_and_pool_hold_the_burst() -> None:
+    service, holder, other_holder = make_state(), make_holder(0), make_holder(1)
+    set_needed_units(10, holder, other_holder)
     spent, now = 0, NOW
     for step in range(200):
         now = NOW + 100 * step
-        if step % 2 == 0:  # as gateways do that wait for units
-            renew(service, one, two, now=now)
-        for who in (one, two):
-            while who.spend("rate", 1, now):
+        if step % 2 == 0:  # gateways that need units renew often
+            renew(service, holder, other_holder, now=now)
+        for spender in (holder, other_holder):
+            while spender.spend("rate", 1, now):
                 spent += 1
-    came = 10 * (now - NOW) / 1000
-    assert 0.85 * came < spent <= came
-    need(0, one, two)
+    added = 10 * (now - NOW) / 1000
+    assert 0.85 * added < spent <= added
+    set_needed_units(0, holder, other_holder)
     idle = NOW + 20_000 + 100_000
     for step in range(30):
-        renew(service, one, two, now=idle + 1000 * step)
+        renew(service, holder, other_holder, now=idle + 1000 * step)
     at_once = 0
-    need(10, one, two)
+    set_needed_units(10, holder, other_holder)
     for _ in range(10):
-        for who in (one, two):
-            while who.spend("rate", 1, idle + 29_000):
+        for spender in (holder, other_holder):
+            while spender.spend("rate", 1, idle + 29_000):
                 at_once += 1
-        renew(service, one, two, now=idle + 29_000)
+        renew(service, holder, other_holder, now=idle + 29_000)
     assert 0.8 * RATE.burst <= at_once <= RATE.burst
 
 
-def test_a_need_is_met_from_the_pool_and_leaves_half_of_it_for_others() -> None:
-    service, one, two = state(), holder(0), holder(1)
-    for step in range(10):  # shares settle, and the pool fills
-        renew(service, one, two, now=NOW + 1000 * step)
+def test_needed_units_come_from_the_pool_and_leave_half_of_it() -> None:
+    service, holder, other_holder = make_state(), make_holder(0), make_holder(1)
+    for step in range(10):  # shares converge, and the pool fills
+        renew(service, holder, other_holder, now=NOW + 1000 * step)
     later = NOW + 9000
-    there = service.budgets["rate"].pool_thousandths // 1000
-    assert there >= 2
-    need(100, one)
-    (grant,) = [one for one in service.renew(one.next_request(later), later).grants if one.budget == "rate"]
-    assert grant.units == there // 2
-    need(1, two)
-    (grant,) = [one for one in service.renew(two.next_request(later), later).grants if one.budget == "rate"]
+    pool_units = service.budgets["rate"].pool_thousandths // 1000
+    assert pool_units >= 2
+    set_needed_units(100, holder)
+    (grant,) = [
+        grant for grant in service.renew(holder.next_request(later), later).grants if grant.budget == "rate"
+    ]
+    assert grant.units == pool_units // 2
+    set_needed_units(1, other_holder)
+    (grant,) = [
+        grant
+        for grant in service.renew(other_holder.next_request(later), later).grants
+        if grant.budget == "rate"
+    ]
     assert grant.units == 1
-    need(0, one)
-    (grant,) = [one for one in service.renew(one.next_request(later), later).grants if one.budget == "rate"]
+    set_needed_units(0, holder)
+    (grant,) = [
+        grant for grant in service.renew(holder.next_request(later), later).grants if grant.budget == "rate"
+    ]
     assert grant.units == 0
 
 
 def test_requests_and_state_are_bounded() -> None:
-    service, one = state(), holder(0)
+    service, holder = make_state(), make_holder(0)
     requests = tuple(BudgetRequest(budget="open", demand=1) for _ in range(MAX_BUDGETS_IN_REQUEST + 1))
     with pytest.raises(RequestRejectedError, match="2000 budgets at most"):
         service.renew(RenewRequest(gateway=0, incarnation=1, serial=1, budgets=requests), NOW)
@@ -315,56 +325,58 @@
     service.expire(NOW + LEASE_MS + 1)
     assert not service.last_requests
     for _ in range(50):
-        one.next_request(NOW)
-    assert len(one.sent_ms) == MAX_UNANSWERED_REQUESTS
+        holder.next_request(NOW)
+    assert len(holder.sent_ms) == MAX_UNANSWERED_REQUESTS
     service.budgets = dict.fromkeys(range(MAX_BUDGETS))
     with pytest.raises(RequestRejectedError, match="budgets already"):
         service.set_limits("one more", COUNT, NOW)
-    odd = BudgetRequest(budget="open", demand=-5, fence=-1, returned_units=10**18)
-    fresh = state()
-    grant = fresh.renew_budget("0/1", odd, NOW)
+    invalid = BudgetRequest(budget="open", demand=-5, fence=-1, returned_units=10**18)
+    fresh = make_state()
+    grant = fresh.renew_budget("0/1", invalid, NOW)
     assert grant is not None and fresh.budgets["open"].holdings["0/1"].demand == 0
 
 
 def test_a_budget_without_demand_is_dropped() -> None:
-    one = holder(0)
-    assert len(one.next_request(NOW + BUDGET_IDLE_TIMEOUT_MS).budgets) == 2
+    holder = make_holder(0)
+    assert len(holder.next_request(NOW + BUDGET_IDLE_TIMEOUT_MS).budgets) == 2
     assert (
-        one.next_request(NOW + BUDGET_IDLE_TIMEOUT_MS + 1).budgets == ()
-        and one.usable_share("open", NOW) == 0
+        holder.next_request(NOW + BUDGET_IDLE_TIMEOUT_MS + 1).budgets == ()
+        and holder.usable_share("open", NOW) == 0
     )
-    assert not one.spend("rate", 1, NOW)
+    assert not holder.spend("rate", 1, NOW)
 
 
-@CALM
+@DETERMINISTIC
 @given(st.integers(0, 10_000), st.integers(2, 12))
-def test_drift_pauses_and_losses_never_make_it_more_than_the_total(seed: int, count: int) -> None:
-    """Holders whose clocks drift by 1 in 1,000 either way, who pause, start again and lose answers."""
-    chance = random.Random(seed)
-    service = state()
-    holders = [holder(n, gateways=20) for n in range(count)]
-    rates = [1 + chance.uniform(-1e-3, 1e-3) for _ in range(count)]
+def test_shares_stay_within_the_total_under_drift_restarts_and_lost_responses(seed: int, count: int) -> None:
+    """Holders have clocks that drift by 1 in 1,000 either way, and pause, restart and lose responses."""
+    random_source = random.Random(seed)
+    service = make_state()
+    holders = [make_holder(n, gateways=20) for n in range(count)]
+    rates = [1 + random_source.uniform(-1e-3, 1e-3) for _ in range(count)]
     for step in range(120):
         now = NOW + 250 * step
         clocks = [NOW + int(250 * step * rate) for rate in rates]
-        for number, one in enumerate(holders):
-            fate = chance.random()
-            if fate < 0.02:
-                holders[number] = holder(number, incarnation=step + 2, gateways=20)
-            elif fate < 0.5:
-                for lease in one.leases.values():
+        for number, holder in enumerate(holders):
+            draw = random_source.random()
+            if draw < 0.02:
+                holders[number] = make_holder(number, incarnation=step + 2, gateways=20)
+            elif draw < 0.5:
+                for lease in holder.leases.values():
                     lease.last_demand_ms = clocks[number]
-                    lease.demand = chance.randrange(0, 200)
-                response = service.renew(one.next_request(clocks[number]), now)
-                if chance.random() < 0.8:
-                    one.on_response(response, clocks[number])
-        for name, whole in (("open", 100), ("rate", 10_000)):
-            held = sum(leased(one, name, clock) for one, clock in zip(holders, clocks, strict=True))
-            assert held <= leasable_total(whole)
+                    lease.demand = random_source.randrange(0, 200)
+                response = service.renew(holder.next_request(clocks[number]), now)
+                if random_source.random() < 0.8:
+                    holder.on_response(response, clocks[number])
+        for name, total in (("open", 100), ("rate", 10_000)):
+            held = sum(
+                leased_share(holder, name, clock) for holder, clock in zip(holders, clocks, strict=True)
+            )
+            assert held <= leasable_total(total)
 
 
 def test_a_response_without_grants_is_accepted_and_changes_nothing() -> None:
-    one = holder(0)
-    serial = one.next_request(NOW).serial
-    assert one.on_response(RenewResponse(gateway=0, incarnation=1, serial=serial, lease_ms=LEASE_MS), NOW)
-    assert one.usable_share("open", NOW) == floor_share(100, 10)
+    holder = make_holder(0)
+    serial = holder.next_request(NOW).serial
+    assert holder.on_response(RenewResponse(gateway=0, incarnation=1, serial=serial, lease_ms=LEASE_MS), NOW)
+    assert holder.usable_share("open", NOW) == floor_share(100, 10)
--- a/tests/test_leasing_wire.py
+++ b/tests/test_leasing_wire.py
@@ -1,7 +1,7 @@
-"""Bytes of the lease service's messages, frames and journal records, as earlier revisions write them.
+"""Tests that messages, frames and journal records of the lease service keep their encoded bytes.
 
-Gateways and lease services of different revisions understand each other, and a process reads the journal of
-the one before it: the names that are encoded stay as they are, whatever Python calls them.
+Gateways and lease services of different revisions exchange messages, and a process reads the journal of an
+earlier revision. The encoded names must therefore not change when an attribute is renamed.
 """
 
 import json
@@ -144,13 +144,13 @@
 @pytest.fixture
 def journal(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Journal]:
     monkeypatch.setattr("thistletrail.leasing.journal.boot_id", lambda: BOOT)
-    found = Journal(begin_term(tmp_path))
-    yield found
-    found.close()
+    journal = Journal(begin_term(tmp_path))
+    yield journal
+    journal.close()
 
 
 def as_logged(value: object) -> str:
-    """The text of a record of the log."""
+    """Return the text of a log record."""
     return json.dumps(value, separators=(",", ":"))
 
 
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_a_record_of_a_work_item_has_its_recorded_bytes(name: str, journal: Journal) -> None:
+def test_a_work_record_has_its_recorded_bytes(name: str, journal: Journal) -> None:
     record = RECORDS[name]
     assert as_logged(journal.stored_work_record(record)) == RECORDED[name]
     stored = json.loads(RECORDED[name])
@@ -171,8 +171,8 @@
 
 
 def test_a_grant_has_its_recorded_bytes(journal: Journal) -> None:
-    held = HolderGrant("open/a", "3/99", IssuedGrant(1001, 9, 8000, 2))
-    assert as_logged(msgspec.to_builtins(journal.stored_grant(held))) == RECORDED["StoredGrant"]
+    grant = HolderGrant("open/a", "3/99", IssuedGrant(1001, 9, 8000, 2))
+    assert as_logged(msgspec.to_builtins(journal.stored_grant(grant))) == RECORDED["StoredGrant"]
 
 
 def test_a_snapshot_has_its_recorded_bytes(journal: Journal) -> None:
@@ -191,5 +191,5 @@
     assert sign(SECRET, b"body") == RECORDED["signature"]
 
 
-def test_paths_and_the_header_of_the_signature_stay() -> None:
+def test_paths_and_the_signature_header_are_unchanged() -> None:
     assert RECORDED["paths"] == [RENEW_PATH, WORK_PATH, SIGNATURE_HEADER]
--- a/thistletrail/leasing/__main__.py
+++ b/thistletrail/leasing/__main__.py
@@ -182,23 +182,23 @@
 
 
 @cli.command("status")
-@click.option("--at", default=DEFAULT_ADDRESS, show_default=True, metavar="HOST:PORT")
+@click.option("--at", "address", default=DEFAULT_ADDRESS, show_default=True, metavar="HOST:PORT")
 @click.option("--secret", type=FILE, required=True)
 @click.option(
     "--parked", is_flag=True, help="Print the work items that were given up because their owners died."
 )
-def status_command(at: str, secret: Path, parked: bool) -> None:
+def status_command(address: str, secret: Path, parked: bool) -> None:
     """Print the status of a lease service as JSON."""
     path = "/parked" if parked else "/status"
     try:
         signature = sign(secret.read_bytes().strip(), path.encode())
-        request = Request(f"http://{at}{path}", headers={SIGNATURE_HEADER: signature})
+        request = Request(f"http://{address}{path}", headers={SIGNATURE_HEADER: signature})
         with urlopen(request, timeout=STATUS_TIMEOUT_S) as response:
             status = json.load(response)
     except HTTPError as error:
-        sys.exit(f"leasing: {at}: {error.read().decode(errors='replace').strip() or error.reason}")
+        sys.exit(f"leasing: {address}: {error.read().decode(errors='replace').strip() or error.reason}")
     except (URLError, ValueError, OSError) as error:
-        sys.exit(f"leasing: {at}: {getattr(error, 'reason', None) or error}")
+        sys.exit(f"leasing: {address}: {getattr(error, 'reason', None) or error}")
     click.echo(json.dumps(status, indent=1))
 
 
--- a/thistletrail/leasing/budget_holder.py
+++ b/thistletrail/leasing/budget_holder.py
@@ -16,7 +16,7 @@
 from thistletrail.leasing.messages import BudgetRequest, Grant, RenewRequest, RenewResponse
 
 BUDGET_IDLE_TIMEOUT_MS = 10_000  # a budget without demand for this long is no longer requested
-MAX_UNANSWERED_REQUESTS = 8  # the lease of an older request has expired before its response
+MAX_UNANSWERED_REQUESTS = 8  # responses to older requests are ignored, as later ones supersede them
 
 
 class Demand(Struct, frozen=True):
--- a/thistletrail/leasing/client.py
+++ b/thistletrail/leasing/client.py
@@ -39,7 +39,7 @@
 JITTER_FRACTION = 0.25  # largest reduction of a renewal interval
 MIN_RENEW_INTERVAL_S = 0.1
 MAX_RESPONSE_BYTES = 1 << 20
-MAX_ERROR_CHARS = 200  # of an error text of the lease service
+MAX_ERROR_CHARS = 200  # longer error texts of the lease service are cut off
 READ_CHUNK_BYTES = 1 << 16
 HTTP_OK = 200
 
--- a/thistletrail/leasing/config.py
+++ b/thistletrail/leasing/config.py
@@ -34,7 +34,7 @@
 from thistletrail.leasing.errors import ConfigError
 from thistletrail.leasing.messages import WORK_LEASE_MS
 
-MAX_NAME_CHARS = 120  # of a budget's name
+MAX_NAME_CHARS = 120
 MAX_RATE = 1e6  # units per second
 MAX_COUNT = 10**6  # units of a burst, or the count that may be open at once
 MAX_GATEWAYS = 1000  # five times the largest fleet
@@ -88,9 +88,9 @@
     try:
         config = msgspec.toml.decode(path.read_bytes(), type=Config)
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from error
+        raise ConfigError(f"cannot read the configuration {path}: {error.strerror}") from error
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
+        raise ConfigError(f"invalid configuration {path}: {' '.join(str(error).split())}") from error
     for pattern in config.budgets:
         if not pattern.is_complete():
             raise ConfigError(f"{path}: '{pattern.name}' needs rate and burst, or open")
--- a/thistletrail/leasing/journal.py
+++ b/thistletrail/leasing/journal.py
@@ -48,7 +48,7 @@
 
 
 class StoredGrant(Struct, frozen=True, kw_only=True):
-    """A stored grant; `until` is a time of the machine's boot `boot`."""
+    """A stored grant; `until_ms` is a time by the clock of the machine's boot `boot`."""
 
     budget: str
     holder: str
@@ -170,7 +170,7 @@
                 work.restore(msgspec.convert(fields, type=WorkRecord))
             else:
                 skipped += 1
-        if skipped:  # the machine has restarted, and the gateways on it: their work items have ended
+        if skipped:  # the machine and every gateway on it have restarted, so these items have ended
             log.warning("%d records of work items are of another boot, and are skipped", skipped)
         work.finish_restore(now)
         return LeasingStates(budgets, work)
--- a/thistletrail/leasing/work_holder.py
+++ b/thistletrail/leasing/work_holder.py
@@ -30,7 +30,7 @@
 # Longest time between reading the clock and passing the last byte to the kernel: one iteration of the event
 # loop on a busy machine.
 WRITE_MARGIN_MS = 50
-MAX_QUEUED_OPERATIONS = 4 * MAX_OPERATIONS  # beyond it, items are forwarded without a work lease
+MAX_QUEUED_OPERATIONS = 4 * MAX_OPERATIONS  # when full, items are forwarded without a work lease
 MAX_REQUEST_BYTES = 4 << 20  # bodies and values in one request: half of what the lease service accepts
 MAX_BEGINS_PER_REQUEST = 64  # each may be answered with a stored value of 128 KiB
 
@@ -69,7 +69,7 @@
         self.fences: dict[str, int] = {}  # name of an owned item -> its fencing number
         self.queue: list[WorkOperation] = []
         self.in_flight: InFlightRequest | None = None
-        self.accepted_fences: list[int] = []  # of transferred items in the last response, to be acknowledged
+        self.accepted_fences: list[int] = []  # transferred items to acknowledge
         self.withdrawn: set[str] = set()  # names whose `BeginWork` was given up while in flight
         self.is_draining = False
 
@@ -117,7 +117,11 @@
 
     def withdraw(self, name: str) -> None:
         """Withdraw a `BeginWork`: remove it from the queue, or release its item once the result arrives."""
-        remaining = [op for op in self.queue if not (isinstance(op, BeginWork) and op.name == name)]
+        remaining = [
+            operation
+            for operation in self.queue
+            if not (isinstance(operation, BeginWork) and operation.name == name)
+        ]
         if len(remaining) < len(self.queue):
             self.queue = remaining
         else:
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -313,8 +313,8 @@
     def begin(self, holder: str, operation: BeginWork, now_ms: int) -> OperationResult:
         """Begin an item, unless there already is one by that name.
 
-        For an existing item the result is its stored outcome if it has ended, or that another gateway owns
-        it; an item without an owner is given to the holder if it may run again.
+        For an existing item the result is its stored outcome if it has ended, or `ELSEWHERE` if it has an
+        owner. An item without an owner is given to the holder if it may run again.
         """
         item = self.store.items.get(operation.name)
         if item is None:
