--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -358,11 +358,11 @@
     actions = world.tell(PeerMessageReceived((OWNER + 1) % 20, (message,)))
     assert granted(actions) == [1.0]
     (customer,) = world.gateway.customers.by_key.values()
-    assert customer.ceiling_grants.level == pytest.approx(0.4 * 20 - 1)
+    assert customer.ceiling_grant_bucket.level == pytest.approx(0.4 * 20 - 1)
     for _ in range(300):
         world.tell(PeerMessageReceived((OWNER + 1) % 20, (message,)))
-    assert customer.ceiling_grants.level >= 0
-    customer.refilled_at_us, customer.ceiling_grants.level = world.now, 0.0
+    assert customer.ceiling_grant_bucket.level >= 0
+    customer.refilled_at_us, customer.ceiling_grant_bucket.level = world.now, 0.0
     actions = world.tell(PeerMessageReceived((OWNER + 2) % 20, (message,)))
     assert granted(actions) == [0.0]
 
@@ -392,7 +392,7 @@
     world, _ = gateway_with_ceiling((OWNER + 1) % 20)
     world.ask("a", set_size=20)
     world.run(2 * S)
-    assert next(iter(world.gateway.customers.by_key.values())).ceiling_grants.level == 0.0
+    assert next(iter(world.gateway.customers.by_key.values())).ceiling_grant_bucket.level == 0.0
 
 
 def test_request_without_time_left_is_rejected_at_once() -> None:
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -182,7 +182,7 @@
     assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
     assert (
         customer.ceiling_bucket.level <= 40.0 * customer.ceiling_bucket.share
-        and customer.ceiling_grants.level <= 40.0
+        and customer.ceiling_grant_bucket.level <= 40.0
     )
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -135,7 +135,7 @@
             customer.local_bucket.level,
             customer.set_level,
             customer.ceiling_bucket.level,
-            customer.ceiling_grants.level,
+            customer.ceiling_grant_bucket.level,
         )
         for key, customer in gateway.customers.by_key.items()
     ]
--- a/thistletrail/policy/dispatcher.py
+++ b/thistletrail/policy/dispatcher.py
@@ -43,18 +43,18 @@
         are_first_attempts_blocked = False
         for entry in self.queue.take_all():
             request = entry.request
-            can_leave = not request.is_finished and (
+            may_attempt = not request.is_finished and (
                 bool(request.attempted_servers)
                 or (not are_first_attempts_blocked and request.is_under_ceiling(self.context.now_us))
             )
-            server = self.selector.choose(request) if can_leave else None
+            server = self.selector.choose(request) if may_attempt else None
             if server:
                 self.start_attempt(request, server)
             elif not request.is_finished:
                 self.queue.put_back(entry)
             # If no server can take one request, the first attempts behind it are not tried either.
             are_first_attempts_blocked = (
-                are_first_attempts_blocked or not self.overload.may_send() or (can_leave and server is None)
+                are_first_attempts_blocked or not self.overload.may_send() or (may_attempt and server is None)
             )
 
     def start_attempt(self, request: PendingRequest, server: UpstreamServer) -> None:
--- a/thistletrail/policy/engine.py
+++ b/thistletrail/policy/engine.py
@@ -74,23 +74,23 @@
         first_serial = self.generator.getrandbits(GOSSIP_SERIAL_BITS)
         self.gossip = HealthGossip(settings.gateway_count - 1, first_serial)
         self.incarnations = Incarnations(self.generator)
-        self.wire_load()
-        self.wire_requests()
-        self.wire_peers()
+        self.create_load_components()
+        self.create_request_components()
+        self.create_peer_components()
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self.on_request,
             AttemptEnded: self.lifecycle.on_attempt_ended,
             TimerFired: self.on_timer,
             EndpointUpdate: self.on_endpoint_update,
             PeerMessageReceived: self.on_peer_message,
-            ClientDisconnected: self.lifecycle.on_client_left,
-            StreamStarted: self.lifecycle.on_client_left,
+            ClientDisconnected: self.lifecycle.on_answer_not_needed,
+            StreamStarted: self.lifecycle.on_answer_not_needed,
             ShutdownStarted: self.lifecycle.on_shutdown,
             SnapshotFound: self.on_snapshot,
             BudgetGranted: self.leases.on_grant,
         }
 
-    def wire_load(self) -> None:
+    def create_load_components(self) -> None:
         """Create the components that track the servers and limit the load that is sent to them."""
         settings = self.settings
         context = self.context
@@ -107,7 +107,7 @@
             settings, context, self.servers, self.outliers, self.overload, self.gossip, self.traffic
         )
 
-    def wire_requests(self) -> None:
+    def create_request_components(self) -> None:
         """Create the components that queue requests and check customers' quotas."""
         settings = self.settings
         context = self.context
@@ -137,9 +137,9 @@
             self.exchange,
             self.traffic,
         )
-        self.wire_lifecycle()
+        self.create_lifecycle_components()
 
-    def wire_lifecycle(self) -> None:
+    def create_lifecycle_components(self) -> None:
         """Create the components that take each request from its arrival to its final answer."""
         settings = self.settings
         context = self.context
@@ -172,7 +172,7 @@
             self.traffic,
         )
 
-    def wire_peers(self) -> None:
+    def create_peer_components(self) -> None:
         """Create the components that handle quota messages, leases and snapshots."""
         settings = self.settings
         context = self.context
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -50,7 +50,7 @@
 
     __slots__ = (
         "ceiling_bucket",
-        "ceiling_grants",
+        "ceiling_grant_bucket",
         "in_flight",
         "key",
         "leased",
@@ -98,7 +98,7 @@
             owner_share = 0.0
             level = 0.0
         self.ceiling_bucket = ceiling_share(plan, split_share, level)
-        self.ceiling_grants = ceiling_share(plan, owner_share, level)
+        self.ceiling_grant_bucket = ceiling_share(plan, owner_share, level)
 
     @property
     def set_size(self) -> int:
@@ -132,7 +132,7 @@
         for budget in self.leased.values():
             budget.refill(now_us)
         self.ceiling_bucket.refill(elapsed_s)
-        self.ceiling_grants.refill(elapsed_s)
+        self.ceiling_grant_bucket.refill(elapsed_s)
         remaining = math.exp(-elapsed_s * MICROSECONDS_PER_SECOND / DEMAND_TIME_CONSTANT_US)
         self.local_demand *= remaining
         if now_us - self.owner_answered_at_us > OWNER_ANSWER_FRESH_US:
@@ -158,7 +158,7 @@
         self.local_bucket.level = max(0.0, min(max_local, share))
         self.set_level = min(self.plan.burst, level)
         self.ceiling_bucket.level = min(ceiling, self.ceiling_bucket.capacity)
-        self.ceiling_grants.level = min(grants, self.ceiling_grants.capacity)
+        self.ceiling_grant_bucket.level = min(grants, self.ceiling_grant_bucket.capacity)
 
     @property
     def demand(self) -> float:
@@ -218,9 +218,9 @@
 
         The request is forwarded with the probability `chance`, so that fraction of the units is taken.
         """
-        if not self.plan.ceiling_rate or self.ceiling_grants.level < units:
+        if not self.plan.ceiling_rate or self.ceiling_grant_bucket.level < units:
             return False
-        self.ceiling_grants.level -= units * chance
+        self.ceiling_grant_bucket.level -= units * chance
         return True
 
     def spend(self, units: float) -> None:
--- a/thistletrail/policy/quota_admission.py
+++ b/thistletrail/policy/quota_admission.py
@@ -37,7 +37,7 @@
         self,
         settings: Settings,
         context: EventContext,
-        draws: random.Random,
+        generator: random.Random,
         observer: DecisionObserver,
         pending: PendingRequests,
         queue: AdmissionQueue,
@@ -47,7 +47,7 @@
         traffic: TrafficEstimates,
     ) -> None:
         self.context = context
-        self.draws = draws
+        self.generator = generator
         self.observer = observer
         self.pending = pending
         self.queue = queue
@@ -75,7 +75,7 @@
         customer.add_local_demand(units)
         is_answer_fresh = self.context.now_us - customer.owner_answered_at_us < OWNER_ANSWER_FRESH_US
         is_last_answer_enough = (
-            is_answer_fresh and self.draws.random() * customer.demand > self.max_requested_demand
+            is_answer_fresh and self.generator.random() * customer.demand > self.max_requested_demand
         )
         is_owner = customer.owner == self.gateway_index
         if BudgetKind.QUOTA in customer.leased:
@@ -119,7 +119,7 @@
         """
         customer = request.customer
         units = request.arrival.units
-        request.is_in_quota = self.draws.random() < chance
+        request.is_in_quota = self.generator.random() < chance
         request.is_quota_decided = True
         self.observer.on_quota_decision(request, basis, chance)
         if request.is_in_quota:
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -192,7 +192,7 @@
 
     # --- end of requests ---
 
-    def on_client_left(self, event: ClientDisconnected | StreamStarted) -> None:
+    def on_answer_not_needed(self, event: ClientDisconnected | StreamStarted) -> None:
         """Finish a request whose client has disconnected or whose streamed answer has begun."""
         if request := self.pending.by_id.get(event.id):
             self.pending.finish(request)
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -67,7 +67,7 @@
         """
         now_us = self.context.now_us
         attempted = request.attempted_servers
-        may_be_half_open = request.request_class.effect is not Effect.UNSAFE and (
+        is_half_open_allowed = request.request_class.effect is not Effect.UNSAFE and (
             self.is_small_fleet or self.generator.random() < HALF_OPEN_FRACTION
         )
         permitted = self.permitted_servers(request)
@@ -75,7 +75,7 @@
             server
             for server in permitted
             if now_us >= server.avoid_until_us
-            and not (server.is_ejected and (server.in_flight or not may_be_half_open))
+            and not (server.is_ejected and (server.in_flight or not is_half_open_allowed))
             and not (attempted and server in attempted)
         ] or permitted
         warm_up_cutoff_us = self.slow_start.warm_up_cutoff_us()
--- a/thistletrail/policy/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -110,7 +110,7 @@
         share=customer.local_bucket.level,
         level=customer.set_level,
         ceiling=customer.ceiling_bucket.level,
-        grants=customer.ceiling_grants.level,
+        grants=customer.ceiling_grant_bucket.level,
     )
 
 
