--- a/thistletrail/policy/actions.py
+++ b/thistletrail/policy/actions.py
@@ -12,7 +12,8 @@
 class StartAttempt:
     """Start an attempt of a request at a server.
 
-    The attempt times out after `timeout_us`; 0 means at the time at which its client stops waiting.
+    The attempts of a request are numbered from 0 in the order of these actions. The attempt times out after
+    `timeout_us`; 0 means at the time at which its client stops waiting.
     """
 
     id: str
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt in flight; the attempts of a request are numbered from 0."""
+    """Cancel an attempt in flight, given by its number (see `StartAttempt`)."""
 
     id: str
     attempt: int
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Fail a request as its final answer; it may have run, and the client must not assume either way."""
+    """Fail a request as its final answer: the client is not told whether it has run, and it may have."""
 
     id: str
 
--- a/thistletrail/policy/admission_queue.py
+++ b/thistletrail/policy/admission_queue.py
@@ -1,4 +1,4 @@
-"""The queue of admitted requests that wait to be sent, highest priority first."""
+"""The queue of admitted requests that wait for an attempt, the first or a retry; highest priority first."""
 
 import itertools
 from bisect import insort
--- a/thistletrail/policy/attempt_outcomes.py
+++ b/thistletrail/policy/attempt_outcomes.py
@@ -65,8 +65,8 @@
     def record_report(self, server: UpstreamServer, report: LoadReport) -> None:
         """Record a server's load report.
 
-        Utilization is the occupancy signal of overload control. The first figure present of utilization,
-        requests in flight and queue length serves to compare servers.
+        Utilization is the occupancy signal of overload control. Servers are compared by the first of
+        utilization, requests in flight and queue length that the report has.
         """
         if report.util is not None:
             self.overload.record_utilization(report.util)
@@ -103,7 +103,12 @@
             self.outliers.record_failure(server)
 
     def record_digest(self, digest: HealthDigest) -> None:
-        """Record what a peer observed as if it had been observed here; its failures have a lower weight."""
+        """Record a peer's mean occupancy, and its observations of the servers that are known here.
+
+        Latencies always count. For outlier detection, a server with both failures and successes in the digest
+        is passed over. Failures alone count at a lower weight than this gateway's own, and successes alone
+        count as a single one, unless the server is being avoided.
+        """
         self.overload.record_peer_occupancy(digest.occupancy, digest.samples)
         for observation in digest.observations:
             server = self.servers.find_by_fingerprint(observation.server)
--- a/thistletrail/policy/dispatcher.py
+++ b/thistletrail/policy/dispatcher.py
@@ -37,7 +37,11 @@
         self.max_attempts = settings.max_attempts
 
     def dispatch_queued(self) -> None:
-        """Send the queued requests that may be sent now, by priority; the others stay queued."""
+        """Send the queued requests that may be sent now, by priority; the others stay queued.
+
+        Finished requests are dropped. Nothing is sent while overload control allows no first attempt. Once it
+        does, queued retries are sent even where the first attempts ahead of them are blocked.
+        """
         if not self.overload.may_send() or not self.queue:
             return
         are_first_attempts_blocked = False
@@ -76,16 +80,20 @@
         self.context.emit(StartAttempt(request.arrival.id, server.entry.name, timeout_us))
 
     def count_first_attempt(self, request: PendingRequest) -> None:
-        """Count a first attempt in the retry budget, and in the ceiling unless the quota owner granted it."""
+        """Add what a first attempt earns to the retry budget, and take its units from the ceiling share.
+
+        Units that the quota owner has granted were taken from its reserved share of the ceiling instead.
+        """
         self.retry_budget.record_first_attempt()
         if self.context.now_us >= request.ceiling_granted_until_us:
             request.customer.use_ceiling(request.arrival.units)
 
     def attempt_timeout_us(self, request: PendingRequest) -> int:
-        """Return how long the next attempt may take, in us.
+        """Return how long the request's latest attempt, which is about to be sent, may take, in us.
 
-        An attempt that may be retried times out early enough for another one to meet the latency objective.
-        The last possible attempt may take until the deadline.
+        An attempt that may be retried times out two mean latencies before the latency objective, so that
+        another one can meet it. If that leaves it less than two mean latencies, or if it is the last possible
+        attempt, it may take until the deadline.
         """
         remaining_us = request.deadline_at_us - self.context.now_us
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
--- a/thistletrail/policy/engine.py
+++ b/thistletrail/policy/engine.py
@@ -191,7 +191,8 @@
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Return the actions to carry out, in order, for an event at `now_us`.
 
-        `now_us` must not decrease from one call to the next. An event of an unknown type is ignored.
+        `now_us` must not decrease from one call to the next. An event without a handler is ignored, such as
+        ProbeEnded and CounterReply: this policy sends no probes and does not use the shared counter.
         """
         self.context.begin_event(now_us)
         if not self.overload.has_started:
@@ -255,7 +256,11 @@
     # --- the wake-up timer ---
 
     def on_timer(self, _: TimerFired) -> None:
-        """End the control periods that are over, then process queued and waiting requests."""
+        """End the control periods that are over, then process queued and waiting requests.
+
+        A timer that fires before `wake_up_us` is ignored: the engine regards its timer as still set, and sets
+        no other one. The host process must therefore not fire it early.
+        """
         if self.context.now_us < self.wake_up_us:
             return
         self.wake_up_us = NEVER_US
@@ -264,7 +269,7 @@
         self.lifecycle.on_tick()
 
     def end_period(self) -> None:
-        """End a control period: update running means and N, and forget idle customers and stale digests."""
+        """End a control period: update running means and N, log refused retries, and remove what is stale."""
         overload = self.overload
         overload.begin_next_period()
         self.servers.decay_towards_mean()
@@ -277,7 +282,10 @@
         overload.end_period()
 
     def set_wake_up(self) -> None:
-        """Set the timer to the next tick, or to the end of the control period while the gateway is idle."""
+        """Set the timer to the next tick, or while the gateway is idle to the end of the control period.
+
+        A timer that is already set for an earlier time stays.
+        """
         now_us = self.context.now_us
         is_busy = bool(self.queue or self.exchange.outgoing or self.pending.by_id)
         due_us = now_us + TICK_US
--- a/thistletrail/policy/events.py
+++ b/thistletrail/policy/events.py
@@ -21,11 +21,11 @@
     RESET = "reset"
     MALFORMED = "spoilt"  # the answer cannot be parsed, so the request has run
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"
+    NOT_SENT = "moot"  # nothing was sent, for a reason at this gateway or its client, such as too little time
     OWNED_ELSEWHERE = "elsewhere"  # not sent, as another gateway owns the same work item or has its outcome
 
 
-# Results after which no complete request reached a server.
+# Results after which no complete request reached a server: NOT_SENT, and others that say why.
 NOT_SENT_RESULTS = frozenset(
     {AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT, AttemptResult.OWNED_ELSEWHERE}
 )
@@ -58,9 +58,9 @@
         inflight: requests in flight at the server.
         queue: requests queued at the server.
         util: busy cores over all cores, as a fraction.
-        service_ms: time to serve a request, in ms.
-        served_per_s: requests served per second.
-        errors_per_s: requests failed per second.
+        service_ms: time to serve a request, in ms; not used by the policy.
+        served_per_s: requests served per second; not used by the policy.
+        errors_per_s: requests failed per second; not used by the policy.
     """
 
     inflight: float | None = None
@@ -78,10 +78,10 @@
     Attributes:
         name: name of the instance.
         zone: number of its zone.
-        kind: number of its kind of machine.
+        kind: number of its kind of machine; not used by the policy.
         cell: number of its cell.
         state: whether it may be sent new requests.
-        size: its weight in the endpoint list; 1.0 is the usual one.
+        size: its weight in the endpoint list, 1.0 by default; not used by the policy.
         started_us: when its process started, on the gateway's clock; 0 means long ago.
     """
 
@@ -98,7 +98,7 @@
 class EndpointUpdate:
     """The complete endpoint list, changes to it, or the failure of a call of discovery.
 
-    `version` is the revision of the list.
+    `version` is the revision of the list; not used by the policy.
     """
 
     kind: EndpointUpdateKind
@@ -120,9 +120,11 @@
         set_size: number of gateways that share the customer's quota.
         set_first: index of the first of these gateways; the others follow it.
         is_retry: whether the client marked it as a retry.
-        is_write: whether the client marked it as a write.
+        is_write: whether the client marked it as a write; not used by the policy, which goes by the effect of
+            the request class.
         is_taken_over: whether another gateway admitted it and charged its units before.
-        ran_on_server: for one that was taken over, the server on which it may have run; otherwise empty.
+        ran_on_server: for one that was taken over and may have run, a listed server: the one on which it may
+            have run, or another one of the same place; otherwise empty.
     """
 
     id: str
@@ -158,12 +160,13 @@
 
     Attributes:
         id: id of the request.
-        request_ended: whether the request needs no further answer.
+        request_ended: whether the request needs no answer from the policy; on success, the host process has
+            already given the answer to the client.
         attempt: number of the attempt, from 0.
         server: name of the server.
         result: how the attempt ended.
         latency_us: time from the start of the attempt to its end.
-        used_percent: percentage that the simulator reports; the policy does not use it.
+        used_percent: number that the simulator's ATTEMPT_END line carries; not used by the policy.
         true_units: units of quota that the request really used; 0.0 if not reported.
         report: load report that came with the answer, if any.
     """
@@ -247,8 +250,9 @@
     Attributes:
         server: fingerprint (checksum) of the server's name.
         latency_ratio: mean latency of the successes over their class's latency objective.
-        successes: number of successful attempts.
-        failures: number of failed attempts.
+        successes: number of successful attempts, and of time-outs that the request caused rather than the
+            server.
+        failures: number of failed attempts, or 1 if only a failure of an earlier span is reported again.
         in_flight: number of attempts in flight at the server when the digest was made.
     """
 
--- a/thistletrail/policy/health_gossip.py
+++ b/thistletrail/policy/health_gossip.py
@@ -105,7 +105,10 @@
         self.in_flight_totals: dict[int, int] = {}  # by fingerprint, over all senders; no entry for 0
 
     def record_answer(self, name: str, latency_ratio: float) -> None:
-        """Count a server's answer; `latency_ratio` is its latency over the class's latency objective."""
+        """Count a server's answer, or a time-out that the request caused and not the server, as a success.
+
+        `latency_ratio` is its latency over the class's latency objective.
+        """
         totals = self.totals.setdefault(name, ServerTotals())
         totals.latency_ratio_sum += latency_ratio
         totals.successes += 1
--- a/thistletrail/policy/observer.py
+++ b/thistletrail/policy/observer.py
@@ -19,7 +19,7 @@
     LOCAL_SHARE = auto()  # this gateway's share of the quota
     OWN_ACCOUNT = auto()  # this gateway's account of the quota, as the quota owner
     LAST_ANSWER = auto()  # the quota owner's last answer, which is still fresh
-    OWNER_SILENT = auto()  # this gateway's own estimate, as the quota owner is silent
+    OWNER_SILENT = auto()  # own estimate, as the quota owner is silent; also for a plan without a quota
     OWNER_ANSWER = auto()  # the quota owner's answer, for which the request waited
     NO_ANSWER = auto()  # this gateway's own estimate, as the wait timed out
     LEASE = auto()  # the units granted by a lease
@@ -39,7 +39,7 @@
     """What a request waits for before its next attempt."""
 
     NO_SERVER_FOR_RETRY = auto()
-    QUOTA_ANSWER = auto()
+    QUOTA_ANSWER = auto()  # the quota owner's answer, or a lease
     NOT_ADMITTED = auto()  # it has just arrived, or is finished
     CEILING = auto()
     OVERLOAD_CONTROL = auto()
--- a/thistletrail/policy/outlier_detection.py
+++ b/thistletrail/policy/outlier_detection.py
@@ -6,8 +6,8 @@
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND, NEVER_US
 from thistletrail.policy.upstream_server import UpstreamServer
 
-# Each success halves the count of failures. Two failures in a row reach this threshold, and so does a mix
-# with more failures than successes.
+# Each success halves the count of failures. Two failures in a row reach this threshold, and so do three that
+# alternate with successes.
 EJECTION_FAILURE_THRESHOLD = 1.7
 # Weights relative to a failure that this gateway observed.
 PEER_FAILURE_WEIGHT = 0.5
@@ -26,7 +26,7 @@
         self.warm_up_us = settings.warm_up_us
 
     def record_success(self, server: UpstreamServer, sent_us: int = NEVER_US) -> None:
-        """Record a success; it returns an ejected server, in slow start, if it was sent after the ejection.
+        """Record a successful attempt. If it was sent after an ejection, the server returns in slow start.
 
         An attempt that was sent before the ejection proves nothing, as a draining server still answers it.
         `sent_us` is NEVER_US for a success that a peer reports, which always counts as sent afterwards.
@@ -40,7 +40,10 @@
             server.warm_up_start_us = max(server.warm_up_start_us, half_warmed_start_us)
 
     def record_failure(self, server: UpstreamServer, weight: float = 1) -> None:
-        """Record a failure; a server that fails a half-open attempt is ejected for twice as long."""
+        """Record a failure; a server that fails a half-open attempt is ejected for twice as long.
+
+        Failures of a server that is avoided already are only counted.
+        """
         server.failures += weight
         if server.failures < EJECTION_FAILURE_THRESHOLD and not server.is_ejected:
             return
--- a/thistletrail/policy/overload_control.py
+++ b/thistletrail/policy/overload_control.py
@@ -9,7 +9,8 @@
   end.
 - *NA_past*, the calls accepted in the last period: `accepted_in_period`.
 - *Occupancy* and its targets `max_occup`, `occ_too_high` and `min_occup`: `OccupancyTargets`.
-- *Estimated overhead*: `idle_occupancy`, the lowest occupancy seen when the control was lifted.
+- *Estimated overhead*: `idle_occupancy`, the lowest occupancy at which the control was disengaged; half of
+  `min_occup` at most.
 """
 
 import math
@@ -132,7 +133,10 @@
         self.latency_samples.append(latency_ratio)
 
     def record_peer_occupancy(self, occupancy: float, samples: int) -> None:
-        """Add a peer's mean occupancy, weighted by the number of samples that it is the mean of."""
+        """Add a peer's mean occupancy, weighted by the number of samples that it is the mean of.
+
+        Peers report the latency signal only, also where this gateway's own samples are of utilization.
+        """
         self.peer_occupancy_sum += min(1.0, occupancy) * samples
         self.peer_sample_count += samples
 
@@ -161,7 +165,7 @@
         return self.context.now_us - self.period_start_us >= self.control_period_us
 
     def begin_next_period(self) -> None:
-        """Move on to the next period; `end_period` then evaluates the one that is over."""
+        """Move on to the next period; `end_period` then evaluates the samples of the one that is over."""
         self.period_start_us += self.control_period_us
 
     def end_period(self) -> None:
@@ -178,7 +182,9 @@
         self.accepted_in_period = 0
 
     def update_limit(self, accepted: float) -> None:
-        """Update N by the occupancy of the period, as in the paper; no samples leave N as it is.
+        """Update the exact N by the change of capacity, and by the period's occupancy as in the paper.
+
+        `end_period` then rounds N. Without samples of occupancy, only the change of capacity applies.
 
         The control is not disengaged while N is in full use: that would flood servers whose queues have only
         just drained.
@@ -233,7 +239,7 @@
             self.exact_limit *= self.capacity / capacity_before
 
     def disengage(self, occupancy: float) -> None:
-        """Disengage the control, and note its low occupancy for the estimate of the overhead."""
+        """Disengage the control, and note the period's low occupancy for the estimate of the overhead."""
         self.idle_occupancy = min(self.idle_occupancy, occupancy)
         self.admission_limit = None
         self.rounding_remainder = 0.0
--- a/thistletrail/policy/pending_request.py
+++ b/thistletrail/policy/pending_request.py
@@ -14,7 +14,10 @@
 
 
 class PendingRequest:
-    """A request with its deadlines, attempts and quota decision; names in `_at_us` are absolute times."""
+    """A request with its deadlines, attempts and quota decision.
+
+    Names in `_at_us`, `_by_us`, `_since_us` and `_until_us` are absolute times.
+    """
 
     __slots__ = (
         "arrival",
@@ -57,15 +60,15 @@
         self.objective_at_us = min(
             now_us + request_class.latency_objective_us - elapsed_us, self.deadline_at_us
         )
-        # A request that never reached a server completely must be rejected by then.
+        # A request of which no attempt has reached a server completely must be rejected by then.
         self.reject_by_us = now_us + arrival.remaining_us // 2
         self.is_late_retry = False  # a client's retry that can only earn its late value
-        self.is_finished = False  # has its final answer, or its client has disconnected
+        self.is_finished = False  # has its final answer, or needs none
 
         self.attempted_servers: list[UpstreamServer] = []  # by attempt number
         self.in_flight: dict[int, int] = {}  # send time in us, by attempt number
         self.may_have_run_on: UpstreamServer | None = None  # first server on which it may have run
-        self.may_have_run_since_us = 0
+        self.may_have_run_since_us = 0  # when it was sent there, or arrived here after a takeover
         # For a request that was taken over: the server on which the other gateway's attempt may have run.
         self.server_before_takeover: UpstreamServer | None = None
         self.never_ran_count = 0  # attempts that certainly did not run
@@ -83,9 +86,10 @@
         self.objective_at_us = min(self.objective_at_us, self.deadline_at_us)
 
     def may_reject(self) -> bool:
-        """Return whether the client may safely send the request again.
+        """Return whether the request may be rejected, which allows the client to send it again.
 
-        That is so if it has not run, is idempotent, or every server recognises its idempotency key.
+        That is so if it has not run, is idempotent, or every server recognises its idempotency key. Otherwise
+        it can only be failed.
         """
         if self.may_have_run_on is None or self.request_class.effect is Effect.IDEMPOTENT:
             return True
@@ -95,7 +99,10 @@
         )
 
     def is_under_ceiling(self, now_us: int) -> bool:
-        """Return whether the customer's ceiling, or a grant of the quota owner, has room for it."""
+        """Return whether this gateway's share of the ceiling has room for it, or a grant covers its units.
+
+        It is also true for a plan without a ceiling.
+        """
         if not self.customer.plan.ceiling_rate or now_us < self.ceiling_granted_until_us:
             return True
         return self.customer.refill(now_us).has_ceiling_room(self.arrival.units)
--- a/thistletrail/policy/pending_requests.py
+++ b/thistletrail/policy/pending_requests.py
@@ -1,4 +1,7 @@
-"""The requests without a final answer, and how they get it: exactly one for each request."""
+"""The pending requests, and their rejection or failure; a request gets exactly one final answer.
+
+The host process gives successful answers to clients itself (see `AttemptEnded.request_ended`).
+"""
 
 from collections.abc import Sequence
 
@@ -11,7 +14,7 @@
 
 
 class PendingRequests:
-    """Requests by id, from arrival until they are answered and have no attempt in flight."""
+    """Requests by id, from arrival until they are finished and have no attempt in flight."""
 
     def __init__(self, settings: Settings, context: EventContext, observer: DecisionObserver) -> None:
         self.context = context
@@ -27,7 +30,8 @@
     def reject(self, request: PendingRequest, reason: RejectReason, retry_after_us: int = NEVER_US) -> None:
         """Reject a request, or fail it if it may have run and must not be repeated.
 
-        A rejection advises the client to retry after `retry_after_us`, at most `max_retry_after_us`.
+        A rejection advises the client to retry after `retry_after_us`, but no more than `max_retry_after_us`,
+        which is also the default.
         """
         self.observer.on_reject(request, reason)
         if request.may_reject():
@@ -38,7 +42,11 @@
         self.finish(request)
 
     def finish(self, request: PendingRequest) -> None:
-        """Finish a request: refund its units if nothing was attempted, and cancel its attempts in flight."""
+        """Finish a request: refund its units if nothing was attempted, and cancel its attempts in flight.
+
+        Attempts are not cancelled if the settings forbid it or the answer is streamed. A request that was
+        finished before is only removed, once its last attempt has ended.
+        """
         was_finished = request.is_finished
         if request.is_in_quota and not request.attempted_servers and not was_finished:
             request.customer.spend_locally(-request.arrival.units)
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -71,8 +71,8 @@
     ) -> None:
         """Create the customer with a full quota.
 
-        Its ceiling was empty at `started_us`, the start of the gateway, which cannot tell a restart from a
-        first start.
+        The ceiling counts as empty at `started_us`, the start of the gateway, and is refilled from then on:
+        the gateway may have used it up before a restart that it does not know of.
         """
         self.plan = plan
         self.key = key
@@ -173,14 +173,15 @@
     def admission_chance(self, units: float) -> float:
         """The probability with which a request of that many units is admitted: available quota over demand.
 
-        The available quota is the set's level, less any units owed, and the refill of one
-        DEMAND_TIME_CONSTANT_US. A leased quota admits the request with 1.0 where its level suffices.
+        The available quota is the set's level (negative where units are owed), less a reserve, plus the
+        refill of one DEMAND_TIME_CONSTANT_US. The chance is 1.0 for a plan without a quota, and 0.0 where the
+        limit on requests in flight is reached. With a leased quota it is 1.0 or 0.0, as its level suffices.
         """
         if not self.has_in_flight_room():
             return 0.0
         if budget := self.leased.get(BudgetKind.QUOTA):
             return float(budget.level >= units)
-        # A reserve in proportion to the cost of serving units that turn out to be beyond the quota.
+        # The more a request beyond the quota costs, the more of the request's units are held back.
         reserve = units * self.plan.over_quota_cost
         refill = self.plan.rate * DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
         quota = self.set_level - reserve + refill
@@ -191,7 +192,10 @@
         return not self.plan.max_in_flight and self.local_bucket.level >= units
 
     def has_in_flight_room(self) -> bool:
-        """Whether this gateway may have one more of the customer's requests in flight."""
+        """Whether this gateway may have one more of the customer's requests in flight.
+
+        `in_flight` counts attempts, of which a request has at most one in flight.
+        """
         max_in_flight = self.plan.max_in_flight
         if not max_in_flight:
             return True
@@ -232,7 +236,10 @@
         self.set_level = max(self.set_level - units, -max_owed)
 
     def settle(self, units: float) -> None:
-        """Take units that were used at this gateway from the set's level and from a leased quota."""
+        """Take units that were used at this gateway from the set's level and from a leased quota.
+
+        They are not added to the next report to the quota owner; `spend_locally` does that as well.
+        """
         self.spend(units)
         if budget := self.leased.get(BudgetKind.QUOTA):
             budget.level -= units
--- a/thistletrail/policy/quota_admission.py
+++ b/thistletrail/policy/quota_admission.py
@@ -20,10 +20,11 @@
 MAX_OWNER_WAIT_US = 160_000
 OWNER_WAIT_DIVISOR = 3
 
-# Messages that may be sent to the quota owner for one request: the second one makes up for a lost message.
+# Quota requests (messages that request the quota owner's answer) that may be sent for one client's request:
+# the second one makes up for a lost message.
 MAX_QUOTA_REQUESTS = 2
 
-# The share of a gateway's message intake that quota requests for one customer may take.
+# The share of the quota owner's message intake that a gateway's quota requests for one customer may take.
 MAX_INTAKE_SHARE_PER_CUSTOMER = 0.25
 
 # A quota owner's grant of ceiling units is valid for this long.
@@ -63,7 +64,7 @@
         self.waiting: list[PendingRequest] = []
 
     def admit(self, request: PendingRequest) -> None:
-        """Decide on a request, or defer the decision to the quota owner's answer or a lease."""
+        """Decide on a request, or defer the decision until the quota owner answers or a lease is granted."""
         customer = request.customer
         units = request.arrival.units
         if request.is_late_retry and customer.admission_chance(units) < 1:
@@ -106,7 +107,10 @@
         self.exchange.request_units(request.customer, request.arrival.units)
 
     def defer_decision(self, request: PendingRequest) -> None:
-        """Hold a request for the quota owner's answer or a lease, for a fraction of its latency objective."""
+        """Hold a request for the quota owner's answer or a lease, but not past `quota_wait_until_us`.
+
+        The decision is due after a fraction of its latency objective, and by `latest_decision_us`.
+        """
         objective_us = request.request_class.latency_objective_us
         wait_us = min(MAX_OWNER_WAIT_US, objective_us // OWNER_WAIT_DIVISOR)
         request.quota_wait_until_us = min(self.context.now_us + wait_us, latest_decision_us(request))
@@ -115,7 +119,9 @@
     def decide(self, request: PendingRequest, chance: float, basis: QuotaBasis) -> None:
         """Admit the request with the probability `chance`, and otherwise reject it.
 
-        A request that is beyond the quota is still admitted where `admits_over_quota` allows it.
+        A request that is beyond the quota is still admitted where `admits_over_quota` allows it; it takes no
+        units of the quota. If this gateway is the quota owner and its share of the ceiling has no room, it
+        grants itself the units of the reserved ceiling.
         """
         customer = request.customer
         units = request.arrival.units
@@ -132,9 +138,9 @@
         self.enqueue(request)
 
     def admits_over_quota(self, customer: CustomerQuota) -> bool:
-        """Whether a request beyond the quota is served.
+        """Whether a request beyond the quota is served: its value must exceed its cost.
 
-        It is where its value exceeds its cost and overload control is not engaged.
+        While overload control is engaged, none is.
         """
         plan = customer.plan
         return plan.over_quota_value > plan.over_quota_cost and self.overload.admission_limit is None
@@ -177,8 +183,8 @@
     def decide_waiting(self, ready: list[PendingRequest], answered: CustomerQuota | None) -> None:
         """Decide on the requests in `ready` and on those whose wait is over.
 
-        `answered` is the customer whose quota owner has just answered. Where it is None, a request that has
-        enough time requests the answer once more instead.
+        `answered` is the customer whose quota owner has just answered. Where it is None, the answer for a
+        request that has enough time is requested once more instead.
         """
         for request in self.waiting:
             if request.quota_wait_until_us <= self.context.now_us and request not in ready:
@@ -206,11 +212,12 @@
         if customer.leased:  # a lease may have expired during the wait
             customer.refill(self.context.now_us)
         chance = customer.admission_chance(units)
-        # The quota owner has already counted these units, with each request for its answer.
+        # The quota owner counts the units, times the chance, as spent with each quota request, so they are
+        # left out of the next report. A quota request that was lost is taken to be counted as well.
         customer.unreported_spending -= units * chance * request.quota_requests_sent
         self.decide(request, chance, basis)
 
 
 def latest_decision_us(request: PendingRequest) -> int:
-    """The latest time for the quota decision on a request that is still served or rejected in time."""
+    """The latest time for a quota decision that leaves enough time to serve or reject the request."""
     return min(request.deadline_at_us - 4 * TICK_US, request.reject_by_us - 2 * TICK_US)
--- a/thistletrail/policy/quota_exchange.py
+++ b/thistletrail/policy/quota_exchange.py
@@ -10,9 +10,9 @@
 from thistletrail.policy.settings import Settings
 from thistletrail.policy.units import MICROSECONDS_PER_SECOND
 
-SILENCE_THRESHOLD_US = 500_000  # A peer is silent after this long without any message since a request.
-SILENT_PEER_RETRY_US = 300_000  # The interval between requests to a silent peer.
-MAX_MESSAGE_SPACING_US = 80_000  # The maximum of the minimum interval between messages to one peer.
+SILENCE_THRESHOLD_US = 500_000  # A peer that sends nothing for this long after a quota request is silent.
+SILENT_PEER_RETRY_US = 300_000  # The interval between quota requests to a silent peer.
+MAX_MESSAGE_SPACING_US = 80_000  # Upper bound of the spacing (the minimum interval) of messages to one peer.
 
 
 class QuotaExchange:
@@ -31,7 +31,8 @@
         self.gossip = gossip
         self.incarnations = incarnations
         self.gateway_index = settings.gateway_index
-        # With this interval, all peers of a small fleet together take half of a gateway's message intake.
+        # With this spacing, all peers together take half of a gateway's message intake. In a large fleet the
+        # spacing would be too long and is bounded.
         half_intake_spacing_us = (
             2 * MICROSECONDS_PER_SECOND * (settings.gateway_count - 1) / max(1, settings.peer_messages_per_s)
         )
@@ -42,13 +43,14 @@
         self.last_requested_us: dict[int, int] = {}  # by peer
 
     def record_message_from(self, peer: int) -> None:
-        """Note a message of a peer, which is no longer silent whatever the message is."""
+        """Note that a peer has sent a message; whatever its contents, the peer is no longer silent."""
         self.unanswered_since_us.pop(peer, None)
 
     def is_silent(self, peer: int) -> bool:
-        """Whether a peer has not answered for SILENCE_THRESHOLD_US, and no request to it is due.
+        """Whether a peer is not to be sent a quota request now, as it has not answered the last ones.
 
-        A peer that restarts is silent, for example. It is sent a request every SILENT_PEER_RETRY_US.
+        That is a peer without any message for SILENCE_THRESHOLD_US since a quota request, such as one that
+        restarts. Every SILENT_PEER_RETRY_US this is False, so that it is sent another quota request.
         """
         now_us = self.context.now_us
         if now_us - self.unanswered_since_us.get(peer, now_us) <= SILENCE_THRESHOLD_US:
@@ -56,7 +58,7 @@
         return now_us - self.last_requested_us.get(peer, 0) < SILENT_PEER_RETRY_US
 
     def request_units(self, customer: CustomerQuota, units: float) -> None:
-        """Request the quota owner's decision on a request of that many units."""
+        """Send the quota owner a quota request: a report that requests its answer on that many units."""
         self.unanswered_since_us.setdefault(customer.owner, self.context.now_us)
         self.last_requested_us[customer.owner] = self.context.now_us
         self.report(customer, units)
@@ -64,7 +66,8 @@
     def report(self, customer: CustomerQuota, requested: float = 0.0) -> None:
         """Report this gateway's demand and spending since the last report to the quota owner.
 
-        `requested` is the number of units of a request for the owner to decide on; 0.0 is a report alone.
+        `requested` is the number of units that a client's request needs, for which the owner's answer is
+        requested; 0.0 is a report alone. At the quota owner itself there is nothing to report.
         """
         if customer.owner != self.gateway_index:
             message = QuotaMessage(
@@ -97,7 +100,7 @@
             self.outgoing.setdefault(peer, []).append(message)
 
     def schedule_message(self, peer: int) -> None:
-        """Have a message sent to a peer even if none is queued, to carry announcements and health digests."""
+        """Have a message sent to a peer, even without quota messages, to carry announcement and digest."""
         self.outgoing.setdefault(peer, [])
 
     def send_due(self) -> None:
--- a/thistletrail/policy/request_expiry.py
+++ b/thistletrail/policy/request_expiry.py
@@ -56,9 +56,9 @@
     ) -> bool:
         """Reject or fail a request that is too late, and return whether it is finished.
 
-        The request needs `needed_latencies` mean latencies of its class, after the `queue_ahead_us` that it
-        takes to send those queued ahead of it. A queue that is too long rejects the request at once, while
-        the client can still retry at another gateway in time.
+        The request needs `needed_latencies` mean latencies of its class, but no more than half its latency
+        objective, after the `queue_ahead_us` that it takes to send those queued ahead of it. If the queue is
+        too long, it is rejected at once, while the client can still retry at another gateway in time.
         """
         self.observer.on_expiry_check(request, self.wait_reason)
         if not request.is_finished and self.is_too_late(request, needed_latencies, queue_ahead_us):
@@ -66,7 +66,11 @@
         return request.is_finished
 
     def is_too_late(self, request: PendingRequest, needed_latencies: float, queue_ahead_us: float) -> bool:
-        """Return whether its objective is out of reach, or the time left to reject it is nearly over."""
+        """Return whether the request is to be rejected or failed now.
+
+        That is so if the objective is out of reach while the request may be rejected, if no attempt reached a
+        server completely and `reject_by_us` is near, or if the deadline is near.
+        """
         now_us = self.context.now_us
         mean_us = self.traffic.mean_latency_us[request.arrival.class_index]
         needed_us = (
@@ -98,7 +102,7 @@
         if request.attempted_servers:
             return WaitReason.NO_SERVER_FOR_RETRY
         if request in self.admission.waiting:
-            return WaitReason.QUOTA_ANSWER
+            return WaitReason.QUOTA_ANSWER  # or a lease of units of the quota
         if request.is_finished or not request.is_quota_decided:
             return WaitReason.NOT_ADMITTED
         if not request.is_under_ceiling(self.context.now_us):
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -82,12 +82,12 @@
         self.traffic = traffic
         self.retry_policy = RetryPolicy(settings, context, traffic)
         self.client_retry_age = ClientRetryAge(settings)
-        self.shutdown_at_us = NEVER_US  # the deadline of all requests once a shutdown has started
+        self.shutdown_at_us = NEVER_US  # the end of the shutdown once it has started: a deadline for all
 
     # --- arrival ---
 
     def on_arrival(self, arrival: RequestArrived) -> None:
-        """Reject a client's request at once, admit it, or let it wait for its quota decision."""
+        """Queue a client's request, reject it at once, or let it wait for its quota decision."""
         request = self.create(arrival)
         self.pending.add(request)
         # A request that arrives with too little time left is not charged to its customer's quota.
@@ -99,7 +99,11 @@
             self.admission.admit(request)
 
     def create(self, arrival: RequestArrived) -> PendingRequest:
-        """Return the pending request for an arrival, with its deadlines and its priority."""
+        """Return the pending request for an arrival, with its deadlines and its priority.
+
+        The latency objective counts from the client's first attempt, unless an answer after the objective
+        still has a value: then a retry that can only earn this late value gets a lower priority instead.
+        """
         key = CustomerKey(
             zlib.crc32(arrival.customer.encode()), arrival.plan_index, arrival.set_first, arrival.set_size
         )
@@ -122,7 +126,8 @@
         """Queue a request that another gateway admitted and charged to the customer's quota.
 
         It may run only where servers would recognise a repeat, if it may have run before. An unsafe request
-        that may have run is failed.
+        that may have run is failed. A request whose `ran_on_server` is not in the endpoint list is treated as
+        one that has not run: the host process must name a listed server, or fail the request itself.
         """
         request.ceiling_granted_until_us = NEVER_US
         request.may_have_run_since_us = self.context.now_us
@@ -136,7 +141,10 @@
     # --- attempts ---
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Finish the request of an ended attempt, retry it, or reject it."""
+        """Finish the request of an ended attempt, retry it, or reject it.
+
+        The host process answers the client of a successful attempt itself, and sets `request_ended`.
+        """
         request = self.pending.by_id.get(event.id)
         if request is None or event.attempt not in request.in_flight:
             return
@@ -159,7 +167,7 @@
         server.remove_attempt(event.id, event.attempt, event.result in BROKEN_CONNECTION_RESULTS)
 
     def update_may_have_run_on(self, request: PendingRequest, result: AttemptResult) -> None:
-        """Count an attempt that cannot have run; once that holds for all, the request may run on any server.
+        """Count an attempt that cannot have run; if no attempt can, the request may run on any server.
 
         For a request that was taken over, this leaves the server on which it may have run before.
         """
@@ -174,6 +182,8 @@
         """Start another attempt, or queue the request for one; return False if it may have none.
 
         A retry after a failed connect does not use the retry budget, as that attempt put no load on a server.
+        A queued retry needs a budget with at least one retry left, but does not take it. Only a request that
+        has certainly not run is queued. A retry that starts at once does not wait for overload control.
         """
         if not self.retry_policy.may_attempt_again(request, result):
             return False
@@ -193,12 +203,12 @@
     # --- end of requests ---
 
     def on_answer_not_needed(self, event: ClientDisconnected | StreamStarted) -> None:
-        """Finish a request whose client has disconnected or whose streamed answer has begun."""
+        """Finish a request that needs no answer: its client has disconnected, or its stream has begun."""
         if request := self.pending.by_id.get(event.id):
             self.pending.finish(request)
 
     def on_shutdown(self, event: ShutdownStarted) -> None:
-        """Limit all deadlines to the shutdown, and reject requests that cannot start and end before it."""
+        """Limit all deadlines to the end of the shutdown; reject unsent requests that cannot meet theirs."""
         self.shutdown_at_us = self.context.now_us + event.remaining_us
         for request in list(self.pending.by_id.values()):
             request.limit_deadline(self.shutdown_at_us)
@@ -206,7 +216,7 @@
                 self.expiry.expire_if_too_late(request, NEEDED_LATENCIES_IN_QUEUE)
 
     def on_tick(self) -> None:
-        """Decide overdue quota waits, dispatch queued requests, and expire those that are too late."""
+        """Decide overdue quota waits, dispatch queued requests, and expire queued ones that are too late."""
         self.admission.decide_overdue()
         self.dispatcher.dispatch_queued()
         time_per_admission_us = 0.0 if self.overload.may_send() else self.overload.time_per_admission_us()
--- a/thistletrail/policy/retry_detection.py
+++ b/thistletrail/policy/retry_detection.py
@@ -2,7 +2,7 @@
 
 Clients state with each request how long they will wait for the answer. First attempts of a class nearly all
 state the same time. A retry states what remains of the class's deadline, which its client counts from the
-first attempt. A request that states an uncommon time is therefore taken for a retry.
+first attempt. A request that states an uncommon time is therefore treated as a retry.
 """
 
 # Width of a bucket of remaining times, which covers the variation from the network and client timers.
@@ -11,10 +11,11 @@
 # A remaining time is that of first attempts if at least this share of requests state a similar one.
 MIN_COMMON_SHARE = 0.15
 
-# How many buckets of time a first attempt may lose when its client or the gateway is slow.
+# How much time a first attempt may lose when its client or the gateway is slow, in buckets. A request counts
+# as a first attempt if its remaining time is up to this much below a common one, or a bucket above it.
 MAX_DELAY_BUCKETS = 6
 
-MIN_REQUESTS = 20  # recorded before any is taken for a retry: fewer do not show a common time
+MIN_REQUESTS = 20  # recorded before any counts as a retry: fewer do not show which time is common
 
 # When this many requests are counted, all counts are halved: the table stays small and follows changes.
 MAX_REQUESTS = 400
--- a/thistletrail/policy/retry_policy.py
+++ b/thistletrail/policy/retry_policy.py
@@ -42,7 +42,7 @@
         self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + RETRIES_PER_FIRST_ATTEMPT)
 
     def request_retry(self) -> bool:
-        """Return whether a retry may start now; `take_retry` then takes it from the budget.
+        """Return whether the budget allows a retry; `take_retry` takes it from the budget when it starts.
 
         A refused retry is counted for the log, and each request counts in the demand for leased retries.
         """
@@ -82,7 +82,8 @@
     def may_attempt_again(self, request: PendingRequest, result: AttemptResult) -> bool:
         """Return whether attempts and time are left after an attempt that ended with `result`.
 
-        More than half the mean latency of its class must remain before the deadline.
+        More than half the mean latency of its class must remain before the deadline. There is no retry after
+        NOT_SENT, as its cause is at this gateway or its client.
         """
         if result is AttemptResult.NOT_SENT or len(request.attempted_servers) >= self.max_attempts:
             return False
@@ -106,8 +107,10 @@
     def elapsed_us(self, arrival: RequestArrived, is_shutting_down: bool) -> int:
         """Return the time since the client's first attempt, as far as it is known; 0 for a first attempt.
 
-        An unmarked retry is recognised by a remaining time that is uncommon for first attempts. Remaining
-        times are neither recorded nor judged during a shutdown, which shortens them.
+        For a marked retry, it is estimated from the client timeout; in a class with a late value the result
+        is 0, as no client timeout is recorded there. An unmarked retry is recognised by a remaining time
+        that is uncommon for first attempts. Remaining times are not recorded or judged in this way during a
+        shutdown, which shortens them.
         """
         request_class = self.classes[arrival.class_index]
         timeout_us = self.client_timeout_us[arrival.class_index]
@@ -123,7 +126,10 @@
         return 0
 
     def record_first_attempt(self, arrival: RequestArrived) -> None:
-        """Update the client timeout: the shortest recent one, which rises slowly as clients may differ."""
+        """Update the client timeout, the shortest one of recent first attempts.
+
+        It rises slowly, as clients may differ in their timeouts.
+        """
         timeout_us = self.client_timeout_us[arrival.class_index]
         raised_timeout_us = (
             timeout_us + timeout_us // CLIENT_TIMEOUT_STEPS + 1 if timeout_us else arrival.remaining_us
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -61,9 +61,11 @@
     def ready_servers(self, request: PendingRequest) -> list[UpstreamServer]:
         """Return the permitted, healthy servers, without those in slow start that are skipped this time.
 
-        If no permitted server is healthy, all permitted ones are considered. This loop runs over all servers
-        for each attempt, so the checks that nearly all servers pass are inlined: 200 servers take 20 to 26
-        us, and 35 to 55 us with a call for each check.
+        Servers to which this request was sent before count as not healthy. If no permitted server is healthy,
+        all permitted ones are considered.
+
+        This loop runs over all servers for each attempt, so the checks that nearly all servers pass are
+        inlined: 200 servers take 20 to 26 us, and 35 to 55 us with a call for each check.
         """
         now_us = self.context.now_us
         attempted = request.attempted_servers
@@ -114,9 +116,10 @@
         return server.entry.cell == first_server.entry.cell
 
     def expected_wait(self, server: UpstreamServer) -> float:
-        """Return the attempts ahead at a server, weighted by its latency, load and zone.
+        """Return the attempts in flight at a server and this one, weighted by its latency, load and zone.
 
-        The result is only comparable between servers, and only at one gateway.
+        In a large fleet, the attempts of peers and a handshake that is needed count as well, and reported
+        load does not. The result is only comparable between servers, and only at one gateway.
         """
         in_flight = len(server.in_flight)
         waiting_attempts = 0 if server.is_ejected else in_flight + 1  # prefer a half-open attempt that is due
--- a/thistletrail/policy/settings.py
+++ b/thistletrail/policy/settings.py
@@ -60,10 +60,12 @@
         max_in_flight: maximum number of a customer's requests in flight.
         value_factor: factor on the value of a request class.
         over_quota_value: fraction of its value that a request beyond the quota has.
-        over_quota_cost: cost of a request beyond the quota, as a fraction of its value.
+        over_quota_cost: cost of sending a request beyond the quota to a server, as a fraction of its value.
+            It is also the fraction of a request's units that its quota decision holds back as a reserve.
         ceiling_rate: rate of the ceiling, in units per second.
         ceiling_burst: burst of the ceiling, in units.
-        ceiling_slack: units by which the ceiling may be exceeded without being violated.
+        ceiling_slack: units by which the ceiling may be exceeded without being violated; not used by the
+            policy.
     """
 
     rate: float = 0.0
@@ -92,26 +94,30 @@
         zone: number of this gateway's zone.
         max_attempts: maximum number of attempts for a request, including the first.
         max_retry_after_us: maximum Retry-After; 0 means that clients are advised no time.
-        may_hedge: whether a request may have several attempts in flight (hedged requests).
-        may_probe: whether servers may be probed.
+        may_hedge: whether a request may have several attempts in flight (hedged requests); not used by the
+            policy, which never does that.
+        may_probe: whether servers may be probed; not used by the policy, which sends no probes.
         may_cancel: whether attempts may be cancelled.
         may_message_peers: whether gateways may send messages to each other.
-        has_shared_counter: whether there is a counter that all gateways share.
+        has_shared_counter: whether there is a counter that all gateways share; not used by the policy.
         must_subscribe: whether updates of the endpoint list must be requested with a watch.
         settles_true_units: whether servers report the units that a request really used.
         peer_messages_per_s: messages from peers that a gateway can take in per second.
         cross_zone_price: price of an attempt at a server in another zone.
         handshake_price: price of a new connection.
-        waste_price: price of servers' work that came to no use.
-        late_fail_price: price of a failure that is answered after the latency objective.
-        message_price: price of messages to peers.
-        probe_price: price of a probe.
-        answer_grace_us: time after its deadline within which a final answer still counts as given.
-        ask_within_us: part of the deployment's obligations; the policy does not use it.
+        waste_price: price of servers' work that came to no use; not used by the policy.
+        late_fail_price: price of a failure that is answered after the latency objective; not used by the
+            policy.
+        message_price: price of messages to peers; not used by the policy.
+        probe_price: price of a probe; not used by the policy.
+        answer_grace_us: time after its deadline within which a final answer still counts as given; not used
+            by the policy.
+        ask_within_us: value of `obligations.ask-within-us`; not used by the policy.
         cold_capacity: fraction of its capacity that a server has when it starts.
         warm_up_us: time from its start after which a server has its full capacity.
-        overload_multiple: multiple of its present capacity above which a server collapses.
-        overload_window_us: time over which that load is counted.
+        overload_multiple: multiple of its present capacity above which a server collapses; not used by the
+            policy.
+        overload_window_us: time over which that load is counted; not used by the policy.
         leases_ceilings: whether the lease service divides customers' ceilings, in place of fixed shares.
         leases_quotas: whether it divides customers' quotas, in place of quota messages.
         leases_in_flight: whether it divides the limits on requests in flight, in place of fixed shares.
--- a/thistletrail/policy/slow_start.py
+++ b/thistletrail/policy/slow_start.py
@@ -55,14 +55,17 @@
         return min(1.0, 2 * capacity - min(capacity, self.cold_capacity))
 
     def may_receive_attempt(self, server: UpstreamServer) -> bool:
-        """Return whether a server may receive an attempt now; a cold one is skipped at random."""
+        """Return whether a server may receive an attempt now.
+
+        A server that is warming up is skipped until its next spaced attempt is due, and at random after that.
+        """
         fraction = self.traffic_fraction(server)
         if fraction >= 1:
             return True
         return self.context.now_us >= server.next_attempt_us and self.generator.random() < fraction
 
     def spacing_us(self, server: UpstreamServer) -> int:
-        """Return the minimum time between this attempt to a server and the next, in us.
+        """Return the minimum time between two attempts to a server, in us.
 
         In a small fleet, attempts to a server that is warming up are evenly spaced at its fraction of the
         other servers' rate. In a large fleet the result is 0: each gateway sends it an attempt only once in
--- a/thistletrail/policy/traffic_estimates.py
+++ b/thistletrail/policy/traffic_estimates.py
@@ -20,6 +20,7 @@
 
     def __init__(self, settings: Settings) -> None:
         objectives_us = [rule.latency_objective_us for rule in settings.classes]
+        # By class. A quarter of the latency objective is assumed before the first answers.
         self.mean_latency_us: list[float] = [objective_us / 4 for objective_us in objectives_us]
         mean_objective_us = sum(objectives_us) / max(1, len(objectives_us))
         self.scaled_second_us = round(
--- a/thistletrail/policy/upstream_server.py
+++ b/thistletrail/policy/upstream_server.py
@@ -7,8 +7,9 @@
 class UpstreamServer:
     """A server of the endpoint list with its observed state; compared by identity.
 
-    `is_ejected` is true from the ejection until a half-open attempt succeeds; half-open attempts are allowed
-    from `avoid_until_us` on. A server that rejected an attempt at capacity is avoided until then as well.
+    `is_ejected` is true from the ejection until an attempt that was sent after it succeeds, or a peer reports
+    a success. Half-open attempts are allowed from `avoid_until_us` on. A server that rejected an attempt at
+    capacity is avoided until then as well.
     """
 
     __slots__ = (
@@ -40,7 +41,7 @@
 
         self.last_success_us = 0
         self.slowness = 1.0  # this gateway's mean latency, over the mean of the request's class
-        self.latency_ratio = latency_ratio  # mean latency over the objective, of all gateways
+        self.latency_ratio = latency_ratio  # mean latency over the objective, at all gateways
         self.reported_load: float | None = None  # None until the server reports its load
         self.reported_load_at_us = 0
 
@@ -48,7 +49,7 @@
         self.is_ejected = False
         self.ejected_at_us = 0
         self.avoid_until_us = 0
-        self.backoff_us = 0
+        self.backoff_us = 0  # length of the present ejection; 0 if it is not ejected
         # Start of the process; after an ejection, half a warm-up before the return if that is later.
         self.warm_up_start_us = entry.started_us
 
