--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -98,7 +98,7 @@
     return world
 
 
-def test_overload_control_engages_spreads_attempts_and_is_lifted() -> None:
+def test_overload_control_engages_spreads_attempts_and_is_disengaged() -> None:
     world = loaded_world(0.9)
     # 8 for each of 4 warm servers, divided between two gateways
     assert world.gateway.overload.admission_limit == 16
@@ -133,7 +133,7 @@
     assert next_n(10, 10, 0.2, 0.3, 4.0) == 20
 
 
-def test_limit_in_full_use_is_not_lifted() -> None:
+def test_overload_control_is_not_disengaged_while_its_limit_is_in_full_use() -> None:
     world = loaded_world(0.9)
     for n in range(60):
         world.ask(f"r{n}")
@@ -166,7 +166,7 @@
     assert rejected_at[0] - started < 2 * S
 
 
-def test_attempts_in_flight_are_bounded_while_overload_control_is_lifted() -> None:
+def test_attempts_in_flight_are_bounded_while_overload_control_is_disengaged() -> None:
     """Servers that do not answer must not be sent ever more attempts, even without a limit N."""
     worlds = [
         World(replace(SETTINGS, plans=(Plan(),), gateway_count=5, gateway_index=gateway_index), servers(10))
