--- a/thistletrail/policy/engine.py
+++ b/thistletrail/policy/engine.py
@@ -74,23 +74,23 @@
         first_serial = self.generator.getrandbits(GOSSIP_SERIAL_BITS)
         self.gossip = HealthGossip(settings.gateway_count - 1, first_serial)
         self.incarnations = Incarnations(self.generator)
-        self.wire_load()
-        self.wire_requests()
-        self.wire_peers()
+        self.create_load_components()
+        self.create_request_components()
+        self.create_peer_components()
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self.on_request,
             AttemptEnded: self.lifecycle.on_attempt_ended,
             TimerFired: self.on_timer,
             EndpointUpdate: self.on_endpoint_update,
             PeerMessageReceived: self.on_peer_message,
-            ClientDisconnected: self.lifecycle.on_client_left,
-            StreamStarted: self.lifecycle.on_client_left,
+            ClientDisconnected: self.lifecycle.on_answer_not_needed,
+            StreamStarted: self.lifecycle.on_answer_not_needed,
             ShutdownStarted: self.lifecycle.on_shutdown,
             SnapshotFound: self.on_snapshot,
             BudgetGranted: self.leases.on_grant,
         }
 
-    def wire_load(self) -> None:
+    def create_load_components(self) -> None:
         """Create the components that track the servers and limit the load that is sent to them."""
         settings = self.settings
         context = self.context
@@ -107,7 +107,7 @@
             settings, context, self.servers, self.outliers, self.overload, self.gossip, self.traffic
         )
 
-    def wire_requests(self) -> None:
+    def create_request_components(self) -> None:
         """Create the components that queue requests and check customers' quotas."""
         settings = self.settings
         context = self.context
@@ -137,9 +137,9 @@
             self.exchange,
             self.traffic,
         )
-        self.wire_lifecycle()
+        self.create_lifecycle_components()
 
-    def wire_lifecycle(self) -> None:
+    def create_lifecycle_components(self) -> None:
         """Create the components that take each request from its arrival to its final answer."""
         settings = self.settings
         context = self.context
@@ -172,7 +172,7 @@
             self.traffic,
         )
 
-    def wire_peers(self) -> None:
+    def create_peer_components(self) -> None:
         """Create the components that handle quota messages, leases and snapshots."""
         settings = self.settings
         context = self.context
@@ -191,7 +191,8 @@
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Return the actions to carry out, in order, for an event at `now_us`.
 
-        `now_us` must not decrease from one call to the next. An event of an unknown type is ignored.
+        `now_us` must not decrease from one call to the next. An event without a handler is ignored, such as
+        ProbeEnded and CounterReply: this policy sends no probes and does not use the shared counter.
         """
         self.context.begin_event(now_us)
         if not self.overload.has_started:
@@ -255,7 +256,11 @@
     # --- the wake-up timer ---
 
     def on_timer(self, _: TimerFired) -> None:
-        """End the control periods that are over, then process queued and waiting requests."""
+        """End the control periods that are over, then process queued and waiting requests.
+
+        A timer that fires before `wake_up_us` is ignored: the engine regards its timer as still set, and sets
+        no other one. The host process must therefore not fire it early.
+        """
         if self.context.now_us < self.wake_up_us:
             return
         self.wake_up_us = NEVER_US
@@ -264,7 +269,7 @@
         self.lifecycle.on_tick()
 
     def end_period(self) -> None:
-        """End a control period: update running means and N, and forget idle customers and stale digests."""
+        """End a control period: update running means and N, log refused retries, and remove what is stale."""
         overload = self.overload
         overload.begin_next_period()
         self.servers.decay_towards_mean()
@@ -277,7 +282,10 @@
         overload.end_period()
 
     def set_wake_up(self) -> None:
-        """Set the timer to the next tick, or to the end of the control period while the gateway is idle."""
+        """Set the timer to the next tick, or while the gateway is idle to the end of the control period.
+
+        A timer that is already set for an earlier time stays.
+        """
         now_us = self.context.now_us
         is_busy = bool(self.queue or self.exchange.outgoing or self.pending.by_id)
         due_us = now_us + TICK_US
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -50,7 +50,7 @@
 
     __slots__ = (
         "ceiling_bucket",
-        "ceiling_grants",
+        "ceiling_grant_bucket",
         "in_flight",
         "key",
         "leased",
@@ -71,8 +71,8 @@
     ) -> None:
         """Create the customer with a full quota.
 
-        Its ceiling was empty at `started_us`, the start of the gateway, which cannot tell a restart from a
-        first start.
+        The ceiling counts as empty at `started_us`, the start of the gateway, and is refilled from then on:
+        the gateway may have used it up before a restart that it does not know of.
         """
         self.plan = plan
         self.key = key
@@ -98,7 +98,7 @@
             owner_share = 0.0
             level = 0.0
         self.ceiling_bucket = ceiling_share(plan, split_share, level)
-        self.ceiling_grants = ceiling_share(plan, owner_share, level)
+        self.ceiling_grant_bucket = ceiling_share(plan, owner_share, level)
 
     @property
     def set_size(self) -> int:
@@ -132,7 +132,7 @@
         for budget in self.leased.values():
             budget.refill(now_us)
         self.ceiling_bucket.refill(elapsed_s)
-        self.ceiling_grants.refill(elapsed_s)
+        self.ceiling_grant_bucket.refill(elapsed_s)
         remaining = math.exp(-elapsed_s * MICROSECONDS_PER_SECOND / DEMAND_TIME_CONSTANT_US)
         self.local_demand *= remaining
         if now_us - self.owner_answered_at_us > OWNER_ANSWER_FRESH_US:
@@ -158,7 +158,7 @@
         self.local_bucket.level = max(0.0, min(max_local, share))
         self.set_level = min(self.plan.burst, level)
         self.ceiling_bucket.level = min(ceiling, self.ceiling_bucket.capacity)
-        self.ceiling_grants.level = min(grants, self.ceiling_grants.capacity)
+        self.ceiling_grant_bucket.level = min(grants, self.ceiling_grant_bucket.capacity)
 
     @property
     def demand(self) -> float:
@@ -173,14 +173,15 @@
     def admission_chance(self, units: float) -> float:
         """The probability with which a request of that many units is admitted: available quota over demand.
 
-        The available quota is the set's level, less any units owed, and the refill of one
-        DEMAND_TIME_CONSTANT_US. A leased quota admits the request with 1.0 where its level suffices.
+        The available quota is the set's level (negative where units are owed), less a reserve, plus the
+        refill of one DEMAND_TIME_CONSTANT_US. The chance is 1.0 for a plan without a quota, and 0.0 where the
+        limit on requests in flight is reached. With a leased quota it is 1.0 or 0.0, as its level suffices.
         """
         if not self.has_in_flight_room():
             return 0.0
         if budget := self.leased.get(BudgetKind.QUOTA):
             return float(budget.level >= units)
-        # A reserve in proportion to the cost of serving units that turn out to be beyond the quota.
+        # The more a request beyond the quota costs, the more of the request's units are held back.
         reserve = units * self.plan.over_quota_cost
         refill = self.plan.rate * DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
         quota = self.set_level - reserve + refill
@@ -191,7 +192,10 @@
         return not self.plan.max_in_flight and self.local_bucket.level >= units
 
     def has_in_flight_room(self) -> bool:
-        """Whether this gateway may have one more of the customer's requests in flight."""
+        """Whether this gateway may have one more of the customer's requests in flight.
+
+        `in_flight` counts attempts, of which a request has at most one in flight.
+        """
         max_in_flight = self.plan.max_in_flight
         if not max_in_flight:
             return True
@@ -218,9 +222,9 @@
 
         The request is forwarded with the probability `chance`, so that fraction of the units is taken.
         """
-        if not self.plan.ceiling_rate or self.ceiling_grants.level < units:
+        if not self.plan.ceiling_rate or self.ceiling_grant_bucket.level < units:
             return False
-        self.ceiling_grants.level -= units * chance
+        self.ceiling_grant_bucket.level -= units * chance
         return True
 
     def spend(self, units: float) -> None:
@@ -232,7 +236,10 @@
         self.set_level = max(self.set_level - units, -max_owed)
 
     def settle(self, units: float) -> None:
-        """Take units that were used at this gateway from the set's level and from a leased quota."""
+        """Take units that were used at this gateway from the set's level and from a leased quota.
+
+        They are not added to the next report to the quota owner; `spend_locally` does that as well.
+        """
         self.spend(units)
         if budget := self.leased.get(BudgetKind.QUOTA):
             budget.level -= units
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -61,13 +61,15 @@
     def ready_servers(self, request: PendingRequest) -> list[UpstreamServer]:
         """Return the permitted, healthy servers, without those in slow start that are skipped this time.
 
-        If no permitted server is healthy, all permitted ones are considered. This loop runs over all servers
-        for each attempt, so the checks that nearly all servers pass are inlined: 200 servers take 20 to 26
-        us, and 35 to 55 us with a call for each check.
+        Servers to which this request was sent before count as not healthy. If no permitted server is healthy,
+        all permitted ones are considered.
+
+        This loop runs over all servers for each attempt, so the checks that nearly all servers pass are
+        inlined: 200 servers take 20 to 26 us, and 35 to 55 us with a call for each check.
         """
         now_us = self.context.now_us
         attempted = request.attempted_servers
-        may_be_half_open = request.request_class.effect is not Effect.UNSAFE and (
+        is_half_open_allowed = request.request_class.effect is not Effect.UNSAFE and (
             self.is_small_fleet or self.generator.random() < HALF_OPEN_FRACTION
         )
         permitted = self.permitted_servers(request)
@@ -75,7 +77,7 @@
             server
             for server in permitted
             if now_us >= server.avoid_until_us
-            and not (server.is_ejected and (server.in_flight or not may_be_half_open))
+            and not (server.is_ejected and (server.in_flight or not is_half_open_allowed))
             and not (attempted and server in attempted)
         ] or permitted
         warm_up_cutoff_us = self.slow_start.warm_up_cutoff_us()
@@ -114,9 +116,10 @@
         return server.entry.cell == first_server.entry.cell
 
     def expected_wait(self, server: UpstreamServer) -> float:
-        """Return the attempts ahead at a server, weighted by its latency, load and zone.
+        """Return the attempts in flight at a server and this one, weighted by its latency, load and zone.
 
-        The result is only comparable between servers, and only at one gateway.
+        In a large fleet, the attempts of peers and a handshake that is needed count as well, and reported
+        load does not. The result is only comparable between servers, and only at one gateway.
         """
         in_flight = len(server.in_flight)
         waiting_attempts = 0 if server.is_ejected else in_flight + 1  # prefer a half-open attempt that is due
