--- a/thistletrail/gateway/takeover/__init__.py
+++ b/thistletrail/gateway/takeover/__init__.py
@@ -1,13 +1,15 @@
-"""Work that outlives its gateway: requests are recorded at the lease service before their first byte is sent.
+"""Takeover of requests: if a gateway fails, another one continues its recorded requests.
 
-Off unless the configuration names classes (docs/takeover.md). The policy decides when and at which server an
-attempt is made, the lease service whose the work is. Here are the messages between them, what waits for their
-answers, and the checks of the lease before each write and each answer. While the lease service cannot be
-reached, work goes on without being recorded, and is counted.
+A request is recorded at the lease service before its first byte is sent to a server. Takeover is off unless
+the configuration names request classes (docs/takeover.md). The policy decides when and at which server an
+attempt is made; the lease service decides which gateway owns the work. This package exchanges the messages
+with the lease service, holds attempts and answers back until they are recorded, and checks the lease before
+each write to a server and each answer to a client. While the lease service is unreachable, requests continue
+without being recorded and are counted as untracked.
 
-`coordinator` ties the parts together: `client` calls the lease service, `work_table` keeps the work items and
-ends them, `ownership_wait` waits for another gateway's outcome, `work_transfer` continues another's work.
-`host` says what all of them need of the gateway.
+`coordinator` connects the parts: `client` calls the lease service, `work_table` stores the work items and
+ends them, `ownership_wait` waits for another gateway's outcome, and `work_transfer` continues the work of
+other gateways. `host` defines what they need from the gateway.
 """
 
 from thistletrail.gateway.takeover.coordinator import TakeoverCoordinator
--- a/thistletrail/gateway/takeover/client.py
+++ b/thistletrail/gateway/takeover/client.py
@@ -21,69 +21,70 @@
 
 log = logging.getLogger(__name__)
 
-RENEWAL_S = WORK_LEASE_MS / 4000  # between renewals at most: three may get lost within a lease
-CALL_TIMEOUT_S = WORK_LEASE_MS / 2000  # for an answer: past it the lease service counts as unreachable
-FLUSH_POLL_S = 0.01  # between looks for whether all operations are answered, when the gateway ends
-# Shares of RENEWAL_S between calls, so that gateways do not call in step, least of all one that is back.
+MAX_RENEWAL_INTERVAL_S = WORK_LEASE_MS / 4000  # a lease outlasts three lost renewals
+CALL_TIMEOUT_S = WORK_LEASE_MS / 2000  # after it the lease service counts as unreachable
+FLUSH_POLL_INTERVAL_S = 0.01
+# Ranges of the factor of MAX_RENEWAL_INTERVAL_S. Jitter prevents gateways from calling all at once, above all
+# when the lease service becomes reachable again.
 RENEWAL_JITTER = (0.75, 1.0)
 RECONNECT_JITTER = (0.25, 1.0)
 
 
 class LeaseListener(Protocol):
-    """Takes what the lease service answers."""
+    """Handles the responses of the lease service."""
 
-    def on_answer(self, answer: WorkResponse) -> None:
-        """The leases are renewed, and the operations of the call are answered."""
+    def on_response(self, response: WorkResponse) -> None:
+        """Handle a response, which renews the lease and has the results of the call's operations."""
 
     def on_batch_rejected(self, begins: list[WorkOperation]) -> None:
-        """The lease service took nothing of a batch in; these begins are not recorded."""
+        """Handle the rejection of a batch by the lease service; `begins` are its `BeginWork` operations."""
 
 
 class WorkLeaseClient:
-    """The stream to the lease service: one call at a time, to one of its addresses."""
+    """A client of the lease service, with one call at a time to one of its addresses."""
 
     def __init__(
         self,
         addresses: tuple[Address, ...],
         secret: bytes,
         holder: WorkHolder,
-        chance: random.Random,
+        rng: random.Random,
         listener: LeaseListener,
     ) -> None:
         self.addresses = addresses
         self.secret = secret
         self.holder = holder
-        self.chance = chance
+        self.rng = rng
         self.listener = listener
         self.stream: WorkStream | None = None
         self.address_index = 0
-        self.is_unreachable = True  # until the first answer
+        self.is_unreachable = True  # until the first response
         self.wakeup = asyncio.Event()
 
     async def run(self) -> None:
-        """Call until cancelled."""
+        """Call the lease service periodically until cancelled, then close the stream."""
         try:
             while True:
                 await self.call()
-                await self.pause()
+                await self.wait_for_next_call()
                 self.wakeup.clear()
         finally:
             self.close()
 
-    async def pause(self) -> None:
-        """Wait until the next call is due, or operations wait for it."""
+    async def wait_for_next_call(self) -> None:
+        """Wait until the next renewal is due, or operations are queued while the service is reachable."""
         if self.is_unreachable:
-            await asyncio.sleep(RENEWAL_S * self.chance.uniform(*RECONNECT_JITTER))
+            await asyncio.sleep(MAX_RENEWAL_INTERVAL_S * self.rng.uniform(*RECONNECT_JITTER))
         elif not self.holder.queue:
-            wait_s = RENEWAL_S * self.chance.uniform(*RENEWAL_JITTER)
+            wait_s = MAX_RENEWAL_INTERVAL_S * self.rng.uniform(*RENEWAL_JITTER)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.wakeup.wait(), wait_s)
 
     async def call(self) -> None:
-        """Renew once, with the operations that wait, and pass the answer on."""
+        """Renew the lease once, send queued operations, and pass the response to the listener."""
         host, port = self.addresses[self.address_index]
         try:
-            answer = await self.exchange()
+            response = await self.send_request()
         except ServiceFullError as error:
             log.warning("the lease service does not record work: %s", error)
             self.listener.on_batch_rejected(self.holder.on_rejected())
@@ -96,10 +97,15 @@
         if self.is_unreachable:
             log.info("work is recorded by the lease service at %s:%d", host, port)
         self.is_unreachable = False
-        self.listener.on_answer(answer)
+        self.listener.on_response(response)
 
-    async def exchange(self) -> WorkResponse:
-        """One call and its answer, or a LeaseServiceUnavailableError; a ServiceFullError passes through."""
+    async def send_request(self) -> WorkResponse:
+        """Send the next request and return its response.
+
+        Raises:
+            LeaseServiceUnavailableError: No usable response arrived within `CALL_TIMEOUT_S`.
+            ServiceFullError: The lease service rejected the request.
+        """
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 self.stream = self.stream or WorkStream(self.addresses[self.address_index], self.secret)
@@ -115,36 +121,40 @@
             h11.ProtocolError,
             msgspec.MsgspecError,
         ) as error:
-            raise LeaseServiceUnavailableError(str(error) or "it is silent") from error
+            raise LeaseServiceUnavailableError(
+                str(error) or f"{type(error).__name__}, expected a response within {CALL_TIMEOUT_S} s"
+            ) from error
 
     def use_next_address(self) -> None:
-        """After a failed call: its operations go again, to another address."""
+        """Queue the operations of a failed call again, and switch to the next address."""
         self.is_unreachable = True
         self.holder.requeue_unanswered()
         self.close()
         self.address_index = (self.address_index + 1) % len(self.addresses)
 
     def enqueue(self, operation: WorkOperation) -> bool:
-        """Send an operation with the next call, which is made at once; whether there was room for it."""
+        """Queue an operation and start the next call at once; return False if the queue is full."""
         if not self.holder.enqueue(operation):
             return False
         self.wakeup.set()
         return True
 
     def wake(self) -> None:
-        """Make the next call at once."""
+        """Start the next call at once."""
         self.wakeup.set()
 
     async def flush(self) -> None:
-        """Wait until all operations are answered, for one call's time at most."""
+        """Wait until all operations have results, for `CALL_TIMEOUT_S` at most."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + CALL_TIMEOUT_S
-        while (self.holder.queue or self.holder.in_flight) and not self.is_unreachable and loop.time() < end:
+        end_s = loop.time() + CALL_TIMEOUT_S
+        while (
+            (self.holder.queue or self.holder.in_flight) and not self.is_unreachable and loop.time() < end_s
+        ):
             self.wake()
-            await asyncio.sleep(FLUSH_POLL_S)
+            await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
 
     def close(self) -> None:
-        """Close the stream; the next call opens another."""
+        """Close the stream, if it is open; the next call opens a new one."""
         if self.stream is not None:
             self.stream.close()
             self.stream = None
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -1,4 +1,4 @@
-"""Ties a request's attempts and its outcome to its work lease."""
+"""Records requests, attempts and outcomes at the lease service, and stops work whose lease has ended."""
 
 from __future__ import annotations
 
@@ -39,19 +39,22 @@
 
 log = logging.getLogger(__name__)
 
-LEASE_CHECK_S = 0.05  # between checks of the lease
-# For the answer that a request or an attempt is recorded: a sync takes some milliseconds, and latency
-# objectives are 400 ms and more.
+LEASE_CHECK_INTERVAL_S = 0.05
+# The lease service syncs each record to disk, which takes some milliseconds. Latency objectives are 400 ms or
+# more.
 RECORD_TIMEOUT_S = 0.15
-# For the answer that an outcome is recorded; past it the client is answered all the same.
-OUTCOME_TIMEOUT_S = 0.25
-RELEASE_BEFORE_DRAIN_END_US = 200_000  # what is unfinished then goes to other gateways
-CONFLICTING_KEY = b"-ERR this key stands for another request\r\n"
-NEVER_WRITTEN_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT, AttemptResult.AT_CAPACITY)
+OUTCOME_TIMEOUT_S = 0.25  # after it the client is answered although the outcome may not be recorded
+RELEASE_BEFORE_DRAIN_END_US = 200_000  # unfinished requests are then released to other gateways
+CONFLICTING_KEY_RESPONSE = b"-ERR this key stands for another request\r\n"
+PROVEN_NOT_RUN_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT, AttemptResult.AT_CAPACITY)
 
 
 class TakeoverCoordinator:
-    """The work leases of one gateway process: what it records, waits for, answers and gives up."""
+    """Coordinates the work leases of one gateway process.
+
+    It records requests, attempts and outcomes, and handles the results of these operations. It gives up work
+    items when the lease ends, and releases unfinished ones at the end of a drain.
+    """
 
     def __init__(
         self,
@@ -68,70 +71,70 @@
         self.directory = directory
         self.counts = TakeoverCounts()
         self.holder = WorkHolder(config.settings.gateway_index, now_ms())
-        chance = random.Random(config.settings.seed)
+        rng = random.Random(config.settings.seed)
         self.client = WorkLeaseClient(
-            config.work_leases.addresses, config.work_leases.secret, self.holder, chance, self
+            config.work_leases.addresses, config.work_leases.secret, self.holder, rng, self
         )
         self.table = WorkTable(self.client, requests, events, self.counts)
-        self.ownership_wait = OwnershipWait(self.table, self.client, chance, RECORD_TIMEOUT_S)
+        self.ownership_wait = OwnershipWait(self.table, self.client, rng, RECORD_TIMEOUT_S)
         self.transfer = WorkTransfer(self.table, self.client, requests, events, parser, directory)
 
-    # --- life ---
+    # --- lifecycle ---
 
     async def run(self) -> None:
-        """Renew the leases and check them until cancelled."""
-        checks = asyncio.get_running_loop().create_task(self.check_periodically())
+        """Renew and check the lease until cancelled."""
+        check_task = asyncio.get_running_loop().create_task(self.check_periodically())
         try:
             await self.client.run()
         finally:
-            checks.cancel()
+            check_task.cancel()
 
     async def check_periodically(self) -> None:
-        """Find work whose lease has ended, and hand over what a drain will not see the end of."""
+        """Check the lease periodically; shortly before the end of a drain, also release unfinished work."""
         while True:
-            await asyncio.sleep(LEASE_CHECK_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             self.check_lease()
             if self.requests.drain_end_us - now_us() < RELEASE_BEFORE_DRAIN_END_US:
                 self.release_unfinished()
 
     def check_lease(self) -> None:
-        """Give up all work whose lease has ended."""
+        """Give up all work items if the lease has ended."""
         for name in self.holder.drop_expired(now_ms()):
             if item := self.table.by_name.get(name):
-                self.table.lose(item)
+                self.table.abandon_lost(item)
 
     def start_draining(self) -> None:
-        """Have no more work transferred to this gateway."""
+        """Ask the lease service to transfer no more work to this gateway."""
         self.holder.is_draining = True
         self.client.wake()
 
     def release_unfinished(self) -> None:
-        """Have other gateways continue all work that has no outcome yet."""
+        """Release all work without an outcome, so that other gateways continue it."""
         self.table.release_unfinished()
 
     async def close(self) -> None:
-        """At the end of a drain: log the counts, and send the last operations if that is possible."""
-        log.info("work leases: %s", self.counts.line())
+        """Log the counts at the end of a drain, and wait for a limited time for queued operations."""
+        log.info("work leases: %s", self.counts.format_line())
         await self.client.flush()
 
-    # --- answers of the lease service ---
+    # --- responses of the lease service ---
 
-    def on_answer(self, answer: WorkResponse) -> None:
-        """The leases are renewed: act on each operation's result, and continue transferred work."""
+    def on_response(self, response: WorkResponse) -> None:
+        """Renew the lease, handle the result of each operation, and continue transferred work."""
         self.check_lease()
-        applied = self.holder.on_response(answer, now_ms())
-        for ended in applied.operations:
-            self.on_result(ended.operation, ended.result)
-        for work in applied.transferred:
+        applied_response = self.holder.on_response(response, now_ms())
+        for applied in applied_response.operations:
+            self.on_result(applied.operation, applied.result)
+        for work in applied_response.transferred:
             self.transfer.accept(work)
 
     def on_batch_rejected(self, begins: list[WorkOperation]) -> None:
-        """The lease service took nothing of a batch in: its begins go on untracked."""
+        """Continue the requests of `begins` untracked, as the lease service has rejected their batch."""
         for begin in begins:
             self.on_result(begin, OperationResult(status=OperationStatus.FULL))
 
     def on_result(self, operation: WorkOperation, result: OperationResult) -> None:
-        """What became of one operation."""
+        """Handle the result of one operation; one of an earlier fence has no effect."""
         if isinstance(operation, BeginWork):
             self.on_begin_result(operation, result)
             return
@@ -139,35 +142,39 @@
         if item is None or item.fence != operation.fence:
             return
         if result.status == OperationStatus.LOST:
-            self.table.lose(item)
+            self.table.abandon_lost(item)
         elif isinstance(operation, AttemptWork) and operation.number == item.attempt_number:
             self.send_attempt(item)
         elif isinstance(operation, CompleteWork):
             self.table.answer_pending_response(item)
 
     def on_begin_result(self, begin: BeginWork, result: OperationResult) -> None:
-        """Whether a request's work is recorded and ours, has ended, or is another gateway's."""
+        """Handle the result of recording a request; the result of an outdated `BeginWork` has no effect."""
         item = self.table.by_name.get(begin.name)
         if item is None or item.pending_begin is not begin:
             return
         item.pending_begin = None
         item.stop_timer()
         if result.status == OperationStatus.PERSISTED:
-            self.on_lease(item, begin, result)
+            self.on_leased(item, begin, result)
         elif result.status in (OperationStatus.FULL, OperationStatus.LOST):
             self.on_not_recorded(item)
         elif result.status == OperationStatus.ELSEWHERE:
             self.ownership_wait.wait(item, begin)
         else:
-            self.on_ended_before(item, result)
+            self.on_already_ended(item, result)
+
+    def on_leased(self, item: WorkItem, begin: BeginWork, result: OperationResult) -> None:
+        """Run work that is recorded and leased to this gateway.
 
-    def on_lease(self, item: WorkItem, begin: BeginWork, result: OperationResult) -> None:
-        """The work is recorded and leased to this gateway."""
+        The pending attempt is sent. If the request has waited for another gateway's outcome, or may have run
+        at servers that do not deduplicate together with the attempt's, the policy chooses a server again.
+        """
         self.counts.begun += 1
         item.fence = result.fence
         item.may_have_run_before = bool(result.server)
         item.attempt_number = 0
-        self.limit(item, result.left_ms)
+        self.limit_deadline(item, result.left_ms)
         if item.wait_until_ms:
             self.transfer.resume(item, result.server, result.place)
         elif result.server and result.place != begin.place:
@@ -177,42 +184,45 @@
             self.send_attempt(item)
 
     def on_not_recorded(self, item: WorkItem) -> None:
-        """The lease service has no room for the work, or does not know this process any more."""
+        """Handle work that the lease service has no room for, or rejects as of a replaced incarnation.
+
+        A request that waits for another gateway's outcome is rejected; any other continues untracked.
+        """
         self.counts.rejected += 1
         if item.wait_until_ms:
             self.table.reject(item)
         else:
             self.continue_untracked(item)
 
-    def on_ended_before(self, item: WorkItem, result: OperationResult) -> None:
-        """The work has ended already: answer with its outcome."""
+    def on_already_ended(self, item: WorkItem, result: OperationResult) -> None:
+        """Answer with the recorded outcome, or with an error if the key stands for another request."""
         self.counts.answered += 1
         self.table.withdraw_attempt(item)
         if result.status == OperationStatus.ANSWERED:
             response = b"$%d\r\n%b\r\n" % (len(result.value), result.value)
         elif result.status == OperationStatus.CONFLICT:
-            response = CONFLICTING_KEY
+            response = CONFLICTING_KEY_RESPONSE
         else:
             response = FAILED_RESPONSE
         self.table.complete(item, response)
 
-    def limit(self, item: WorkItem, remaining_ms: int) -> None:
-        """Work that may have run may run again only while its servers remember it."""
+    def limit_deadline(self, item: WorkItem, remaining_ms: int) -> None:
+        """Limit the deadline of work that may have run to the time for which servers deduplicate it."""
         exchange = item.exchange
-        budget = exchange.deadline.capped_at(now_us() + remaining_ms * 1000, DeadlineSource.CLIENT)
-        if item.may_have_run_before and budget is not exchange.deadline:
-            exchange.deadline = budget
+        capped_deadline = exchange.deadline.capped_at(now_us() + remaining_ms * 1000, DeadlineSource.CLIENT)
+        if item.may_have_run_before and capped_deadline is not exchange.deadline:
+            exchange.deadline = capped_deadline
 
     # --- attempts ---
 
     def covers(self, exchange: Exchange) -> bool:
-        """Whether a request's attempts are recorded: by its class, or as one that was transferred."""
+        """Return whether a request's attempts are recorded: its class is, or it already has a work item."""
         is_recorded_class = exchange.command.class_index in self.recorded_classes
         return is_recorded_class or exchange.reply.id in self.table.by_request_id
 
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
-        """Record an attempt before it is sent, unless its work goes on untracked."""
-        item = self.item_of(exchange, attempt)
+        """Record an attempt, then send it; untracked requests are sent at once."""
+        item = self.get_or_add_item(exchange, attempt)
         attempt.may_write = lambda: item.is_untracked or self.table.is_leased(item)
         settings = self.requests.settings
         server = self.directory.servers_by_name[attempt.server].entry
@@ -222,35 +232,41 @@
             self.send_attempt(item)
         elif item.fence:
             item.attempt_number += 1
-            self.record(item, attempt_message(item, attempt, place))
-        elif item.name in self.table.by_name:  # another request here has the work, as another gateway might
+            self.enqueue_record(item, attempt_message(item, attempt, place))
+        elif item.name in self.table.by_name:  # another request of this gateway owns the work
             self.ownership_wait.wait(item, begin_message(item, attempt, place, settings))
         elif self.client.is_unreachable or not self.holder.is_alive(now_ms()):
             self.continue_untracked(item)
         else:
             self.table.by_name[item.name] = item
             item.pending_begin = begin_message(item, attempt, place, settings)
-            self.record(item, item.pending_begin)
+            self.enqueue_record(item, item.pending_begin)
 
-    def item_of(self, exchange: Exchange, attempt: Attempt) -> WorkItem:
-        """The work item of an attempt's request; a new one at its first attempt."""
+    def get_or_add_item(self, exchange: Exchange, attempt: Attempt) -> WorkItem:
+        """Return the work item of an attempt's request, which its first attempt adds to the table."""
         item = self.table.by_request_id.get(attempt.request_id)
         if item is None:
             item = new_work_item(exchange, self.requests.settings)
             self.table.add(item)
         return item
 
-    def record(self, item: WorkItem, operation: WorkOperation) -> None:
-        """Record an attempt, and wait for the answer for a while."""
+    def enqueue_record(self, item: WorkItem, operation: WorkOperation) -> None:
+        """Queue the record of the pending attempt, which is sent once the result arrives.
+
+        If the queue is full, an attempt of leased work is not sent; work without a lease continues untracked.
+        """
         if self.client.enqueue(operation):
             item.start_timer(RECORD_TIMEOUT_S, self.on_record_timeout, item)
-        elif item.fence:  # the work is recorded, and what is recorded of where it runs must not be wrong
+        elif item.fence:  # the record must name each server at which the work may run
             self.on_record_timeout(item)
         else:
             self.continue_untracked(item)
 
     def on_record_timeout(self, item: WorkItem) -> None:
-        """An attempt that may be unrecorded is not sent. A retry finds the work free or ended."""
+        """End the pending attempt without sending it, as it may not be recorded.
+
+        When the client retries, the work has no owner or has ended.
+        """
         self.client.is_unreachable = True
         self.table.withdraw_begin(item)
         attempt = item.pending_attempt
@@ -259,31 +275,37 @@
             attempt.finish(AttemptResult.NOT_SENT)
 
     def continue_untracked(self, item: WorkItem) -> None:
-        """Go on without the lease service, and without what its record promises."""
+        """Continue a request without a work lease; it is not taken over, and its outcome is not recorded."""
         self.counts.untracked += 1
         item.is_untracked = True
         self.table.remove_name(item)
         self.send_attempt(item)
 
     def send_attempt(self, item: WorkItem) -> None:
-        """Send the pending attempt, if it is still wanted."""
+        """Send the pending attempt, unless it is over."""
         item.stop_timer()
         attempt = item.pending_attempt
         item.pending_attempt = None
         if attempt is not None and not attempt.is_over:
-            item.may_have_run_here = True  # until its result proves that it has not
+            item.may_have_run_here = True  # until its result proves otherwise
             self.attempts.send(attempt, attempt.end_us - now_us())
 
     def on_attempt_ended(self, request_id: str, result: AttemptResult, has_others: bool) -> None:
-        """What was not written whole to its server, or was rejected there, has not run."""
+        """Note that a request has not run here if no attempt was written completely and accepted.
+
+        `has_others` means that the request has other attempts in flight, which may run.
+        """
         item = self.table.by_request_id.get(request_id)
-        if item is not None and result in NEVER_WRITTEN_RESULTS:
+        if item is not None and result in PROVEN_NOT_RUN_RESULTS:
             item.may_have_run_here = has_others
 
     # --- outcomes ---
 
     def record_outcome(self, request_id: str, response: bytes, value: bytes) -> bool:
-        """Record a value, then answer with `response`; False where that is to be sent at once."""
+        """Record a value, then answer with `response`.
+
+        Returns False if the request is not recorded and the caller has to answer it.
+        """
         item = self.table.by_request_id.get(request_id)
         if item is None or item.is_untracked or item.is_over:
             return False
@@ -295,10 +317,13 @@
         return True
 
     def on_outcome_timeout(self, item: WorkItem) -> None:
-        """Answer the client all the same while the work is ours: no other gateway can have continued it."""
+        """Answer although the outcome may not be recorded.
+
+        That is safe while the lease lasts, as no other gateway can have continued the work.
+        """
         self.counts.unrecorded += 1
         self.table.answer_pending_response(item)
 
     def on_request_over(self, request_id: str, was_rejected: bool = False) -> None:
-        """The policy has rejected or failed a request, or its client has disconnected."""
+        """Release the work of a request that was rejected or failed, or whose client has disconnected."""
         self.table.release(request_id, was_rejected)
--- a/thistletrail/gateway/takeover/detached_reply.py
+++ b/thistletrail/gateway/takeover/detached_reply.py
@@ -1,8 +1,8 @@
-"""The reply of a request whose client waits elsewhere."""
+"""The reply target of a transferred request, which has no client connection at this gateway."""
 
 
 class DetachedReply:
-    """Stands in for a client's reply, where the request was transferred from another gateway."""
+    """Discards the answer of a request that was transferred from another gateway."""
 
     __slots__ = ("id",)
 
@@ -10,12 +10,12 @@
         self.id: str | None = request_id
 
     def waits(self) -> bool:
-        """No earlier answer has to leave first."""
+        """Return False: no earlier answers have to be sent first."""
         return False
 
     def is_wanted(self) -> bool:
-        """The work goes on whether or not its client is connected."""
+        """Return True: the work continues whether or not its client is connected."""
         return True
 
     def send(self, data: bytes) -> None:
-        """Drop the answer: the client asks for the recorded outcome."""
+        """Discard the answer; the client retries, and gets the recorded outcome."""
--- a/thistletrail/gateway/takeover/host.py
+++ b/thistletrail/gateway/takeover/host.py
@@ -1,4 +1,4 @@
-"""What takeover needs of the gateway around it: its requests and the servers that its policy knows."""
+"""Interfaces of the gateway that takeover uses: its requests and the servers known to its policy."""
 
 from __future__ import annotations
 
@@ -14,38 +14,41 @@
 
 
 class KnownServer(Protocol):
-    """A server as the policy knows it."""
+    """A server in the policy."""
 
     @property
     def entry(self) -> Server:
-        """What discovery says of it."""
+        """The server's entry in the endpoint list."""
 
 
 class ServerDirectory(Protocol):
-    """The policy, as the place where servers are looked up."""
+    """Looks up servers; implemented by the policy."""
 
     @property
     def servers_by_name(self) -> Mapping[str, KnownServer]:
-        """All known servers by name; another mapping after each endpoint update."""
+        """All known servers by name; each endpoint update replaces the mapping."""
 
 
 class Requests(Protocol):
-    """The gateway's requests."""
+    """The gateway's open requests."""
 
     settings: Settings
-    drain_end_us: int  # until when a drain lets requests last
+    drain_end_us: int  # when a graceful shutdown ends all requests
 
     def open_transferred(self, command: Command, reply: ReplyTarget, deadline: Deadline) -> Exchange | None:
-        """Open a request that another gateway took in; None where too much is open."""
+        """Open a request that another gateway accepted.
+
+        Returns None if the id is in use or no further request can be accepted.
+        """
 
     def serve(self, request_id: str, response: bytes) -> None:
-        """Answer with a value, in RESP."""
+        """Answer a request with a value, in RESP."""
 
     def reject(self, action: RejectRequest) -> None:
-        """Answer BUSY, with the time after which the client may retry."""
+        """Answer a request with BUSY and the time after which its client may retry."""
 
     def fail(self, action: FailRequest) -> None:
-        """Answer that the request failed."""
+        """Answer that a request failed."""
 
     def fail_after_fault(self, request_id: str) -> None:
-        """Fail a request, and have the policy forget it."""
+        """Fail a request, and have the policy drop it."""
--- a/thistletrail/gateway/takeover/messages.py
+++ b/thistletrail/gateway/takeover/messages.py
@@ -1,4 +1,4 @@
-"""What is said to the lease service about a request, and how a transferred request is read."""
+"""Builds the lease service's messages about a request, and decodes transferred requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from thistletrail.policy.settings import Effect, IdempotencyScope, Settings
 
 DIGEST_BYTES = 16
-DIGEST_FIELDS = ("c", "t", "units")  # that are the same each time a client sends one request
+DIGEST_FIELDS = ("c", "t", "units")  # the fields that do not change when a client retries a request
 WORK_EFFECTS = {
     Effect.IDEMPOTENT: WorkEffect.SAFE,
     Effect.IDEMPOTENT_BY_KEY: WorkEffect.KEYED,
@@ -24,7 +24,7 @@
 
 
 def new_work_item(exchange: Exchange, settings: Settings) -> WorkItem:
-    """The work item of a request. Its name is the customer and the key, or the request's id without one."""
+    """Return the work item of a request, named by its customer and idempotency key, else by its id."""
     arguments = exchange.command.arguments
     values = read_fields(arguments[3])
     effect = settings.classes[exchange.command.class_index].effect
@@ -36,16 +36,19 @@
 
 
 def request_digest(arguments: list[bytes], values: dict[str, str]) -> str:
-    """A digest of what a request asks for, in hexadecimal: another one under the same key is an error."""
-    repeated = [f"{field}={values.get(field, '')}".encode() for field in DIGEST_FIELDS]
-    content = encode([arguments[0], arguments[1], *repeated, *arguments[4:]])
+    """Return a digest of a request's content, in hexadecimal.
+
+    The lease service answers a request whose key is recorded with another digest with an error.
+    """
+    stable_fields = [f"{field}={values.get(field, '')}".encode() for field in DIGEST_FIELDS]
+    content = encode([arguments[0], arguments[1], *stable_fields, *arguments[4:]])
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def begin_message(item: WorkItem, attempt: Attempt, place: str, settings: Settings) -> BeginWork:
-    """Records a request with its first attempt."""
+    """Return the operation that records a request with its first attempt."""
     command = item.exchange.command
-    rule = settings.classes[command.class_index]
+    request_class = settings.classes[command.class_index]
     return BeginWork(
         name=item.name,
         request_id=command.id,
@@ -53,7 +56,7 @@
         customer=command.arguments[1].decode(),
         effect=item.effect,
         left_ms=remaining_ms(item),
-        window_ms=rule.idempotency_window_us // 1000,
+        window_ms=request_class.idempotency_window_us // 1000,
         request=encode(command.arguments),
         server=attempt.server,
         place=place,
@@ -61,7 +64,7 @@
 
 
 def attempt_message(item: WorkItem, attempt: Attempt, place: str) -> AttemptWork:
-    """Records a further attempt under the item's fence."""
+    """Return the operation that records a further attempt under the item's fence."""
     return AttemptWork(
         name=item.name,
         fence=item.fence,
@@ -73,12 +76,15 @@
 
 
 def remaining_ms(item: WorkItem) -> int:
-    """What is left of the request's time, in whole ms."""
+    """Return the time until the request's deadline, in milliseconds rounded down."""
     return item.exchange.deadline.remaining_us(now_us()) // 1000
 
 
 def placement(settings: Settings, class_index: int, server: Server) -> str:
-    """Where a server's repeats of a key are dropped, in the lease service's terms."""
+    """Return the name of the group of servers that deduplicate a key together with `server`.
+
+    The lease service stores and compares these names.
+    """
     scope = settings.classes[class_index].idempotency_scope
     if scope is IdempotencyScope.ZONE:
         return f"zone {server.zone}"
@@ -88,13 +94,17 @@
 
 
 def read_transferred_request(parser: CommandParser, data: bytes) -> Command:
-    """The command of a request that another gateway recorded, or a TransferredRequestError."""
+    """Decode a request that another gateway recorded.
+
+    Raises:
+        TransferredRequestError: It is incomplete or malformed, or its command or class is unknown here.
+    """
     reader = CommandReader()
     reader.feed(data)
     try:
         arguments = reader.next()
         if arguments is None:
-            raise TransferredRequestError(f"it is cut off after {len(data)} bytes")
+            raise TransferredRequestError(f"the command is cut off after {len(data)} bytes")
         return parser.parse(arguments, is_own_customer=False)
     except (CommandError, ProtocolError, KeyError, TypeError, ValueError) as error:
-        raise TransferredRequestError(str(error)) from error
+        raise TransferredRequestError(f"{type(error).__name__}: {error}") from error
--- a/thistletrail/gateway/takeover/ownership_wait.py
+++ b/thistletrail/gateway/takeover/ownership_wait.py
@@ -1,4 +1,4 @@
-"""Requests whose work another gateway has: they wait for its outcome within their client's time."""
+"""Requests whose work another gateway owns: they wait for its outcome until shortly before their deadline."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 from thistletrail.leasing.framing import now_ms
 from thistletrail.leasing.messages import WORK_LEASE_MS, BeginWork
 
-POLL_S = 0.1  # between requests for the outcome
-POLL_JITTER = (0.75, 1.25)
-MIN_REMAINING_MS = 2000 * POLL_S  # two polls: with less, the client is told to come back
-MAX_WAIT_MS = 2 * WORK_LEASE_MS  # a lease, until the work is taken over, and as long for it to run
-MAX_WAITING = 200  # requests that wait at one gateway
+POLL_INTERVAL_S = 0.1
+POLL_JITTER = (0.75, 1.25)  # range of the factor of POLL_INTERVAL_S
+MIN_REMAINING_MS = 2000 * POLL_INTERVAL_S  # two polls; with less time left, the request is rejected
+MAX_WAIT_MS = 2 * WORK_LEASE_MS  # one lease until the work is taken over, and as long for it to run
+MAX_WAITING_REQUESTS = 200  # per gateway
 
 
 class OwnershipWait:
-    """Polls the lease service for work that another gateway has, by the begin that found it so."""
+    """Polls the lease service for work that another gateway owns, by repeating its `BeginWork`."""
 
     def __init__(
-        self, table: WorkTable, client: WorkLeaseClient, chance: random.Random, record_timeout_s: float
+        self, table: WorkTable, client: WorkLeaseClient, rng: random.Random, record_timeout_s: float
     ) -> None:
-        """`record_timeout_s` bounds the wait for each poll's answer."""
+        """`record_timeout_s` limits the wait for each poll's result."""
         self.table = table
         self.client = client
-        self.chance = chance
+        self.rng = rng
         self.record_timeout_s = record_timeout_s
 
     def wait(self, item: WorkItem, begin: BeginWork) -> None:
-        """Wait until the next poll, or reject the request where it cannot wait longer."""
+        """Schedule the next poll, or reject the request if it cannot wait any longer."""
         if not item.wait_until_ms and not self.start_waiting(item):
             self.table.reject(item)
             return
         if now_ms() >= item.wait_until_ms or remaining_ms(item) < MIN_REMAINING_MS:
             self.table.reject(item)
             return
-        item.start_timer(POLL_S * self.chance.uniform(*POLL_JITTER), self.poll, item, begin)
+        item.start_timer(POLL_INTERVAL_S * self.rng.uniform(*POLL_JITTER), self.poll, item, begin)
 
     def start_waiting(self, item: WorkItem) -> bool:
-        """Take the item in as one that waits; False where too many do already."""
+        """Mark the item as waiting; return False if too many requests already wait."""
         self.table.withdraw_attempt(item)
-        if self.table.waiting_count >= MAX_WAITING:
+        if self.table.waiting_count >= MAX_WAITING_REQUESTS:
             return False
         self.table.waiting_count += 1
         self.table.counts.waited += 1
@@ -53,20 +53,24 @@
         return True
 
     def poll(self, item: WorkItem, begin: BeginWork) -> None:
-        """Begin again: the answer is the outcome, the lease, or that another gateway still has the work."""
+        """Send the `BeginWork` again; the result is the outcome, the lease, or that another gateway owns it.
+
+        If the lease service is unreachable, the queue is full, or another request of this gateway has the
+        work's name, nothing is sent and the request waits for the next poll.
+        """
         if item.is_over:
             return
-        other = self.table.by_name.get(item.name)
-        fresh = msgspec.structs.replace(begin, left_ms=remaining_ms(item))
-        has_name = other is None or other is item
-        if has_name and not self.client.is_unreachable and self.client.enqueue(fresh):
+        name_owner = self.table.by_name.get(item.name)
+        next_begin = msgspec.structs.replace(begin, left_ms=remaining_ms(item))
+        may_use_name = name_owner is None or name_owner is item
+        if may_use_name and not self.client.is_unreachable and self.client.enqueue(next_begin):
             self.table.by_name[item.name] = item
-            item.pending_begin = fresh
-            item.start_timer(self.record_timeout_s, self.on_poll_timeout, item, fresh)
+            item.pending_begin = next_begin
+            item.start_timer(self.record_timeout_s, self.on_poll_timeout, item, next_begin)
         else:
-            self.wait(item, fresh)
+            self.wait(item, next_begin)
 
     def on_poll_timeout(self, item: WorkItem, begin: BeginWork) -> None:
-        """The poll was not answered: wait on."""
+        """Withdraw a poll that had no result in time, and schedule the next one."""
         self.table.withdraw_begin(item)
         self.wait(item, begin)
--- a/thistletrail/gateway/takeover/work_item.py
+++ b/thistletrail/gateway/takeover/work_item.py
@@ -1,4 +1,4 @@
-"""A request as work under a lease, and the states it goes through."""
+"""A request whose work is recorded at the lease service, and its states."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
 
 @dataclass(slots=True)
 class WorkItem:
-    """One request whose work is recorded at the lease service, or is to be.
+    """One request whose work is recorded at the lease service or is being recorded.
 
-    Its states, by the fields that show them:
+    The fields show its state:
 
-    - being recorded: `pending_begin` is out, and `pending_attempt` waits for its answer;
-    - leased: `fence` is set; each further attempt is recorded before it is sent;
-    - owned elsewhere: `wait_until_ms` is set while another gateway's outcome is waited for;
-    - outcome being recorded: `pending_response` waits until the outcome is recorded;
-    - untracked: the work goes on without being recorded;
-    - over: nothing more comes of it here.
+    - being recorded: `pending_begin` has no result yet, for which `pending_attempt` waits;
+    - leased: `fence` is not 0; each further attempt is recorded before it is sent;
+    - owned elsewhere: `wait_until_ms` is not 0, and the request waits for another gateway's outcome;
+    - outcome being recorded: `pending_response` is sent once the outcome is recorded;
+    - untracked: `is_untracked` is set; the work continues without being recorded;
+    - over: `is_over` is set; later results and events are ignored.
     """
 
     exchange: Exchange
-    name: str  # over the fleet
-    digest: str  # of what is requested under that name
-    effect: WorkEffect  # how often it may run, in the lease service's terms
+    name: str  # identifies the work in the fleet
+    digest: str  # of the request that the name stands for
+    effect: WorkEffect  # how often it may run
     pending_begin: BeginWork | None = None
-    fence: int = 0  # fencing token; 0: not leased
+    fence: int = 0  # fencing token; 0 if not leased
     attempt_number: int = 0  # of the last attempt recorded under this fence
-    may_have_run_before: bool = False  # under another fence
+    may_have_run_before: bool = False  # under an earlier fence
     may_have_run_here: bool = False  # in an attempt of this gateway
-    pending_attempt: Attempt | None = None  # until it is recorded
-    pending_response: bytes | None = None  # until the outcome is recorded
+    pending_attempt: Attempt | None = None  # to be sent once recorded
+    pending_response: bytes | None = None  # to be sent once the outcome is recorded
     timer: asyncio.TimerHandle | None = None
     is_untracked: bool = False
     is_over: bool = False
-    wait_until_ms: int = 0  # for another gateway's outcome; 0: it does not wait
+    wait_until_ms: int = 0  # end of the wait for another gateway's outcome; 0 if it does not wait
 
     @property
     def request_id(self) -> str:
-        """The id under which the policy knows the request."""
+        """The request's id in the policy."""
         return self.exchange.reply.id
 
     @property
     def is_transferred(self) -> bool:
-        """Whether another gateway took the request in."""
+        """Whether the request was transferred from another gateway, which accepted it."""
         return isinstance(self.exchange.reply, DetachedReply)
 
     @property
     def has_never_run(self) -> bool:
-        """Whether it is proven that no attempt has run, anywhere."""
+        """Whether it is certain that no attempt has run, at any gateway."""
         return not (self.may_have_run_here or self.may_have_run_before)
 
     def start_timer(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> None:
-        """Call back after `delay_s`, in place of the timer that was set before."""
+        """Call `callback` after `delay_s`; replaces an earlier timer."""
         self.stop_timer()
         self.timer = asyncio.get_running_loop().call_later(delay_s, callback, *arguments)
 
     def stop_timer(self) -> None:
-        """Do not call back any more."""
+        """Cancel the timer, if there is one."""
         if self.timer:
             self.timer.cancel()
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -1,4 +1,4 @@
-"""The work items of a gateway, and the ways in which one of them ends here."""
+"""The work items of a gateway: lookup, and the ways in which an item ends at this gateway."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_AFTER_US = WORK_LEASE_MS * 1000  # told to clients: by then the work is free, taken over or has ended
+# Sent to clients. After one work lease the work has no owner, is taken over or has ended.
+RETRY_AFTER_US = WORK_LEASE_MS * 1000
 
 
 class WorkTable:
-    """All work items that are not over, by the request's id and, once recorded, by the work's name."""
+    """All work items that are not over, by request id and, once their record is queued, also by work name."""
 
     def __init__(
         self, client: WorkLeaseClient, requests: Requests, events: EventSink, counts: TakeoverCounts
@@ -33,20 +34,20 @@
         self.counts = counts
         self.by_request_id: dict[str, WorkItem] = {}
         self.by_name: dict[str, WorkItem] = {}
-        self.waiting_count = 0  # items that wait for another gateway's outcome
+        self.waiting_count = 0  # of items that wait for another gateway's outcome
 
     def add(self, item: WorkItem) -> None:
-        """SnapshotStore a new item."""
+        """Add a new item by its request id."""
         self.by_request_id[item.request_id] = item
 
     def is_leased(self, item: WorkItem) -> bool:
-        """Whether the lease allows to write, answer or end the work now."""
+        """Return whether this gateway owns the item now, so that it may send, answer or complete it."""
         return self.holder.owns(item.name, item.fence, now_ms())
 
-    # --- steps back ---
+    # --- withdrawal ---
 
     def withdraw_begin(self, item: WorkItem) -> None:
-        """Take back a begin that is not answered yet."""
+        """Withdraw a `BeginWork` that has no result yet, if there is one."""
         if item.pending_begin is None:
             return
         self.holder.withdraw(item.name)
@@ -54,7 +55,7 @@
         self.remove_name(item)
 
     def withdraw_attempt(self, item: WorkItem) -> None:
-        """Tell the policy that the pending attempt is not made here, as the work is another gateway's."""
+        """End the pending attempt and tell the policy that another gateway owns the work."""
         attempt = item.pending_attempt
         item.pending_attempt = None
         if attempt is None or attempt.is_over:
@@ -68,20 +69,20 @@
         )
 
     def remove_name(self, item: WorkItem) -> None:
-        """Let another request have the work's name."""
+        """Remove the item from `by_name`, so that another request can use the name."""
         if self.by_name.get(item.name) is item:
             del self.by_name[item.name]
 
     def stop_waiting(self, item: WorkItem) -> None:
-        """Wait for another gateway's outcome no longer."""
+        """Stop waiting for another gateway's outcome; no effect on an item that does not wait."""
         if item.wait_until_ms:
             self.waiting_count -= 1
             item.wait_until_ms = 0
 
-    # --- ends ---
+    # --- end of an item ---
 
     def forget(self, item: WorkItem) -> None:
-        """The item is over; whatever still comes for it is ignored."""
+        """Mark the item as over and remove it; later results and events for it are ignored."""
         item.is_over = True
         item.stop_timer()
         self.stop_waiting(item)
@@ -89,7 +90,7 @@
         self.by_request_id.pop(item.request_id, None)
 
     def complete(self, item: WorkItem, response: bytes) -> None:
-        """Answer, and forget the item."""
+        """Forget the item and answer its request with `response`."""
         self.forget(item)
         if response is FAILED_RESPONSE:
             self.requests.fail(FailRequest(item.request_id))
@@ -97,17 +98,20 @@
             self.requests.serve(item.request_id, response)
 
     def answer_pending_response(self, item: WorkItem) -> None:
-        """Answer with the response that waited to be recorded, if the work is still ours."""
+        """Answer with the pending response if this gateway still owns the work; otherwise abandon it."""
         if item.pending_response is None or item.is_over:
             return
         if self.is_leased(item):
             self.holder.forget(item.name)
             self.complete(item, item.pending_response)
         else:
-            self.lose(item)
+            self.abandon_lost(item)
 
-    def lose(self, item: WorkItem) -> None:
-        """The work is another gateway's: attempts in flight here are of no use, and must not be answered."""
+    def abandon_lost(self, item: WorkItem) -> None:
+        """Cancel the attempts of work that another gateway may own, and fail its request.
+
+        Answers of these attempts must not reach the client.
+        """
         if item.is_over:
             return
         self.counts.lost += 1
@@ -119,31 +123,38 @@
         self.requests.fail_after_fault(item.request_id)
 
     def reject(self, item: WorkItem) -> None:
-        """Tell the client when to come back for the outcome."""
+        """Reject the request; its client is to retry after `RETRY_AFTER_US`."""
         self.withdraw_begin(item)
         self.forget(item)
         self.requests.reject(RejectRequest(item.request_id, RETRY_AFTER_US))
 
     def release(self, request_id: str, was_rejected: bool = False) -> None:
-        """The policy or the client has ended a request: another gateway may continue where that is of use."""
+        """Release the work of a request that the policy or its client has ended.
+
+        Another gateway is to continue it only if the policy rejected it here and it was transferred from
+        another gateway, or a drain would end before its deadline.
+        """
         item = self.by_request_id.get(request_id)
         if item is None or item.is_over:
             return
         self.withdraw_begin(item)
         is_draining = self.requests.drain_end_us <= item.exchange.deadline.end_us
-        to_be_continued = was_rejected and (item.is_transferred or is_draining)
+        is_to_be_transferred = was_rejected and (item.is_transferred or is_draining)
         self.counts.released += self.is_leased(item)
-        self.holder.release(item.name, transfer=to_be_continued, never_ran=item.has_never_run)
+        self.holder.release(item.name, transfer=is_to_be_transferred, never_ran=item.has_never_run)
         self.client.wake()
         self.forget(item)
 
     def release_unfinished(self) -> None:
-        """Have other gateways continue all work that has no outcome yet."""
+        """Release all work without an outcome, so that other gateways continue it."""
         for item in list(self.by_request_id.values()):
             self.release_to_others(item)
 
     def release_to_others(self, item: WorkItem) -> None:
-        """Have another gateway continue what a drain will not see the end of; the client is to retry."""
+        """Release unfinished work so that another gateway continues it, and reject its request.
+
+        The client is to retry after `RETRY_AFTER_US`.
+        """
         if item.is_over or item.pending_response is not None or not self.is_leased(item):
             return
         self.holder.release(item.name, transfer=True, never_ran=item.has_never_run)
--- a/thistletrail/gateway/takeover/work_transfer.py
+++ b/thistletrail/gateway/takeover/work_transfer.py
@@ -1,4 +1,4 @@
-"""Work of another gateway's that this one continues: read, admitted and given to the policy."""
+"""Work that this gateway continues for others: its request is decoded, opened and posted to the policy."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WorkTransfer:
-    """Continues work whose earlier owner has lost or released it."""
+    """Continues work whose earlier owner has lost its lease or released the work."""
 
     def __init__(
         self,
@@ -43,20 +43,23 @@
         self.directory = directory
 
     def accept(self, transferred: TransferredWork) -> None:
-        """Continue the work of a gateway that is lost, under this gateway's fence."""
+        """Continue transferred work under the fence that the lease service gave this gateway.
+
+        Work that cannot be decoded is released; with too many requests open, it is released for transfer.
+        """
         self.table.counts.transferred += 1
-        self.client.wake()  # to confirm that the work has arrived
+        self.client.wake()  # acknowledges that the work has arrived
         has_never_run = not transferred.server
         try:
             command = read_transferred_request(self.parser, transferred.request)
         except TransferredRequestError as error:
-            log.warning("a transferred request cannot be read: %s", error)
+            log.warning("a transferred request cannot be read: %s (fence %d)", error, transferred.fence)
             self.holder.release(transferred.name, never_ran=has_never_run)
             return
         reply = DetachedReply(f"{command.id}.{transferred.fence}")
-        # The margin that `taken` subtracts was subtracted when the client's own gateway took the request in.
-        budget = Deadline.start(transferred.left_ms * 1000 + ANSWER_MARGIN_US, 0, now_us())
-        exchange = self.requests.open_transferred(command, reply, budget)
+        # `Deadline.start` subtracts the margin, but the gateway that accepted the request already did so.
+        deadline = Deadline.start(transferred.left_ms * 1000 + ANSWER_MARGIN_US, 0, now_us())
+        exchange = self.requests.open_transferred(command, reply, deadline)
         if exchange is None:
             self.holder.release(transferred.name, transfer=True, never_ran=has_never_run)
             return
@@ -65,37 +68,40 @@
         item.may_have_run_before = not has_never_run
         self.table.add(item)
         self.table.by_name[item.name] = item
-        log.info("continues request %s of a lost gateway", command.id)
+        log.info("continues request %s of another gateway (fence %d)", command.id, transferred.fence)
         self.post_arrival(item, transferred.server, transferred.place)
 
     def resume(self, item: WorkItem, server: str, place: str) -> None:
-        """A client's request has become ours, after another gateway had its work.
+        """Run a client's request at this gateway, whose work another gateway owned before.
 
-        Where it may have run, `server` and `place` say where; `server` is empty otherwise.
+        `server` and `place` say where the work may have run; `server` is empty if it has not.
         """
         self.table.stop_waiting(item)
         item.exchange.attempt_count = 0
         self.post_arrival(item, server, place)
 
     def post_arrival(self, item: WorkItem, server: str, place: str) -> None:
-        """Give the request to the policy as one that another gateway admitted."""
+        """Post the request to the policy as one that another gateway admitted.
+
+        It fails if it may have run at a place of which the policy knows no server.
+        """
         exchange = item.exchange
         request_id = item.request_id
-        bound = self.server_in(exchange.command.class_index, server, place) if server else ""
-        if server and not bound:  # no server of that place is known any more
+        ran_on_server = self.find_server(exchange.command.class_index, server, place) if server else ""
+        if server and not ran_on_server:
             self.table.release(request_id)
             self.requests.fail(FailRequest(request_id))
             return
         arrival = exchange.command.build_arrival(remaining_us=exchange.deadline.remaining_us(now_us()))
-        self.events.post(replace(arrival, id=request_id, is_taken_over=True, ran_on_server=bound))
+        self.events.post(replace(arrival, id=request_id, is_taken_over=True, ran_on_server=ran_on_server))
 
-    def server_in(self, class_index: int, server: str, place: str) -> str:
-        """That server, or else another of its place; empty where the policy knows none."""
-        servers = self.directory.servers_by_name
-        if server in servers:
+    def find_server(self, class_index: int, server: str, place: str) -> str:
+        """Return `server` if the policy knows it, else a server of `place`, else the empty string."""
+        known_servers = self.directory.servers_by_name
+        if server in known_servers:
             return server
         settings = self.requests.settings
-        for name, known in servers.items():
-            if placement(settings, class_index, known.entry) == place:
+        for name, known_server in known_servers.items():
+            if placement(settings, class_index, known_server.entry) == place:
                 return name
         return ""
