--- a/thistletrail/gateway/takeover/counts.py
+++ b/thistletrail/gateway/takeover/counts.py
@@ -8,17 +8,28 @@
     """Numbers of work items since the start, logged when the gateway stops.
 
     The field names appear in the log line.
+
+    Attributes:
+        begun: Recorded and leased to this gateway for a client's request.
+        answered: Already ended when the request arrived, and answered with that outcome.
+        transferred: Transferred to this gateway from another one.
+        released: Released by this gateway without an outcome.
+        lost: Lost before the request was answered, as the lease had ended.
+        rejected: Not recorded, as the lease service had no room or rejected the operation.
+        unrecorded: Answered without a confirmation that the outcome is recorded.
+        untracked: Continued without being recorded.
+        waited: Waited for another gateway's outcome.
     """
 
-    begun: int = 0  # recorded and leased to this gateway for a client's request
-    answered: int = 0  # with the outcome of work that had already ended
-    transferred: int = 0  # from another gateway to this one
-    released: int = 0  # without an outcome
-    lost: int = 0  # whose lease ended before the request was answered
-    rejected: int = 0  # by the lease service
-    unrecorded: int = 0  # whose outcome was not confirmed as recorded in time
-    untracked: int = 0  # continued without being recorded
-    waited: int = 0  # for another gateway's outcome
+    begun: int = 0
+    answered: int = 0
+    transferred: int = 0
+    released: int = 0
+    lost: int = 0
+    rejected: int = 0
+    unrecorded: int = 0
+    untracked: int = 0
+    waited: int = 0
 
     def format_line(self) -> str:
         """Return all counters as `name count`, separated by commas."""
--- a/thistletrail/gateway/takeover/messages.py
+++ b/thistletrail/gateway/takeover/messages.py
@@ -107,4 +107,6 @@
             raise TransferredRequestError(f"the command is cut off after {len(data)} bytes")
         return parser.parse(arguments, is_own_customer=False)
     except (CommandError, ProtocolError, KeyError, TypeError, ValueError) as error:
-        raise TransferredRequestError(f"{type(error).__name__}: {error}") from error
+        raise TransferredRequestError(
+            f"the recorded command is invalid: {type(error).__name__}: {error}"
+        ) from error
--- a/thistletrail/gateway/takeover/ownership_wait.py
+++ b/thistletrail/gateway/takeover/ownership_wait.py
@@ -71,6 +71,6 @@
             self.wait(item, next_begin)
 
     def on_poll_timeout(self, item: WorkItem, begin: BeginWork) -> None:
-        """Withdraw a poll that had no result in time, and schedule the next one."""
+        """Withdraw a poll without a result after its time-out, and schedule the next one."""
         self.table.withdraw_begin(item)
         self.wait(item, begin)
--- a/thistletrail/gateway/takeover/work_item.py
+++ b/thistletrail/gateway/takeover/work_item.py
@@ -24,23 +24,33 @@
     - outcome being recorded: `pending_response` is sent once the outcome is recorded;
     - untracked: `is_untracked` is set; the work continues without being recorded;
     - over: `is_over` is set; later results and events are ignored.
+
+    Attributes:
+        name: Identifies the work in the fleet.
+        digest: Digest of the request that the name stands for.
+        effect: How often the work may run.
+        fence: Fencing token; 0 if the work is not leased.
+        attempt_number: Number of the last attempt that was recorded under this fence.
+        may_have_run_before: Whether an attempt may have run under an earlier fence.
+        may_have_run_here: Whether an attempt of this gateway may have run.
+        wait_until_ms: When the wait for another gateway's outcome ends; 0 if the request does not wait.
     """
 
     exchange: Exchange
-    name: str  # identifies the work in the fleet
-    digest: str  # of the request that the name stands for
-    effect: WorkEffect  # how often it may run
+    name: str
+    digest: str
+    effect: WorkEffect
     pending_begin: BeginWork | None = None
-    fence: int = 0  # fencing token; 0 if not leased
-    attempt_number: int = 0  # of the last attempt recorded under this fence
-    may_have_run_before: bool = False  # under an earlier fence
-    may_have_run_here: bool = False  # in an attempt of this gateway
-    pending_attempt: Attempt | None = None  # to be sent once recorded
-    pending_response: bytes | None = None  # to be sent once the outcome is recorded
+    fence: int = 0
+    attempt_number: int = 0
+    may_have_run_before: bool = False
+    may_have_run_here: bool = False
+    pending_attempt: Attempt | None = None
+    pending_response: bytes | None = None
     timer: asyncio.TimerHandle | None = None
     is_untracked: bool = False
     is_over: bool = False
-    wait_until_ms: int = 0  # end of the wait for another gateway's outcome; 0 if it does not wait
+    wait_until_ms: int = 0
 
     @property
     def request_id(self) -> str:
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -34,7 +34,7 @@
         self.counts = counts
         self.by_request_id: dict[str, WorkItem] = {}
         self.by_name: dict[str, WorkItem] = {}
-        self.waiting_count = 0  # of items that wait for another gateway's outcome
+        self.waiting_count = 0  # number of items that wait for another gateway's outcome
 
     def add(self, item: WorkItem) -> None:
         """Add a new item by its request id."""
