--- a/thistletrail/gateway/takeover/counts.py
+++ b/thistletrail/gateway/takeover/counts.py
@@ -1,22 +1,36 @@
-"""What became of recorded work at this gateway."""
+"""Counters of recorded work at this gateway."""
 
 from dataclasses import dataclass, fields
 
 
 @dataclass(slots=True)
 class TakeoverCounts:
-    """Counters since the start, logged when the gateway ends."""
+    """Numbers of work items since the start, logged when the gateway stops.
 
-    begun: int = 0  # recorded for the first time
-    answered: int = 0  # had ended before, and were answered with that outcome
-    transferred: int = 0  # continued here after another gateway's end
-    released: int = 0  # whose lease was given back unfinished
-    lost: int = 0  # whose lease ended while they were worked on
-    rejected: int = 0  # that the lease service did not record, being full
-    unrecorded: int = 0  # answered before the outcome was known to be recorded
-    untracked: int = 0  # continued without being recorded
-    waited: int = 0  # for another gateway's outcome
+    The field names appear in the log line.
 
-    def line(self) -> str:
-        """All counters as `name count`, for the log."""
+    Attributes:
+        begun: Recorded and leased to this gateway for a client's request.
+        answered: Already ended when the request arrived, and answered with that outcome.
+        transferred: Transferred to this gateway from another one.
+        released: Released by this gateway without an outcome.
+        lost: Lost before the request was answered, as the lease had ended.
+        rejected: Not recorded, as the lease service had no room or rejected the operation.
+        unrecorded: Answered without a confirmation that the outcome is recorded.
+        untracked: Continued without being recorded.
+        waited: Waited for another gateway's outcome.
+    """
+
+    begun: int = 0
+    answered: int = 0
+    transferred: int = 0
+    released: int = 0
+    lost: int = 0
+    rejected: int = 0
+    unrecorded: int = 0
+    untracked: int = 0
+    waited: int = 0
+
+    def format_line(self) -> str:
+        """Return all counters as `name count`, separated by commas."""
         return ", ".join(f"{field.name} {getattr(self, field.name)}" for field in fields(self))
