--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -103,7 +103,8 @@
 SETTINGS_WITH_CEILING = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
 
 
-def restored(age_us: int, **changes: object) -> World:
+def restored_world(age_us: int, **changes: object) -> World:
+    """A gateway that has restored a snapshot of that age."""
     world = World(SETTINGS_WITH_CEILING)
     world.tell(SnapshotFound(replace(snapshot().policy, **changes), age_us))
     return world
@@ -117,29 +118,29 @@
     world.gateway.overload.set_limit(12.0)
     ejected = world.gateway.servers_by_name["s1"]
     ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = True, world.now + S, 2 * S
-    taken = world.gateway.snapshot()
+    collected = world.gateway.snapshot()
     ((key, customer),) = world.gateway.customers.by_key.items()
-    (stored,) = taken.customers
+    (stored,) = collected.customers
     assert (stored.customer, stored.plan_index, stored.set_first, stored.set_size) == key
     assert stored.local_level == customer.local_bucket.level < 10.0
     assert stored.set_level == customer.set_level < 20.0
-    assert taken.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
-    assert taken.limit_per_scaled_second == pytest.approx(12.0)
+    assert collected.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
+    assert collected.limit_per_scaled_second == pytest.approx(12.0)
 
-    successor = World(SETTINGS_WITH_CEILING)
-    successor.tell(SnapshotFound(taken, 500_000))
-    restored_customer = successor.gateway.customers.by_key[key]
+    next_world = World(SETTINGS_WITH_CEILING)
+    next_world.tell(SnapshotFound(collected, 500_000))
+    restored_customer = next_world.gateway.customers.by_key[key]
     assert (
         restored_customer.local_bucket.level <= customer.local_bucket.level + 1e-9
         and restored_customer.set_level <= customer.set_level + 1e-9
     )
-    assert successor.gateway.servers_by_name["s1"].is_ejected
-    assert successor.gateway.servers_by_name["s1"].avoid_until_us == successor.now + S // 2
-    assert successor.gateway.overload.admission_limit == 12 and successor.gateway.incarnations.has_restarted
+    assert next_world.gateway.servers_by_name["s1"].is_ejected
+    assert next_world.gateway.servers_by_name["s1"].avoid_until_us == next_world.now + S // 2
+    assert next_world.gateway.overload.admission_limit == 12 and next_world.gateway.incarnations.has_restarted
 
 
 @pytest.mark.parametrize(
-    "age_us, customers, ejected_servers, n",
+    "age_us, customer_count, is_ejected, limit",
     [
         (0, 1, True, 7),
         (ADMISSION_LIMIT_MAX_AGE_US - 1, 1, True, 7),
@@ -149,20 +150,21 @@
     ],
 )
 def test_expired_parts_of_a_snapshot_are_not_used(
-    age_us: int, customers: int, ejected_servers: bool, n: int | None
+    age_us: int, customer_count: int, is_ejected: bool, limit: int | None
 ) -> None:
-    world = restored(age_us)
-    assert len(world.gateway.customers.by_key) == customers
-    assert world.gateway.servers_by_name["s1"].is_ejected is ejected_servers
-    assert world.gateway.overload.admission_limit == n
+    world = restored_world(age_us)
+    assert len(world.gateway.customers.by_key) == customer_count
+    assert world.gateway.servers_by_name["s1"].is_ejected is is_ejected
+    assert world.gateway.overload.admission_limit == limit
 
 
 def test_customers_are_not_restored_when_their_buckets_are_full_again() -> None:
     world = World(SETTINGS_WITH_CEILING)
-    forget_us = world.gateway.customers.retention_us
-    assert forget_us >= 10 * S
+    retention_us = world.gateway.customers.retention_us
+    assert retention_us >= 10 * S
     assert (
-        restored(forget_us - 1).gateway.customers.by_key and not restored(forget_us).gateway.customers.by_key
+        restored_world(retention_us - 1).gateway.customers.by_key
+        and not restored_world(retention_us).gateway.customers.by_key
     )
 
 
@@ -174,11 +176,11 @@
     ],
 )
 def test_an_invalid_customer_is_ignored(invalid: CustomerSnapshot) -> None:
-    assert not restored(0, customers=(invalid,)).gateway.customers.by_key
+    assert not restored_world(0, customers=(invalid,)).gateway.customers.by_key
 
 
 def test_restored_levels_never_exceed_the_burst_of_a_bucket() -> None:
-    world = restored(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
+    world = restored_world(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
     customer = world.gateway.customers.by_key[KEY]
     assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
     assert (
@@ -200,7 +202,7 @@
     return SnapshotStore(replace(CONFIG, state_dir=str(folder), **changes))
 
 
-def test_a_gateway_restores_the_snapshot_of_its_predecessor(tmp_path: Path) -> None:
+def test_a_gateway_restores_the_snapshot_of_its_previous_process(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway_server, address):
             first = store_in(tmp_path)
@@ -212,18 +214,20 @@
             second = store_in(tmp_path)
             assert second.stored_snapshot.endpoint_list["generation"] == 7
             config = second.with_stored_list(replace(CONFIG, discovery=(await Watch(never).start(),)))
-            successor = GatewayServer(config)
-            second.restore(successor)
+            next_gateway = GatewayServer(config)
+            second.restore(next_gateway)
             await asyncio.sleep(0)
-            successor.driver.run_batch()
-            assert list(successor.policy.servers_by_name) == ["s0"]
+            next_gateway.driver.run_batch()
+            assert list(next_gateway.policy.servers_by_name) == ["s0"]
             assert (
-                successor.policy.servers_by_name["s0"].entry
+                next_gateway.policy.servers_by_name["s0"].entry
                 == gateway_server.policy.servers_by_name["s0"].entry
             )
-            assert successor.policy.customers.by_key.keys() == gateway_server.policy.customers.by_key.keys()
-            assert successor.policy.incarnations.has_restarted
-            successor.close()
+            assert (
+                next_gateway.policy.customers.by_key.keys() == gateway_server.policy.customers.by_key.keys()
+            )
+            assert next_gateway.policy.incarnations.has_restarted
+            next_gateway.close()
             second.close()
 
     async def never(writer: asyncio.StreamWriter) -> None:
--- a/thistletrail/gateway/server.py
+++ b/thistletrail/gateway/server.py
@@ -182,7 +182,8 @@
     def reconfigure(self, config: Config) -> None:
         """Apply the addresses of discovery, the only setting that can change without a restart.
 
-        Logs the names of other settings that have changed.
+        Logs the names of other settings that have changed, except the seed and the known endpoint list, which
+        may be that of a stored snapshot.
         """
         comparable = replace(
             config,
--- a/thistletrail/policy/incarnations.py
+++ b/thistletrail/policy/incarnations.py
@@ -102,12 +102,12 @@
         incarnation, a restarted gateway would get dozens of messages while it is busiest.
         """
         age_us = round(max(0.0, announcement.demand) * MICROSECONDS_PER_SECOND)
-        serving_since_us = now_us - age_us
+        peer_serving_since_us = now_us - age_us
         previous = self.peers.get(sender)
-        self.peers[sender] = PeerIncarnation(announcement.customer, serving_since_us)
+        self.peers[sender] = PeerIncarnation(announcement.customer, peer_serving_since_us)
 
-        peer_is_older = serving_since_us + MIN_AGE_DIFFERENCE_US < self.serving_since_us
-        if self.serving_since_us >= 0 and peer_is_older:
+        is_peer_older = peer_serving_since_us + MIN_AGE_DIFFERENCE_US < self.serving_since_us
+        if self.serving_since_us >= 0 and is_peer_older:
             self.has_restarted = True
 
         if previous and previous.incarnation == announcement.customer:
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -297,7 +297,7 @@
     def start(self) -> None:
         """Record the present event, the first one, as the start of the gateway.
 
-        The gateway begins to serve at a later event (see `Incarnations.serving_since_us`).
+        The gateway may begin to serve at a later event (see `Incarnations.serving_since_us`).
         """
         self.started_us = self.context.now_us
 
--- a/thistletrail/policy/snapshot.py
+++ b/thistletrail/policy/snapshot.py
@@ -60,8 +60,9 @@
         """Restore each part that is younger than its maximum age; return a log line that names these parts.
 
         The line counts the customers and servers in the snapshot, including those that are ignored. Buckets
-        are not refilled for the time since the snapshot, as other gateways continued to spend meanwhile. A
-        customer that is not restored gets what its rate refills from now on, as after any restart.
+        are not refilled for the time since the snapshot, as other gateways continued to spend meanwhile.
+        Levels as old as the customers' retention are not restored, as the buckets could be full again. A
+        customer that is not restored gets at most what its rate brings from now on, as after any restart.
         """
         self.incarnations.note_restart(self.context.now_us)
         snapshot = event.snapshot
