--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -42,7 +42,7 @@
 # whose buckets take longer to refill.
 MAX_POLICY_AGE_S = 30.0
 # A snapshot beyond this age is rejected, with its endpoint list. Discovery sends the list within a second if
-# it is reachable, and so old a list names servers that have been removed.
+# it is reachable, and so old a list may name servers that have been removed.
 MAX_LIST_AGE_S = 600.0
 CRASH_BACKOFF_JITTER = 0.25  # fraction of the backoff, in both directions
 
@@ -83,7 +83,7 @@
         """Record this start, which counts as crashed until `record_planned_end` removes it.
 
         Returns for how many seconds, with jitter, the gateway must wait before it accepts requests; 0.0
-        unless earlier starts crashed.
+        after at most `MAX_CRASHES_WITHOUT_BACKOFF` crashes.
         """
         now_s = self.unix_ms() / 1000
         backoff_s = crash_backoff_s(self.start_history.start_times_s, now_s)
