--- a/thistletrail/policy/upstream_server.py
+++ b/thistletrail/policy/upstream_server.py
@@ -9,7 +9,7 @@
 
     `is_ejected` is true from the ejection until an attempt that was sent after it succeeds, or a peer reports
     a success. Half-open attempts are allowed from `avoid_until_us` on. A server that rejected an attempt at
-    capacity is avoided until then as well.
+    capacity is avoided until `avoid_until_us` as well, but not ejected for it.
     """
 
     __slots__ = (
@@ -49,8 +49,8 @@
         self.is_ejected = False
         self.ejected_at_us = 0
         self.avoid_until_us = 0
-        self.backoff_us = 0  # length of the present ejection; 0 if it is not ejected
-        # Start of the process; after an ejection, half a warm-up before the return if that is later.
+        self.backoff_us = 0  # time from the last failure that ejected it to the next half-open attempt
+        # Start of the server's process; after an ejection, half a warm-up before its return if that is later.
         self.warm_up_start_us = entry.started_us
 
     def add_attempt(self, request_id: str, number: int, sent_us: int) -> None:
