--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -26,9 +26,9 @@
 from thistletrail.leasing.fair_division import bounded_step, divide
 from thistletrail.leasing.messages import BudgetRequest, RenewRequest, RenewResponse
 from thistletrail.leasing.model_checking.budget_faults import PLANTED_FAULTS, BudgetModel
-from thistletrail.leasing.model_checking.budget_properties import violation
+from thistletrail.leasing.model_checking.budget_properties import find_violation
 from thistletrail.leasing.model_checking.budget_transitions import EventKind, transitions
-from thistletrail.leasing.model_checking.budget_world import first_world
+from thistletrail.leasing.model_checking.budget_world import initial_world
 from thistletrail.leasing.model_checking.budgets import check_all_walks, check_near_states, check_walks
 from thistletrail.leasing.model_checking.search import Walks
 
@@ -113,7 +113,7 @@
 
 
 def test_the_model_has_each_kind_of_event() -> None:
-    first = first_world(BudgetModel, 2, 2, True)
+    first = initial_world(BudgetModel, 2, 2, True)
     kinds = {transition.kind for transition in transitions(first)}
     assert {
         EventKind.TIME,
@@ -132,7 +132,7 @@
         transition.event.startswith("another lease service takes over")
         for transition in transitions(requested)
     )
-    assert violation(first_world(BudgetModel, 2, 2, True)) == ""
+    assert find_violation(initial_world(BudgetModel, 2, 2, True)) == ""
 
 
 # --- the state machine by itself ---
--- a/thistletrail/leasing/model_checking/budget_transitions.py
+++ b/thistletrail/leasing/model_checking/budget_transitions.py
@@ -1,9 +1,12 @@
 """The events of the model of fleet-wide budgets.
 
-Time goes on by a second or by a lease; a holder sends a request, spends what it has, opens and closes; a
-message arrives; a gateway starts again, beside its process before, which may be paused; the lease service is
-killed and comes back with its journal, is lost with it and another begins, or stands still in the middle of a
-request while another takes over (leadership.py), and then goes on.
+- A second or the length of a lease passes.
+- A holder sends a request, spends its units, or opens and closes units of the count.
+- A message arrives.
+- A gateway restarts. Its earlier incarnation, which may be suspended, stays in the model.
+- The lease service is killed and restarts with its journal.
+- The lease service is lost with its journal, and another one begins a new history.
+- The leader is suspended in the middle of a request, another takes over (leadership.py), and it resumes.
 """
 
 from __future__ import annotations
@@ -18,23 +21,23 @@
 from thistletrail.leasing.model_checking.budget_faults import LEASE_MS
 from thistletrail.leasing.model_checking.budget_world import (
     COUNT_NAME,
-    FENCES_BETWEEN_HISTORIES,
+    FENCE_STEP_BETWEEN_HISTORIES,
     RATE_NAME,
     BudgetWorld,
-    copy_state,
+    copy_service,
     start_holder,
 )
 from thistletrail.leasing.model_checking.search import Transition
 
 SECOND_MS = 1000
-MAX_REQUESTS = 3  # of each holder
-MAX_INCARNATIONS = 2  # of each gateway
+MAX_REQUESTS_PER_HOLDER = 3
+MAX_INCARNATIONS_PER_GATEWAY = 2
 
-Change = Callable[[BudgetWorld], None]
+Action = Callable[[BudgetWorld], None]  # changes a state in place
 
 
 class EventKind(enum.Enum):
-    """What an event is about."""
+    """The kind of an event."""
 
     TIME = enum.auto()
     SEND_REQUEST = enum.auto()
@@ -51,205 +54,214 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetTransition(Transition[BudgetWorld]):
-    """An event with its kind."""
+    """An event and its kind."""
 
     kind: EventKind
 
 
 def transitions(world: BudgetWorld) -> Iterator[BudgetTransition]:
-    """Yield every event that may come next."""
+    """Yield every event that can occur in a state."""
     for wait_ms in (SECOND_MS, LEASE_MS):
-        yield transition(world, EventKind.TIME, f"{wait_ms / 1000:g} s pass", passing(wait_ms))
-    for number in range(len(world.holders)):
-        yield from holder_transitions(world, number)
+        yield make_transition(
+            world, EventKind.TIME, f"{wait_ms / 1000:g} s pass", advance_time_action(wait_ms)
+        )
+    for holder_index in range(len(world.holders)):
+        yield from holder_transitions(world, holder_index)
     for message in dict.fromkeys(world.messages):
         yield from message_transitions(world, message)
     for gateway in range(world.gateways):
-        if sum(holder.gateway == gateway for holder in world.holders) < MAX_INCARNATIONS:
+        if sum(holder.gateway == gateway for holder in world.holders) < MAX_INCARNATIONS_PER_GATEWAY:
             event = f"gateway {gateway} starts again"
-            yield transition(world, EventKind.RESTART_GATEWAY, event, starting(gateway))
-    yield transition(world, EventKind.RECOVER_SERVICE, "the lease service is killed and comes back", recover)
-    if not world.losses:
+            yield make_transition(world, EventKind.RESTART_GATEWAY, event, restart_gateway_action(gateway))
+    yield make_transition(
+        world, EventKind.RECOVER_SERVICE, "the lease service is killed and comes back", recover_service
+    )
+    if not world.journal_losses:
         event = "the lease service is lost, and another begins"
-        yield transition(world, EventKind.LOSE_SERVICE, event, lose)
+        yield make_transition(world, EventKind.LOSE_SERVICE, event, replace_lost_service)
 
 
-def transition(world: BudgetWorld, kind: EventKind, event: str, change: Change) -> BudgetTransition:
-    """Return an event that makes a change to a copy of the state."""
+def make_transition(world: BudgetWorld, kind: EventKind, event: str, action: Action) -> BudgetTransition:
+    """Return the transition to a copy of the state on which an action was carried out."""
 
     def apply() -> BudgetWorld:
-        changed = world.copy()
-        change(changed)
-        return changed
+        successor = world.copy()
+        action(successor)
+        return successor
 
     return BudgetTransition(event, apply, kind)
 
 
-def holder_transitions(world: BudgetWorld, number: int) -> Iterator[BudgetTransition]:
-    """Yield what a holder may do."""
-    holder = world.holders[number]
-    who = f"gateway {holder.gateway} (incarnation {holder.incarnation})"
-    if world.requests_of.get(number, 0) < MAX_REQUESTS:
-        yield transition(world, EventKind.SEND_REQUEST, f"{who} sends a request", sending(number))
+def holder_transitions(world: BudgetWorld, holder_index: int) -> Iterator[BudgetTransition]:
+    """Yield the events that a holder can cause."""
+    holder = world.holders[holder_index]
+    label = f"gateway {holder.gateway} (incarnation {holder.incarnation})"
+    if world.request_count_by_holder.get(holder_index, 0) < MAX_REQUESTS_PER_HOLDER:
+        yield make_transition(
+            world, EventKind.SEND_REQUEST, f"{label} sends a request", send_request_action(holder_index)
+        )
     if any(lease.level_thousandths >= THOUSANDTHS for lease in holder.leases.values()):
-        yield transition(world, EventKind.SPEND, f"{who} spends", spending(number))
+        yield make_transition(world, EventKind.SPEND, f"{label} spends", spend_action(holder_index))
     count = holder.leases.get(COUNT_NAME)
     if count is None:
         return
     if holder.usable_share(COUNT_NAME, world.now_ms) > count.in_use:
-        yield transition(world, EventKind.OPEN, f"{who} opens all it may", opening(number))
+        yield make_transition(world, EventKind.OPEN, f"{label} opens all it may", open_action(holder_index))
     if count.in_use:
-        yield transition(world, EventKind.CLOSE, f"{who} closes one", closing(number))
+        yield make_transition(world, EventKind.CLOSE, f"{label} closes one", close_action(holder_index))
 
 
 def message_transitions(
     world: BudgetWorld, message: RenewRequest | RenewResponse
 ) -> Iterator[BudgetTransition]:
-    """Yield what may come of a message that was sent."""
-    who = f"gateway {message.gateway} (incarnation {message.incarnation})"
+    """Yield the events that a sent message can cause."""
+    label = f"gateway {message.gateway} (incarnation {message.incarnation})"
     if isinstance(message, RenewRequest):
-        event = f"request {message.serial} of {who} arrives"
-        yield transition(world, EventKind.REQUEST_ARRIVES, event, arriving(message))
+        event = f"request {message.serial} of {label} arrives"
+        yield make_transition(world, EventKind.REQUEST_ARRIVES, event, deliver_request_action(message))
         if not world.was_taken_over:
-            event = f"another lease service takes over in the middle of request {message.serial} of {who}"
-            yield transition(world, EventKind.TAKEOVER, event, taking_over(message))
+            event = f"another lease service takes over in the middle of request {message.serial} of {label}"
+            yield make_transition(world, EventKind.TAKEOVER, event, take_over_action(message))
         return
-    for number, holder in enumerate(world.holders):
+    for holder_index, holder in enumerate(world.holders):
         if is_awaited(holder, message):
-            event = f"response {message.serial} reaches {who}"
-            yield transition(world, EventKind.RESPONSE_ARRIVES, event, answering(number, message))
+            event = f"response {message.serial} reaches {label}"
+            yield make_transition(
+                world, EventKind.RESPONSE_ARRIVES, event, deliver_response_action(holder_index, message)
+            )
 
 
 def is_awaited(holder: BudgetHolder, message: RenewResponse) -> bool:
-    """Return whether a response is to a request of a holder's that is unanswered."""
-    sender = (holder.gateway, holder.incarnation)
-    return sender == (message.gateway, message.incarnation) and message.serial in holder.sent_ms
+    """Return whether a response answers one of a holder's unanswered requests."""
+    recipient = (holder.gateway, holder.incarnation)
+    return recipient == (message.gateway, message.incarnation) and message.serial in holder.sent_ms
 
 
-def passing(wait_ms: int) -> Change:
-    """Time passes; what was opened under a lease that is over by then has ended by itself."""
+def advance_time_action(wait_ms: int) -> Action:
+    """Return the action that lets time pass; what was opened under a lease has ended when the lease ends."""
 
-    def change(world: BudgetWorld) -> None:
+    def action(world: BudgetWorld) -> None:
         world.now_ms += wait_ms
         for holder in world.holders:
             count = holder.leases.get(COUNT_NAME)
             if count is not None and count.until_ms <= world.now_ms:
                 count.in_use = 0
 
-    return change
+    return action
 
 
-def starting(gateway: int) -> Change:
-    """A gateway starts again."""
+def restart_gateway_action(gateway: int) -> Action:
+    """Return the action that starts another incarnation of a gateway."""
     return lambda world: start_holder(world, gateway)
 
 
-def sending(number: int) -> Change:
-    """A holder sends a request for all of its budgets."""
+def send_request_action(holder_index: int) -> Action:
+    """Return the action by which a holder sends a request for all of its budgets."""
 
-    def change(world: BudgetWorld) -> None:
-        holder = world.holders[number]
+    def action(world: BudgetWorld) -> None:
+        holder = world.holders[holder_index]
         for lease in holder.leases.values():
             lease.last_demand_ms = world.now_ms
         world.messages = (*world.messages, holder.next_request(world.now_ms))
-        world.requests_of[number] = world.requests_of.get(number, 0) + 1
+        world.request_count_by_holder[holder_index] = world.request_count_by_holder.get(holder_index, 0) + 1
 
-    return change
+    return action
 
 
-def spending(number: int) -> Change:
-    """A holder spends all units that are in its store of the rate."""
+def spend_action(holder_index: int) -> Action:
+    """Return the action by which a holder spends all whole units in its token bucket of the rate."""
 
-    def change(world: BudgetWorld) -> None:
-        holder = world.holders[number]
+    def action(world: BudgetWorld) -> None:
+        holder = world.holders[holder_index]
         lease = holder.leases[RATE_NAME]
         holder.refill(lease, world.now_ms)
-        units = lease.level_thousandths // 1000
+        units = lease.level_thousandths // THOUSANDTHS
         if units and holder.spend(RATE_NAME, units, world.now_ms):
-            world.spent_thousandths += 1000 * units
+            world.spent_thousandths += THOUSANDTHS * units
 
-    return change
+    return action
 
 
-def opening(number: int) -> Change:
-    """A holder opens as many as it may have open."""
+def open_action(holder_index: int) -> Action:
+    """Return the action by which a holder uses all of its share of the count."""
 
-    def change(world: BudgetWorld) -> None:
-        holder = world.holders[number]
+    def action(world: BudgetWorld) -> None:
+        holder = world.holders[holder_index]
         holder.leases[COUNT_NAME].in_use = holder.usable_share(COUNT_NAME, world.now_ms)
 
-    return change
+    return action
 
 
-def closing(number: int) -> Change:
-    """A holder closes one."""
+def close_action(holder_index: int) -> Action:
+    """Return the action by which a holder stops using one unit of the count."""
 
-    def change(world: BudgetWorld) -> None:
-        world.holders[number].leases[COUNT_NAME].in_use -= 1
+    def action(world: BudgetWorld) -> None:
+        world.holders[holder_index].leases[COUNT_NAME].in_use -= 1
 
-    return change
+    return action
 
 
-def arriving(request: RenewRequest) -> Change:
-    """A request arrives at the lease service, and is answered."""
+def deliver_request_action(request: RenewRequest) -> Action:
+    """Return the action by which the lease service receives a request and sends its response."""
 
-    def change(world: BudgetWorld) -> None:
-        response = world.state.renew(request, world.now_ms)
+    def action(world: BudgetWorld) -> None:
+        response = world.service.renew(request, world.now_ms)
         if response.grants and response not in world.messages:
             world.messages = (*world.messages, response)
 
-    return change
+    return action
 
 
-def answering(number: int, response: RenewResponse) -> Change:
-    """A response reaches its holder."""
+def deliver_response_action(holder_index: int, response: RenewResponse) -> Action:
+    """Return the action by which a holder receives a response."""
 
-    def change(world: BudgetWorld) -> None:
-        world.holders[number].on_response(response, world.now_ms)
+    def action(world: BudgetWorld) -> None:
+        world.holders[holder_index].on_response(response, world.now_ms)
 
-    return change
+    return action
 
 
-def taking_over(request: RenewRequest) -> Change:
-    """The leader stands still between its decision and its response, and another takes over its journal.
+def take_over_action(request: RenewRequest) -> Action:
+    """Return the action by which another process takes over from a leader suspended before its response.
 
-    As it is, the decision may be in that journal, and nobody is answered: the look for a later term comes
-    last. Where the look comes first, the decision is still to be written when the leader goes on, and is
-    answered then. If it is neither in the journal nor answered, the leader might as well have been killed.
+    Without a fault, the leader checks for a later term last: its decision may be in the journal that the
+    successor reads, and no response is sent. If the leader checks first, its decision is not in that journal,
+    and the leader writes it and sends the response when it resumes. A decision that is neither in the journal
+    nor sent needs no event of its own: the effect is the same as if the leader were killed.
     """
 
-    def change(world: BudgetWorld) -> None:
+    def action(world: BudgetWorld) -> None:
         world.was_taken_over = True
-        replaced = copy_state(world.state)
+        replaced = copy_service(world.service)
         response = replaced.renew(request, world.now_ms)
-        if world.model.looks_for_later_term_last:
-            world.state = replaced
+        if world.model.checks_later_term_last:
+            world.service = replaced
         elif response.grants:
             world.messages = (*world.messages, response)
-        recover(world)
+        recover_service(world)
 
-    return change
+    return action
 
 
-def recover(world: BudgetWorld) -> None:
-    """A process begins with the journal of the one before it; what was in its pool is not in there."""
-    before = world.state
-    fresh = type(before)(before.fence, world.now_ms, 0, LEASE_MS)
-    for name, budget in before.budgets.items():
-        fresh.set_limits(name, budget.limits, world.now_ms)
-    for issued in before.issued_grants():
+def recover_service(world: BudgetWorld) -> None:
+    """Replace the lease service by a process that restores its journal, which does not contain the pool."""
+    previous = world.service
+    restarted = type(previous)(previous.fence, world.now_ms, 0, LEASE_MS)
+    for name, budget in previous.budgets.items():
+        restarted.set_limits(name, budget.limits, world.now_ms)
+    for issued in previous.issued_grants():
         if issued.grant.until_ms > world.now_ms:
-            fresh.restore_grant(issued.budget, issued.holder, issued.grant)
-    fresh.quiet_until_ms = before.quiet_until_ms
-    world.state = fresh
-
-
-def lose(world: BudgetWorld) -> None:
-    """A process begins that knows nothing, with a history of its own."""
-    before = world.state
-    world.losses += 1
-    first_fence = before.fence + FENCES_BETWEEN_HISTORIES
-    fresh = type(before)(first_fence, world.now_ms, world.model.quiet_ms, LEASE_MS)
-    for name, budget in before.budgets.items():
-        fresh.set_limits(name, budget.limits, world.now_ms)
-    world.state = fresh
+            restarted.restore_grant(issued.budget, issued.holder, issued.grant)
+    restarted.quiet_until_ms = previous.quiet_until_ms
+    world.service = restarted
+
+
+def replace_lost_service(world: BudgetWorld) -> None:
+    """Replace the lease service by a process without a journal, which begins a history of its own."""
+    previous = world.service
+    world.journal_losses += 1
+    first_fence = previous.fence + FENCE_STEP_BETWEEN_HISTORIES
+    replacement = type(previous)(first_fence, world.now_ms, world.model.quiet_ms, LEASE_MS)
+    for name, budget in previous.budgets.items():
+        replacement.set_limits(name, budget.limits, world.now_ms)
+    world.service = replacement
--- a/thistletrail/leasing/model_checking/budget_world.py
+++ b/thistletrail/leasing/model_checking/budget_world.py
@@ -1,6 +1,7 @@
 """One state of the model of fleet-wide budgets: time, the lease service, holders and messages.
 
-Messages that were sent stay in the network: each may arrive any number of times, in any order, late or never.
+Messages stay in the network once they are sent. Each may arrive any number of times, in any order, late or
+never.
 """
 
 from __future__ import annotations
@@ -15,37 +16,52 @@
 
 RATE_NAME = "rate"
 COUNT_NAME = "open"
-COUNT = BudgetLimits(total=10)  # of what may be open at once
-RATE = BudgetLimits(total=10_000, burst=20)  # in thousandths of units a second
+COUNT_LIMITS = BudgetLimits(total=10)
+RATE_LIMITS = BudgetLimits(total=10_000, burst=20)  # 10 units a second
 FIRST_FENCE = 1000
-FENCES_BETWEEN_HISTORIES = 1000
-DEMAND = 5  # of each holder, for each budget
-NEEDED_UNITS = 2  # that requests wait for at every other gateway
+FENCE_STEP_BETWEEN_HISTORIES = 1000
+DEMAND_PER_HOLDER = 5  # for each budget
+NEEDED_UNITS = 2  # at each gateway with an odd number
 
 
 @dataclass
 class BudgetWorld:
-    """One state: time, the lease service, all holders that were ever started, messages, and units spent."""
+    """One state of the model.
+
+    Attributes:
+        model: The state machines that are checked.
+        gateways: The number of gateways.
+        now_ms: The present time.
+        service: The lease service's state machine.
+        holders: All holders that were ever started, also those that were replaced.
+        messages: All messages that were sent.
+        spent_thousandths: Thousandths of units of the rate that holders have spent.
+        initial_thousandths: Thousandths of units of the rate that existed in the initial service.
+        start_ms: The time of the initial service.
+        journal_losses: How many times the lease service's journal was lost.
+        was_taken_over: Whether another lease service has taken over from a suspended leader.
+        request_count_by_holder: The number of requests that each holder has sent, by its index in `holders`.
+    """
 
     model: type[BudgetModel]
     gateways: int
     now_ms: int
-    state: CheckedBudgetState
+    service: CheckedBudgetState
     holders: list[BudgetHolder]
     messages: tuple[RenewRequest | RenewResponse, ...] = ()
-    spent_thousandths: int = 0  # of units of the rate
-    initial_thousandths: int = 0  # of units that were there at the beginning
-    began_ms: int = 0
-    losses: int = 0  # of the lease service's journal
-    was_taken_over: bool = False  # another has taken over from a leader that stood still
-    requests_of: dict[int, int] = field(default_factory=dict)  # by holder: how many it has sent
+    spent_thousandths: int = 0
+    initial_thousandths: int = 0
+    start_ms: int = 0
+    journal_losses: int = 0
+    was_taken_over: bool = False
+    request_count_by_holder: dict[int, int] = field(default_factory=dict)
 
     def copy(self) -> BudgetWorld:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable object."""
         return replace(
             self,
-            state=copy_state(self.state),
-            requests_of=dict(self.requests_of),
+            service=copy_service(self.service),
+            request_count_by_holder=dict(self.request_count_by_holder),
             holders=[copy_holder(holder) for holder in self.holders],
         )
 
@@ -54,20 +70,20 @@
         return (
             self.now_ms,
             self.spent_thousandths,
-            self.losses,
+            self.journal_losses,
             self.was_taken_over,
-            state_key(self.state),
+            service_key(self.service),
             tuple(map(holder_key, self.holders)),
             frozenset(self.messages),
         )
 
 
-def copy_state(state: CheckedBudgetState) -> CheckedBudgetState:
-    """Return a copy of the lease service's state."""
-    copied = type(state)(state.fence, 0, 0, state.lease_ms)
-    copied.quiet_until_ms = state.quiet_until_ms
-    copied.last_requests = dict(state.last_requests)
-    copied.budgets = {name: copy_budget(budget) for name, budget in state.budgets.items()}
+def copy_service(service: CheckedBudgetState) -> CheckedBudgetState:
+    """Return a copy of the lease service's state machine."""
+    copied = type(service)(service.fence, 0, 0, service.lease_ms)
+    copied.quiet_until_ms = service.quiet_until_ms
+    copied.last_requests = dict(service.last_requests)
+    copied.budgets = {name: copy_budget(budget) for name, budget in service.budgets.items()}
     return copied
 
 
@@ -80,18 +96,21 @@
     return Budget(budget.limits, holdings, budget.pool_thousandths, budget.pool_at_ms, budget.rotation)
 
 
-def state_key(state: CheckedBudgetState) -> Hashable:
-    """Return what distinguishes one state of the lease service from another."""
+def service_key(service: CheckedBudgetState) -> Hashable:
+    """Return a value that is equal for equal states of the lease service."""
     return (
-        state.fence,
-        state.quiet_until_ms,
-        tuple((name, stamp.serial, stamp.received_ms) for name, stamp in sorted(state.last_requests.items())),
-        tuple((name, budget_key(budget)) for name, budget in state.budgets.items()),
+        service.fence,
+        service.quiet_until_ms,
+        tuple(
+            (name, latest.serial, latest.received_ms)
+            for name, latest in sorted(service.last_requests.items())
+        ),
+        tuple((name, budget_key(budget)) for name, budget in service.budgets.items()),
     )
 
 
 def budget_key(budget: Budget) -> Hashable:
-    """Return what distinguishes one state of a budget from another."""
+    """Return a value that is equal for equal states of a budget."""
     holdings = tuple(
         (name, holding.issued, holding.demand, holding.acknowledged_fence)
         for name, holding in sorted(budget.holdings.items())
@@ -109,7 +128,7 @@
 
 
 def holder_key(holder: BudgetHolder) -> Hashable:
-    """Return what distinguishes one state of a holder from another."""
+    """Return a value that is equal for equal states of a holder."""
     return (
         holder.gateway,
         holder.incarnation,
@@ -120,7 +139,7 @@
 
 
 def lease_key(lease: BudgetLease) -> Hashable:
-    """Return what distinguishes one state of a lease from another."""
+    """Return a value that is equal for equal states of a lease."""
     return (
         lease.share,
         lease.fence,
@@ -132,38 +151,38 @@
     )
 
 
-def first_world(
-    model: type[BudgetModel], gateways: int, budgets: int, is_first_holding_all: bool
+def initial_world(
+    model: type[BudgetModel], gateways: int, budgets: int, first_gateway_holds_all: bool
 ) -> BudgetWorld:
-    """Return a first state: nobody has sent a request, or the first gateway holds all of everything."""
-    now = 100 * LEASE_MS
-    state = model.state_type(FIRST_FENCE, now, 0, LEASE_MS)
-    limits_by_name = {RATE_NAME: RATE, COUNT_NAME: COUNT}
+    """Return an initial state: no gateway has sent a request, or the first one holds all of every budget."""
+    now_ms = 100 * LEASE_MS
+    service = model.state_type(FIRST_FENCE, now_ms, 0, LEASE_MS)
+    limits_by_name = {RATE_NAME: RATE_LIMITS, COUNT_NAME: COUNT_LIMITS}
     for name in list(limits_by_name)[:budgets]:
-        state.set_limits(name, limits_by_name[name], now)
-    world = BudgetWorld(model, gateways, now, state, [], began_ms=now)
+        service.set_limits(name, limits_by_name[name], now_ms)
+    world = BudgetWorld(model, gateways, now_ms, service, [], start_ms=now_ms)
     for gateway in range(gateways):
         start_holder(world, gateway)
-    if is_first_holding_all:
+    if first_gateway_holds_all:
         first = world.holders[0]
-        state.budgets[RATE_NAME].pool_thousandths = 1000 * RATE.burst
-        first.on_response(state.renew(first.next_request(now), now), now)
-        state.refill_pool(state.budgets[RATE_NAME], now)
-        world.initial_thousandths = units_in_stores(world)
+        service.budgets[RATE_NAME].pool_thousandths = 1000 * RATE_LIMITS.burst
+        first.on_response(service.renew(first.next_request(now_ms), now_ms), now_ms)
+        service.refill_pool(service.budgets[RATE_NAME], now_ms)
+        world.initial_thousandths = stored_thousandths(world)
     return world
 
 
 def start_holder(world: BudgetWorld, gateway: int) -> None:
-    """Start a process of a gateway: it has demand for everything, and every other one needs units besides."""
+    """Start an incarnation of a gateway with demand for each budget; odd-numbered gateways need units too."""
     incarnation = 1 + sum(holder.gateway == gateway for holder in world.holders)
     holder = world.model.holder_type(gateway, incarnation, world.gateways)
-    for name, budget in world.state.budgets.items():
+    for name, budget in world.service.budgets.items():
         needed_units = NEEDED_UNITS * (gateway % 2)
-        holder.set_demand(name, budget.limits, Demand(DEMAND, needed_units), world.now_ms)
+        holder.set_demand(name, budget.limits, Demand(DEMAND_PER_HOLDER, needed_units), world.now_ms)
     world.holders.append(holder)
 
 
-def units_in_stores(world: BudgetWorld) -> int:
-    """Return thousandths of units of the rate in all stores and in the pool."""
-    in_stores = sum(holder.leases[RATE_NAME].level_thousandths for holder in world.holders)
-    return in_stores + world.state.budgets[RATE_NAME].pool_thousandths
+def stored_thousandths(world: BudgetWorld) -> int:
+    """Return thousandths of units of the rate in all token buckets and in the pool."""
+    in_buckets = sum(holder.leases[RATE_NAME].level_thousandths for holder in world.holders)
+    return in_buckets + world.service.budgets[RATE_NAME].pool_thousandths
--- a/thistletrail/leasing/model_checking/budgets.py
+++ b/thistletrail/leasing/model_checking/budgets.py
@@ -1,4 +1,4 @@
-"""The check of fleet-wide budgets: all near states, and random walks to far ones."""
+"""The check of fleet-wide budgets: an exhaustive search of near states, and random walks to distant ones."""
 
 from __future__ import annotations
 
@@ -6,22 +6,27 @@
 from dataclasses import replace
 
 from thistletrail.leasing.model_checking.budget_faults import BudgetModel
-from thistletrail.leasing.model_checking.budget_properties import violation
+from thistletrail.leasing.model_checking.budget_properties import find_violation
 from thistletrail.leasing.model_checking.budget_transitions import BudgetTransition, EventKind, transitions
-from thistletrail.leasing.model_checking.budget_world import BudgetWorld, first_world
-from thistletrail.leasing.model_checking.search import CheckResult, Walks, search_all, walk_randomly
+from thistletrail.leasing.model_checking.budget_world import BudgetWorld, initial_world
+from thistletrail.leasing.model_checking.search import (
+    CheckResult,
+    Walks,
+    search_breadth_first,
+    walk_randomly,
+)
 
-# Events without which no fault of the fencing numbers shows.
+# The events that every violation by a fault of the fencing numbers needs.
 MESSAGE_EVENTS = frozenset((EventKind.SEND_REQUEST, EventKind.REQUEST_ARRIVES, EventKind.RESPONSE_ARRIVES))
-BUDGETS_WITH_COUNT = 2
+BUDGETS_WITH_COUNT = 2  # the smallest number of budgets that includes the count, which comes after the rate
 
 
 def check_near_states(
-    model: type[BudgetModel], gateways: int, budgets: int, depth: int, is_first_holding_all: bool
+    model: type[BudgetModel], gateways: int, budgets: int, depth: int, first_gateway_holds_all: bool
 ) -> CheckResult:
-    """Look at all states that so many events lead to, the nearest first."""
-    first = first_world(model, gateways, budgets, is_first_holding_all)
-    return search_all(first, transitions, violation, depth)
+    """Check all states within `depth` events of the initial one, nearest first."""
+    initial = initial_world(model, gateways, budgets, first_gateway_holds_all)
+    return search_breadth_first(initial, transitions, find_violation, depth)
 
 
 def check_walks(
@@ -31,29 +36,33 @@
     walks: Walks,
     kinds: Collection[EventKind] = (),
 ) -> CheckResult:
-    """Look at random walks, by turns from both first states; with `kinds`, by such events alone.
+    """Check random walks, alternately from each of the two initial states.
 
-    What takes many requests is hardly ever met among all other events.
+    If `kinds` is not empty, only events of these kinds occur: among all events, a walk rarely reaches a state
+    that takes many requests.
     """
 
-    def first(number: int) -> BudgetWorld:
-        return first_world(model, gateways, budgets, number % 2 == 0)
+    def initial_of_walk(walk_number: int) -> BudgetWorld:
+        return initial_world(model, gateways, budgets, walk_number % 2 == 0)
 
-    def chosen(world: BudgetWorld) -> Iterator[BudgetTransition]:
-        return (step for step in transitions(world) if not kinds or step.kind in kinds)
+    def transitions_of_kinds(world: BudgetWorld) -> Iterator[BudgetTransition]:
+        return (transition for transition in transitions(world) if not kinds or transition.kind in kinds)
 
-    return walk_randomly(first, chosen, violation, walks)
+    return walk_randomly(initial_of_walk, transitions_of_kinds, find_violation, walks)
 
 
 def check_all_walks(model: type[BudgetModel], gateways: int, budgets: int, walks: Walks) -> CheckResult:
-    """Look at walks by all events, as many by messages alone, and as many by messages and openings."""
+    """Check `walks` by all events, as many by messages only, and as many by messages and openings.
+
+    It stops after the walks that find a violation. The result's number of states is the sum.
+    """
     states = 0
-    for count, kinds in (
+    for budget_count, kinds in (
         (budgets, frozenset[EventKind]()),
         (budgets, MESSAGE_EVENTS),
         (BUDGETS_WITH_COUNT, MESSAGE_EVENTS | {EventKind.OPEN}),
     ):
-        result = check_walks(model, gateways, count, walks, kinds)
+        result = check_walks(model, gateways, budget_count, walks, kinds)
         states += result.states
         if result.violation:
             break
--- a/thistletrail/leasing/model_checking/command.py
+++ b/thistletrail/leasing/model_checking/command.py
@@ -1,4 +1,4 @@
-"""The command `check`: model checking of both state machines, or of the faults planted into them."""
+"""The command `check`: checks the models of both state machines, or those with planted faults."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from thistletrail.leasing.model_checking.search import CheckResult, Walks
 from thistletrail.leasing.model_checking.work_faults import WorkModel
 
-EXIT_VIOLATION = 3  # a property does not hold, or a planted fault is not found
-WALK_EVENTS = 40  # of a walk of the budgets
+EXIT_VIOLATION = 3  # exit code: a property is violated, or a planted fault is not found
+BUDGET_WALK_EVENTS = 40
 WORK_WALK_EVENTS = 30
-PLANTED_WALKS = 5_000
-PLANTED_WALK_EVENTS = 30
+PLANTED_BUDGET_WALKS = 5_000
+PLANTED_BUDGET_WALK_EVENTS = 30
 PLANTED_WORK_WALKS = 20_000
 PLANTED_WORK_WALK_EVENTS = 25
 
@@ -61,71 +61,80 @@
 
 
 def planted_faults_are_found(seed: int) -> bool:
-    """Check each planted fault, print how it is found, and return whether all are."""
+    """Check each planted fault, print how it is found, and return whether all are found."""
     results = []
     for budget_fault in budget_faults.PLANTED_FAULTS:
-        result = budgets.check_all_walks(budget_fault, 2, 1, Walks(PLANTED_WALKS, PLANTED_WALK_EVENTS, seed))
-        click.echo(f"{budget_fault.name}: {found_text(result)}")
+        result = budgets.check_all_walks(
+            budget_fault, 2, 1, Walks(PLANTED_BUDGET_WALKS, PLANTED_BUDGET_WALK_EVENTS, seed)
+        )
+        click.echo(f"{budget_fault.name}: {describe_finding(result)}")
         results.append(result)
     for work_fault in work_faults.PLANTED_FAULTS:
         result = work.check_walks(work_fault, 3, Walks(PLANTED_WORK_WALKS, PLANTED_WORK_WALK_EVENTS, seed))
-        click.echo(f"work leases, {work_fault.name}: {found_text(result)}")
+        click.echo(f"work leases, {work_fault.name}: {describe_finding(result)}")
         results.append(result)
     return all(result.violation for result in results)
 
 
-def found_text(result: CheckResult) -> str:
-    """Return how a planted fault was found."""
+def describe_finding(result: CheckResult) -> str:
+    """Return the violation by which a planted fault was found, with the number of states up to it."""
     return f"{result.violation or 'not found'} after {result.states} states"
 
 
 def check_budgets(gateways: int, budget_count: int, depth: int, walks: int, seed: int) -> list[CheckResult]:
-    """Check fleet-wide budgets, and print what was found."""
-    fleet = f"{gateways} gateways, {budget_count} budgets"
-    results = check_both_firsts(
-        fleet,
+    """Check the model of fleet-wide budgets, print the results, and return them."""
+    title = f"{gateways} gateways, {budget_count} budgets"
+    results = check_both_initial_states(
+        title,
         "nobody holds anything",
-        lambda is_first_holding_all: budgets.check_near_states(
-            BudgetModel, gateways, budget_count, depth, is_first_holding_all
+        lambda first_gateway_holds_all: budgets.check_near_states(
+            BudgetModel, gateways, budget_count, depth, first_gateway_holds_all
         ),
     )
     if walks:
-        result = budgets.check_all_walks(BudgetModel, gateways, budget_count, Walks(walks, WALK_EVENTS, seed))
-        report(f"random walks: {result.states} states", result)
+        result = budgets.check_all_walks(
+            BudgetModel, gateways, budget_count, Walks(walks, BUDGET_WALK_EVENTS, seed)
+        )
+        print_result(f"random walks: {result.states} states", result)
         results.append(result)
     return results
 
 
 def check_work(gateways: int, depth: int, walks: int, seed: int) -> list[CheckResult]:
-    """Check work leases, and print what was found."""
-    results = check_both_firsts(
+    """Check the model of work leases, print the results, and return them."""
+    results = check_both_initial_states(
         f"work leases, {gateways} gateways",
         "nobody owns anything",
-        lambda is_first_holding_all: work.check_near_states(WorkModel, gateways, depth, is_first_holding_all),
+        lambda first_gateway_holds_all: work.check_near_states(
+            WorkModel, gateways, depth, first_gateway_holds_all
+        ),
     )
     if walks:
         result = work.check_walks(WorkModel, gateways, Walks(2 * walks, WORK_WALK_EVENTS, seed))
-        report(f"work leases, random walks: {result.states} states", result)
+        print_result(f"work leases, random walks: {result.states} states", result)
         results.append(result)
     return results
 
 
-def check_both_firsts(
-    title: str, nothing_owned: str, check: Callable[[bool], CheckResult]
+def check_both_initial_states(
+    title: str, nothing_held_text: str, check: Callable[[bool], CheckResult]
 ) -> list[CheckResult]:
-    """Check the states near to both first ones, and print what was found."""
+    """Check the states near both initial states, print the results, and return them."""
     results = []
-    for is_first_holding_all in (False, True):
+    for first_gateway_holds_all in (False, True):
         began_s = time.process_time()
-        result = check(is_first_holding_all)
+        result = check(first_gateway_holds_all)
         elapsed_s = time.process_time() - began_s
-        where = "the first gateway holds all" if is_first_holding_all else nothing_owned
-        report(f"{title}, {where}: {result.states} states to depth {result.depth}, {elapsed_s:.1f} s", result)
+        initial_state = "the first gateway holds all" if first_gateway_holds_all else nothing_held_text
+        print_result(
+            f"{title}, {initial_state}: {result.states} states to depth {result.depth}, {elapsed_s:.1f} s",
+            result,
+        )
         results.append(result)
     return results
 
 
-def report(title: str, result: CheckResult) -> None:
+def print_result(title: str, result: CheckResult) -> None:
     """Print a result, with the trace of a violation."""
     click.echo(title + (f"; broken: {result.violation}" if result.violation else ""))
     for event in result.trace:
--- a/thistletrail/leasing/model_checking/search.py
+++ b/thistletrail/leasing/model_checking/search.py
@@ -1,4 +1,4 @@
-"""Search through the states of a model: exhaustive to a depth, or by random walks."""
+"""Search of a model's states: exhaustive to a depth, or by random walks."""
 
 from __future__ import annotations
 
@@ -21,25 +21,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition(Generic[W]):
-    """One event that may come next: its description, and what makes the state that it leads to."""
+    """An event that can occur in a state.
+
+    Attributes:
+        event: The description of the event, as printed in a trace.
+        apply: Returns the state after the event; the state before it stays as it is.
+    """
 
     event: str
     apply: Callable[[], W]
 
 
 Transitions = Callable[[W], Iterable[Transition[W]]]
-Violation = Callable[[W], str]  # what does not hold in a state; empty where all does
+# Returns a description of the property that a state violates; empty if all properties hold.
+ViolationFinder = Callable[[W], str]
 
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """What a search has found.
+    """The result of a search.
 
     Attributes:
-        states: How many states were seen.
-        depth: To how many events from the first state.
-        violation: What does not hold in the last state of `trace`; empty if nothing was found.
-        trace: The events that lead to it.
+        states: The number of states checked: distinct ones in an exhaustive search, steps in random walks.
+        depth: The number of events from the initial state that were searched, or that led to the violation.
+        violation: The property that the last state of `trace` violates; empty if no violation was found.
+        trace: The events that lead from the initial state to the violation.
     """
 
     states: int
@@ -48,29 +54,31 @@
     trace: tuple[str, ...] = ()
 
 
-def search_all(first: W, transitions: Transitions[W], violation: Violation[W], depth: int) -> CheckResult:
-    """Look at all states that so many events lead to, the nearest first."""
-    seen = {first.key()}
-    queue: deque[tuple[W, tuple[str, ...]]] = deque([(first, ())])
+def search_breadth_first(
+    initial: W, transitions: Transitions[W], find_violation: ViolationFinder[W], depth: int
+) -> CheckResult:
+    """Check all states within `depth` events of the initial one, nearest first, up to the first violation."""
+    seen = {initial.key()}
+    queue: deque[tuple[W, tuple[str, ...]]] = deque([(initial, ())])
     while queue:
         world, trace = queue.popleft()
         if len(trace) == depth:
             continue
         for transition in transitions(world):
-            found = transition.apply()
-            found_trace = (*trace, transition.event)
-            if broken := violation(found):
-                return CheckResult(len(seen), len(found_trace), broken, found_trace)
-            key = found.key()
+            successor = transition.apply()
+            successor_trace = (*trace, transition.event)
+            if violation := find_violation(successor):
+                return CheckResult(len(seen), len(successor_trace), violation, successor_trace)
+            key = successor.key()
             if key not in seen:
                 seen.add(key)
-                queue.append((found, found_trace))
+                queue.append((successor, successor_trace))
     return CheckResult(len(seen), depth)
 
 
 @dataclass(frozen=True, slots=True)
 class Walks:
-    """Random walks: how many, of how many events each, and the seed of their generator."""
+    """The number of random walks, the number of events in each, and the seed of the random generator."""
 
     count: int
     length: int
@@ -78,16 +86,19 @@
 
 
 def walk_randomly(
-    first: Callable[[int], W],
+    initial_of_walk: Callable[[int], W],
     transitions: Transitions[W],
-    violation: Violation[W],
+    find_violation: ViolationFinder[W],
     walks: Walks,
 ) -> CheckResult:
-    """Look at random walks, each from the first state of its number."""
+    """Check the states of random walks up to the first violation.
+
+    `initial_of_walk` returns the initial state of a walk by the walk's number.
+    """
     random_source = random.Random(walks.seed)
     states = 0
-    for number in range(walks.count):
-        world = first(number)
+    for walk_number in range(walks.count):
+        world = initial_of_walk(walk_number)
         trace: tuple[str, ...] = ()
         for _ in range(walks.length):
             choices = list(transitions(world))
@@ -97,6 +108,6 @@
             world = transition.apply()
             trace = (*trace, transition.event)
             states += 1
-            if broken := violation(world):
-                return CheckResult(states, len(trace), broken, trace)
+            if violation := find_violation(world):
+                return CheckResult(states, len(trace), violation, trace)
     return CheckResult(states, walks.length)
--- a/thistletrail/leasing/model_checking/work_faults.py
+++ b/thistletrail/leasing/model_checking/work_faults.py
@@ -1,6 +1,6 @@
-"""The model of work leases that is checked, and the faults that are planted into it.
+"""The model of work leases, and the faults that are planted into it to test the check.
 
-Each planted fault is a subclass of `WorkModel`, whose docstring says what is wrong with it.
+Each planted fault is a subclass of `WorkModel`, whose docstring describes the fault. Its `name` is printed.
 """
 
 from __future__ import annotations
@@ -16,20 +16,28 @@
 
 
 class WorkModel:
-    """What is checked: the state machines as they are."""
+    """The state machines that are checked, without a planted fault.
+
+    Attributes:
+        name: The name of the planted fault in the command's output.
+        state_type: The state machine of the lease service.
+        holder_type: The state machine of a gateway.
+        begins_before_write: Whether an item is journaled before a gateway writes it to a server.
+        persists_before_answer: Whether an outcome is journaled before the client is answered.
+    """
 
     name = "as it is"
     state_type: type[WorkState] = WorkState
     holder_type: type[WorkHolder] = WorkHolder
-    begins_before_write = True  # an item is journaled before it is written
-    persists_before_answer = True  # an outcome is journaled before the client is answered
+    begins_before_write = True
+    persists_before_answer = True
 
 
 class StateWithoutFence(WorkState):
-    """Takes every operation for the owner's, under the present fencing number."""
+    """Treats every operation as one of the item's owner under the current fencing number."""
 
     def apply_operation(self, holder: str, operation: WorkOperation, now_ms: int) -> OperationResult:
-        """Apply an operation under the present fencing number."""
+        """Apply an operation as if the owner had sent it under the current fencing number."""
         item = self.store.items.get(operation.name)
         if item is not None and not isinstance(operation, BeginWork):
             operation = msgspec.structs.replace(operation, fence=item.fence)
@@ -39,47 +47,47 @@
 
 
 class FenceIgnored(WorkModel):
-    """Operations are carried out for whoever sends them, under whatever fencing number."""
+    """The lease service carries out operations of any sender under any fencing number."""
 
     name = "no fence"
     state_type = StateWithoutFence
 
 
-class HolderLookingLate(WorkHolder):
-    """Does not look at its lease."""
+class HolderIgnoringLeaseEnd(WorkHolder):
+    """Does not check whether its lease has ended."""
 
     def owns(self, name: str, fence: int, now_ms: int) -> bool:
-        """Return whether an item was owned, whether or not the lease lasts."""
+        """Return whether the item is owned under this fencing number, even if the lease has ended."""
         return self.fences.get(name) == fence
 
     def drop_expired(self, now_ms: int) -> list[str]:
-        """Drop nothing."""
+        """Return no items: none is dropped when the lease ends."""
         return []
 
 
 class LeaseCheckedAfterWrite(WorkModel):
-    """A gateway looks at its lease after the write, and not before it."""
+    """A gateway checks its lease after the write, and not before it."""
 
     name = "the check after the write"
-    holder_type = HolderLookingLate
+    holder_type = HolderIgnoringLeaseEnd
 
 
-class ImpatientMembership(Membership):
-    """Counts half of a lease."""
+class MembershipExpiringEarly(Membership):
+    """Counts only half of a lease."""
 
     def is_alive(self, holder: str, now_ms: int) -> bool:
-        """Return whether half of the lease lasts."""
+        """Return whether a holder is still in the first half of its lease."""
         return super().is_alive(holder, now_ms + LEASE_MS // 2)
 
 
 class StateTakingOverEarly(WorkState):
-    """Takes an owner for lost after half of its lease."""
+    """Treats an owner as lost after half of its lease."""
 
-    membership_type = ImpatientMembership
+    membership_type = MembershipExpiringEarly
 
 
 class TakeoverByTimeout(WorkModel):
-    """An owner counts as lost after a silence that is shorter than its lease."""
+    """An owner counts as lost if it sends nothing for a time that is shorter than its lease."""
 
     name = "takeover by a time-out"
     state_type = StateTakingOverEarly
@@ -93,14 +101,14 @@
 
 
 class WriteBeforeBegin(WorkModel):
-    """An item is written before it is journaled."""
+    """A gateway writes an item to a server before the item is journaled."""
 
     name = "the write before the begin"
     begins_before_write = False
 
 
 class StateHidingLocation(WorkState):
-    """Says nothing of where an item may have run."""
+    """Does not report where an item may have run."""
 
     def begin(self, holder: str, operation: BeginWork, now_ms: int) -> OperationResult:
         """Return a result without a location."""
@@ -108,13 +116,13 @@
         return OperationResult(status=result.status, fence=result.fence, value=result.value)
 
     def unaccepted_transfers(self, member: Member, now_ms: int) -> list[TransferredWork]:
-        """Return items without a location."""
-        found = super().unaccepted_transfers(member, now_ms)
-        return [msgspec.structs.replace(item, server="", place="") for item in found]
+        """Return the unaccepted transfers without locations."""
+        transfers = super().unaccepted_transfers(member, now_ms)
+        return [msgspec.structs.replace(item, server="", place="") for item in transfers]
 
 
 class ZoneNotReported(WorkModel):
-    """Whoever goes on with an item does not learn where it may have run."""
+    """A gateway that continues an item does not learn where it may have run."""
 
     name = "the zone not reported"
     state_type = StateHidingLocation
--- a/thistletrail/leasing/model_checking/work_properties.py
+++ b/thistletrail/leasing/model_checking/work_properties.py
@@ -1,15 +1,18 @@
 """What must hold in every state of the model of work leases.
 
-What may not be repeated has run once at most; what is keyed has run in one zone; two gateways are never free
-to write the same item; and a client that has an outcome could ask any gateway for it, and would get the same.
+- The unsafe item has run at most once.
+- The keyed item has run in one zone only.
+- At most one gateway may write an item at any time.
+- The lease service has persisted each outcome that a client has received, so the client would get the same
+  outcome from any gateway.
 """
 
 from __future__ import annotations
 
 from thistletrail.leasing.model_checking.work_world import (
-    EFFECTS,
-    KEYED,
-    UNSAFE,
+    EFFECT_BY_ITEM,
+    KEYED_ITEM,
+    UNSAFE_ITEM,
     GatewayProcess,
     ProgressState,
     WorkWorld,
@@ -17,41 +20,41 @@
 from thistletrail.leasing.work_records import WorkOutcome
 
 
-def violation(world: WorkWorld) -> str:
-    """Return what does not hold in a state; empty where all does."""
-    return repeated(world) or two_writers(world) or outcome_not_persisted(world)
+def find_violation(world: WorkWorld) -> str:
+    """Return a description of the property that a state violates; empty if all properties hold."""
+    return find_repetition(world) or find_second_writer(world) or find_unpersisted_outcome(world)
 
 
-def repeated(world: WorkWorld) -> str:
-    """Check that nothing has run once too often."""
-    if len(world.zones_run.get(UNSAFE, ())) > 1:
+def find_repetition(world: WorkWorld) -> str:
+    """Return a violation if an item has run more often, or in more zones, than its effect allows."""
+    if len(world.execution_zones.get(UNSAFE_ITEM, ())) > 1:
         return "the unsafe item has run twice"
-    if len(set(world.zones_run.get(KEYED, ()))) > 1:
+    if len(set(world.execution_zones.get(KEYED_ITEM, ()))) > 1:
         return "the keyed item has run in two zones"
     return ""
 
 
-def two_writers(world: WorkWorld) -> str:
-    """Check that one gateway at most may write each item."""
-    for name in EFFECTS:
-        writers = sum(is_free_to_write(world, gateway, name) for gateway in world.gateways)
+def find_second_writer(world: WorkWorld) -> str:
+    """Return a violation if more than one gateway may write the same item."""
+    for name in EFFECT_BY_ITEM:
+        writers = sum(may_write_now(world, gateway, name) for gateway in world.gateways)
         if writers > 1:
             return f"{writers} gateways may write the {name} item"
     return ""
 
 
-def is_free_to_write(world: WorkWorld, gateway: GatewayProcess, name: str) -> bool:
+def may_write_now(world: WorkWorld, gateway: GatewayProcess, name: str) -> bool:
     """Return whether a gateway may write an item now."""
-    progress = gateway.progress_of.get(name)
+    progress = gateway.progress_by_item.get(name)
     if progress is None or not gateway.is_alive or progress.state is not ProgressState.CONFIRMED:
         return False
     return gateway.holder.owns(name, progress.fence, world.now_ms)
 
 
-def outcome_not_persisted(world: WorkWorld) -> str:
-    """Check that each outcome that a client has is kept."""
-    for name in world.answered:
-        item = world.state.store.items.get(name)
+def find_unpersisted_outcome(world: WorkWorld) -> str:
+    """Return a violation if a client has received an outcome that the lease service has not persisted."""
+    for name in world.answered_items:
+        item = world.service.store.items.get(name)
         if item is None or item.outcome != WorkOutcome.SERVED:
             return f"the {name} item was answered, and its outcome is not kept"
     return ""
--- a/thistletrail/leasing/model_checking/work_world.py
+++ b/thistletrail/leasing/model_checking/work_world.py
@@ -1,6 +1,7 @@
 """One state of the model of work leases: time, the lease service with its journal, gateways and messages.
 
-There are two zones with a server each, and two work items: one keyed, one that may not be repeated.
+There are two zones with one server each, and two work items: one keyed, and one unsafe, which must not run
+twice.
 """
 
 from __future__ import annotations
@@ -28,28 +29,28 @@
 
 START_MS = 100_000
 FIRST_FENCE = 1000
-LEFT_MS = 6000  # for which each item is wanted
-WINDOW_MS = 20_000
+REMAINING_MS = 6000  # how long the result of an item is wanted
+IDEMPOTENCY_WINDOW_MS = 20_000
 ZONES = ("east", "west")
-KEYED = "keyed"
-UNSAFE = "unsafe"
-EFFECTS = {KEYED: WorkEffect.KEYED, UNSAFE: WorkEffect.UNSAFE}  # by name of the item
+KEYED_ITEM = "keyed"
+UNSAFE_ITEM = "unsafe"
+EFFECT_BY_ITEM = {KEYED_ITEM: WorkEffect.KEYED, UNSAFE_ITEM: WorkEffect.UNSAFE}
 
 
 class ProgressState(enum.Enum):
-    """How far a gateway is with an item."""
+    """How far a gateway has got with an item."""
 
-    REPORTED = 1  # an attempt is reported to the lease service, and not yet confirmed
-    CONFIRMED = 2  # the attempt may be written
+    REPORTED = 1  # an attempt is reported to the lease service, which has not confirmed it yet
+    CONFIRMED = 2  # the attempt may be sent to a server
     WRITTEN = 3
-    VALUE_ARRIVED = 4  # and is not yet kept by the lease service
+    VALUE_ARRIVED = 4  # the lease service has not persisted the value yet
     VALUE_PERSISTED = 5  # the client may be answered
     OVER = 6
 
 
 @dataclass
 class Progress:
-    """What a gateway does with one item; `never_ran` says that no attempt of it has run."""
+    """A gateway's progress with one item; `never_ran` is True if no attempt of it can have run."""
 
     fence: int = 0
     place: str = ""
@@ -64,99 +65,110 @@
 
     holder: WorkHolder
     is_alive: bool = True
-    progress_of: dict[str, Progress] = field(default_factory=dict)
+    progress_by_item: dict[str, Progress] = field(default_factory=dict)
 
     @property
     def zone(self) -> str:
-        """The zone that it sends an item to first."""
+        """The zone to which the gateway sends an item first."""
         return ZONES[self.holder.gateway % 2]
 
     @property
     def label(self) -> str:
-        """What events call it."""
+        """The name of this incarnation in the descriptions of events."""
         return f"gateway {self.holder.gateway} (incarnation {self.holder.incarnation})"
 
     def copy(self) -> GatewayProcess:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable object."""
         holder = copy.copy(self.holder)
         holder.fences = dict(holder.fences)
         holder.queue = list(holder.queue)
         holder.accepted_fences = list(holder.accepted_fences)
         holder.withdrawn = set(holder.withdrawn)
-        progress_of = {name: copy.copy(progress) for name, progress in self.progress_of.items()}
-        return GatewayProcess(holder, self.is_alive, progress_of)
+        progress_by_item = {name: copy.copy(progress) for name, progress in self.progress_by_item.items()}
+        return GatewayProcess(holder, self.is_alive, progress_by_item)
 
 
 @dataclass
 class WorkWorld:
-    """One state."""
+    """One state of the model.
+
+    Attributes:
+        model: The state machines that are checked.
+        now_ms: The present time.
+        service: The lease service's state machine.
+        journal: The records that the lease service has written.
+        gateways: All incarnations of gateways that were ever started.
+        messages: All messages that were sent; each may arrive any number of times.
+        execution_zones: The zone of each execution of an item, by the item's name.
+        answered_items: The names of the items whose client has received the outcome, sorted.
+    """
 
     model: type[WorkModel]
     now_ms: int
-    state: WorkState
+    service: WorkState
     journal: list[WorkRecord]
     gateways: list[GatewayProcess]
     messages: tuple[WorkRequest | WorkResponse, ...] = ()
-    zones_run: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by item: of each execution
-    answered: tuple[str, ...] = ()  # items whose client has the outcome
+    execution_zones: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    answered_items: tuple[str, ...] = ()
 
     def copy(self) -> WorkWorld:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable object."""
         return replace(
             self,
-            state=copy_state(self.state),
+            service=copy_service(self.service),
             journal=list(self.journal),
             gateways=[gateway.copy() for gateway in self.gateways],
-            zones_run=dict(self.zones_run),
+            execution_zones=dict(self.execution_zones),
         )
 
     def key(self) -> Hashable:
         """Return a value that is equal for equal states."""
-        membership = self.state.membership
+        membership = self.service.membership
         gateways = [
-            (gateway.is_alive, vars(gateway.holder), sorted(gateway.progress_of.items()))
+            (gateway.is_alive, vars(gateway.holder), sorted(gateway.progress_by_item.items()))
             for gateway in self.gateways
         ]
         return (
             self.now_ms,
-            tuple(sorted(self.zones_run.items())),
-            self.answered,
+            tuple(sorted(self.execution_zones.items())),
+            self.answered_items,
             frozenset(map(repr, self.messages)),
-            repr(sorted(self.state.store.items.items())),
+            repr(sorted(self.service.store.items.items())),
             repr(sorted(membership.members.items())),
             repr(sorted(membership.latest_incarnations.items())),
             repr(gateways),
         )
 
-    def note_answered(self, name: str) -> None:
-        """A client has the outcome of an item."""
-        self.answered = tuple(sorted({*self.answered, name}))
+    def record_answered(self, name: str) -> None:
+        """Record that a client has received the outcome of an item."""
+        self.answered_items = tuple(sorted({*self.answered_items, name}))
 
 
-def copy_state(state: WorkState) -> WorkState:
-    """Return a copy of the lease service's state."""
-    copied = copy.copy(state)
-    copied.store = copy.copy(state.store)
-    copied.store.items = {name: copy.copy(item) for name, item in state.store.items.items()}
-    copied.store.item_count_by_customer = dict(state.store.item_count_by_customer)
-    copied.membership = copy.copy(state.membership)
+def copy_service(service: WorkState) -> WorkState:
+    """Return a copy of the lease service's state machine."""
+    copied = copy.copy(service)
+    copied.store = copy.copy(service.store)
+    copied.store.items = {name: copy.copy(item) for name, item in service.store.items.items()}
+    copied.store.item_count_by_customer = dict(service.store.item_count_by_customer)
+    copied.membership = copy.copy(service.membership)
     copied.membership.members = {
         name: replace(member, unacknowledged=dict(member.unacknowledged))
-        for name, member in state.membership.members.items()
+        for name, member in service.membership.members.items()
     }
-    copied.membership.latest_incarnations = dict(state.membership.latest_incarnations)
-    copied.counters = replace(state.counters, ended=state.counters.ended.copy())
+    copied.membership.latest_incarnations = dict(service.membership.latest_incarnations)
+    copied.counters = replace(service.counters, ended=service.counters.ended.copy())
     copied.records = []
     return copied
 
 
-def first_world(model: type[WorkModel], gateways: int, is_first_holding_all: bool) -> WorkWorld:
-    """Return a first state: all gateways are known, and nobody owns anything, or the first owns all."""
-    state = model.state_type(FIRST_FENCE, LEASE_MS)
+def initial_world(model: type[WorkModel], gateways: int, first_gateway_holds_all: bool) -> WorkWorld:
+    """Return an initial state: all gateways have leases, and the first one owns all items, or none does."""
+    service = model.state_type(FIRST_FENCE, LEASE_MS)
     processes = [GatewayProcess(model.holder_type(gateway, 1)) for gateway in range(gateways)]
-    world = WorkWorld(model, START_MS, state, [], processes)
-    if is_first_holding_all:
-        for name in EFFECTS:
+    world = WorkWorld(model, START_MS, service, [], processes)
+    if first_gateway_holds_all:
+        for name in EFFECT_BY_ITEM:
             request_item(processes[0], name, 0)
     for gateway in processes:
         apply_response(world, gateway, serve(world, gateway.holder.next_request(world.now_ms)))
@@ -164,18 +176,18 @@
 
 
 def request_item(gateway: GatewayProcess, name: str, request_number: int) -> None:
-    """A client requests an item from a gateway."""
+    """Request an item from a gateway, as a client does."""
     place = gateway.zone
-    gateway.progress_of[name] = Progress(place=place)
+    gateway.progress_by_item[name] = Progress(place=place)
     gateway.holder.enqueue(
         BeginWork(
             name=name,
             request_id=f"{name}/{request_number}",
             digest="d",
             customer="c",
-            effect=EFFECTS[name],
-            left_ms=LEFT_MS,
-            window_ms=WINDOW_MS,
+            effect=EFFECT_BY_ITEM[name],
+            left_ms=REMAINING_MS,
+            window_ms=IDEMPOTENCY_WINDOW_MS,
             request=b"r",
             server=f"s-{place}",
             place=place,
@@ -184,22 +196,22 @@
 
 
 def serve(world: WorkWorld, request: WorkRequest) -> WorkResponse:
-    """The lease service handles a request, and journals what it decides."""
-    decision = world.state.handle(request, world.now_ms)
+    """Return the lease service's response to a request, and journal its decision."""
+    decision = world.service.handle(request, world.now_ms)
     world.journal += decision.records
     return decision.response
 
 
 def apply_response(world: WorkWorld, gateway: GatewayProcess, response: WorkResponse) -> None:
-    """A response reaches its gateway."""
+    """Apply a response at its gateway."""
     applied = gateway.holder.on_response(response, world.now_ms)
-    for one in applied.operations:
-        progress = gateway.progress_of.get(one.operation.name)
+    for entry in applied.operations:
+        progress = gateway.progress_by_item.get(entry.operation.name)
         if progress is not None:
-            apply_result(world, gateway, progress, one.operation, one.result)
+            apply_result(world, gateway, progress, entry.operation, entry.result)
     for item in applied.transferred:
         progress = Progress(fence=item.fence, place=item.place or gateway.zone, never_ran=not item.place)
-        gateway.progress_of[item.name] = progress
+        gateway.progress_by_item[item.name] = progress
         report_attempt(gateway, item.name, progress, progress.place, False)
 
 
@@ -210,7 +222,7 @@
     operation: WorkOperation,
     result: OperationResult,
 ) -> None:
-    """A gateway learns what became of one operation."""
+    """Apply the result of one operation at its gateway."""
     is_persisted = result.status == OperationStatus.PERSISTED
     if isinstance(operation, BeginWork):
         if progress.state is ProgressState.REPORTED:
@@ -235,26 +247,26 @@
     operation: BeginWork,
     result: OperationResult,
 ) -> None:
-    """A gateway learns whether an item is its own."""
+    """Apply the result of a begin at its gateway: the gateway owns the item, asks again, or is done."""
     if result.status == OperationStatus.PERSISTED:
         progress.fence = result.fence
         progress.state = ProgressState.CONFIRMED
         if result.place:
             progress.never_ran = False
-            if result.place != progress.place:  # it may have run in the other zone: it goes on there
+            if result.place != progress.place:  # it may have run in the other zone: continue there
                 report_attempt(gateway, operation.name, progress, result.place, False)
     elif result.status == OperationStatus.ELSEWHERE:
-        gateway.holder.enqueue(operation)  # it is requested again
+        gateway.holder.enqueue(operation)  # ask again
     else:
         progress.state = ProgressState.OVER
         if result.status == OperationStatus.ANSWERED:
-            world.note_answered(operation.name)
+            world.record_answered(operation.name)
 
 
 def report_attempt(
     gateway: GatewayProcess, name: str, progress: Progress, place: str, earlier_never_ran: bool
 ) -> None:
-    """A gateway reports another attempt before it is made."""
+    """Report another attempt to the lease service, before the gateway makes it."""
     progress.attempt_number += 1
     progress.place = place
     progress.state = ProgressState.REPORTED
@@ -271,6 +283,6 @@
 
 
 def drop_expired(world: WorkWorld, gateway: GatewayProcess) -> None:
-    """A gateway notices what it has lost as its lease has ended."""
+    """Mark the items as over that a gateway has lost because its lease has ended."""
     for name in gateway.holder.drop_expired(world.now_ms):
-        gateway.progress_of[name].state = ProgressState.OVER
+        gateway.progress_by_item[name].state = ProgressState.OVER
