--- a/thistletrail/leasing/model_checking/budget_transitions.py
+++ b/thistletrail/leasing/model_checking/budget_transitions.py
@@ -6,7 +6,8 @@
 - A gateway restarts. Its earlier incarnation, which may be suspended, stays in the model.
 - The lease service is killed and restarts with its journal.
 - The lease service is lost with its journal, and another one begins a new history.
-- The leader is suspended in the middle of a request, another takes over (leadership.py), and it resumes.
+- The leader is suspended in the middle of a request, another process takes over (leadership.py), and then the
+  suspended one resumes.
 """
 
 from __future__ import annotations
--- a/thistletrail/leasing/model_checking/budget_world.py
+++ b/thistletrail/leasing/model_checking/budget_world.py
@@ -21,7 +21,7 @@
 FIRST_FENCE = 1000
 FENCE_STEP_BETWEEN_HISTORIES = 1000
 DEMAND_PER_HOLDER = 5  # for each budget
-NEEDED_UNITS = 2  # at each gateway with an odd number
+NEEDED_UNITS = 2  # for waiting requests, at each gateway with an odd number
 
 
 @dataclass
@@ -36,8 +36,8 @@
         holders: All holders that were ever started, also those that were replaced.
         messages: All messages that were sent.
         spent_thousandths: Thousandths of units of the rate that holders have spent.
-        initial_thousandths: Thousandths of units of the rate that existed in the initial service.
-        start_ms: The time of the initial service.
+        initial_thousandths: Thousandths of units of the rate that existed in the initial state.
+        start_ms: The time of the initial state.
         journal_losses: How many times the lease service's journal was lost.
         was_taken_over: Whether another lease service has taken over from a suspended leader.
         request_count_by_holder: The number of requests that each holder has sent, by its index in `holders`.
--- a/thistletrail/leasing/model_checking/budgets.py
+++ b/thistletrail/leasing/model_checking/budgets.py
@@ -52,7 +52,7 @@
 
 
 def check_all_walks(model: type[BudgetModel], gateways: int, budgets: int, walks: Walks) -> CheckResult:
-    """Check `walks` by all events, as many by messages only, and as many by messages and openings.
+    """Check walks of all events, as many of message events only, and as many of messages and openings.
 
     It stops after the walks that find a violation. The result's number of states is the sum.
     """
