--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -26,7 +26,7 @@
 from thistletrail.simulation.clock import Clock
 from thistletrail.simulation.day import Day
 from thistletrail.simulation.scenario import Scenario
-from thistletrail.simulation.service import way_back
+from thistletrail.simulation.service import measure_recovery
 
 S = 1_000_000
 SMALL = Scenario(name="small", doors=3, length_s=4)
@@ -144,14 +144,14 @@
         )
         for at, worth, _ in calm
     ]
-    way = way_back(served, calm, 5 * S, 20 * S)
+    way = measure_recovery(served, calm, 5 * S, 20 * S)
     assert 3.8 <= way.full_s <= 4.0
     assert way.worst_second == 0.0 and 0.14 < way.lost < 0.18
-    assert way_back(calm, calm, 5 * S, 20 * S) == (type(way))(0.0, 1.0, 0.0)
+    assert measure_recovery(calm, calm, 5 * S, 20 * S) == (type(way))(0.0, 1.0, 0.0)
     never = [(at, worth, at < 5 * S) for at, worth, _ in calm]
-    assert way_back(never, calm, 5 * S, 20 * S).full_s is None
+    assert measure_recovery(never, calm, 5 * S, 20 * S).full_s is None
     # What is served beyond the calm twin does not make up for what was lost before.
-    assert way_back(served, calm, 10 * S, 20 * S).full_s == 0.0
+    assert measure_recovery(served, calm, 10 * S, 20 * S).full_s == 0.0
 
 
 def test_a_plan_from_a_file(tmp_path: Path) -> None:
--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -54,7 +54,7 @@
     WorkRequest,
     WorkResponse,
 )
-from thistletrail.simulation.ledger import Store
+from thistletrail.simulation.ledger import TokenBucket
 from thistletrail.write_ahead_log.record_file import CorruptFileError, WriteFailedError
 
 SECRET = "not for anybody else"
@@ -491,9 +491,9 @@
     """Return by how many units the spends exceeded one token bucket with the budget's rate and burst."""
     spent = [record["at"] for record in records if record["kind"] == "spent" and record["budget"] == budget]
     limits, worst = LIMITS[budget], 0.0
-    store = Store(limits.total / 1000, limits.burst, spent[0] * 1000 if spent else 0)
+    store = TokenBucket(limits.total / 1000, limits.burst, spent[0] * 1000 if spent else 0)
     for at in spent:
-        worst = min(worst, store.force(1.0, at * 1000))
+        worst = min(worst, store.overdraw(1.0, at * 1000))
     return -worst
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -20,11 +20,11 @@
 from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import Event, RequestArrived
 from thistletrail.simulation import scenario as scenarios
-from thistletrail.simulation.books import Books
+from thistletrail.simulation.books import Accounting
 from thistletrail.simulation.clock import MS, Clock, S
 from thistletrail.simulation.day import Day, play
 from thistletrail.simulation.errors import ModelError
-from thistletrail.simulation.ledger import Account, Store
+from thistletrail.simulation.ledger import Account, TokenBucket
 from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers, Trouble
 from thistletrail.simulation.search import draw
 from thistletrail.simulation.servers import ScanServer, Traits, Work
@@ -145,7 +145,7 @@
 def test_a_draining_server_finishes_and_takes_nothing_new() -> None:
     clock, one, seen = server()
     one.accept(work(clock, seen, 50), 0, 0)
-    one.draining = True
+    one.is_draining = True
     one.accept(work(clock, seen, 50), 0, 0)
     assert seen == [(0, "full")]
     clock.run(clock.now + S)
@@ -159,7 +159,7 @@
             one.accept(work(clock, seen, 50), 0, 0)
         waiting = work(clock, seen, 50)
         one.accept(waiting, 0, 0)
-        one.leave(waiting)
+        one.cancel(waiting)
         clock.run(clock.now + S)
         assert len(seen) == (4 if drops else 5)
 
@@ -176,20 +176,22 @@
 
 def test_a_cold_server_warms_and_one_sent_too_much_falls_over() -> None:
     clock, one, seen = server(cold=True, cold_from=(0.2, 0.2), cold_s=(10, 10))
-    assert one.warmth() == pytest.approx(0.2)
+    assert one.warm_up_share() == pytest.approx(0.2)
     clock.run(clock.now + 5 * S)
-    assert one.warmth() == pytest.approx(0.6)
+    assert one.warm_up_share() == pytest.approx(0.6)
     clock, one, seen = server(cold=True, cold_from=(0.2, 0.2), cold_s=(10, 10))
     sent = 0
-    while one.alive and sent < 200:  # 2.5 x 0.2 x 2 cores for 2 s is 2 s of work: forty of 50 ms, and slack
+    while (
+        one.is_alive and sent < 200
+    ):  # 2.5 x 0.2 x 2 cores for 2 s is 2 s of work: forty of 50 ms, and slack
         one.accept(work(clock, seen, 50), 7, 0)
         sent += 1
-    assert one.fallen and 40 <= sent <= 46
-    assert one.sent_by[7] == pytest.approx(sent * 50 * MS)
+    assert one.has_collapsed and 40 <= sent <= 46
+    assert one.work_by_gateway[7] == pytest.approx(sent * 50 * MS)
     clock, one, seen = server()  # a warm one turns away and stands
     for _ in range(200):
         one.accept(work(clock, seen, 50), 7, 0)
-    assert one.alive
+    assert one.is_alive
 
 
 def test_a_server_holds_so_many_connections_and_no_more() -> None:
@@ -215,7 +217,7 @@
 @options(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 2 * S), st.floats(0.1, 3)), max_size=40))
 def test_a_store_is_never_above_its_burst_nor_taken_below_nothing(steps: list[tuple[int, float]]) -> None:
-    store, now, taken = Store(4.0, 6.0, 0), 0, 0.0
+    store, now, taken = TokenBucket(4.0, 6.0, 0), 0, 0.0
     for wait, units in steps:
         now += wait
         taken += units * store.take(units, now)
@@ -225,11 +227,11 @@
 
 def test_a_ceiling_counts_what_is_beyond_the_quota_too() -> None:
     account = Account(1.0, 2.0, (2.0, 4.0, 1.0), 0)
-    inside = [account.send(1.0, 0) for _ in range(5)]
+    inside = [account.charge(1.0, 0) for _ in range(5)]
     assert inside == [True, True, False, False, False]
-    assert not account.broken()  # the slack, and what the rate gives in 150 ms
-    account.send(1.0, 0)
-    assert account.broken()
+    assert not account.is_ceiling_exceeded()  # the slack, and what the rate gives in 150 ms
+    account.charge(1.0, 0)
+    assert account.is_ceiling_exceeded()
 
 
 # --- runs ---
@@ -242,7 +244,7 @@
 def test_the_same_seed_gives_the_same_bytes_and_another_one_others() -> None:
     first, again, other = (play(SMALL, seed) for seed in (3, 3, 4))
     assert text(first) == text(again) != text(other)
-    assert first.books.ends["served"] > 100
+    assert first.books.results["served"] > 100
 
 
 @options(derandomize=True, deadline=None, max_examples=12)
@@ -255,22 +257,22 @@
     day = play(msgspec.structs.replace(found, length_s=short, troubles=troubles), number)
     books = day.books
     assert books.check() == []
-    assert not books.breaks, books.broken[:3]
-    assert sum(books.ends.values()) == books.tries >= books.asks
-    assert books.sent == sum(1 for _ in range(int(books.sent)))
+    assert not books.violation_counts, books.violations[:3]
+    assert sum(books.results.values()) == books.requests >= books.operations
+    assert books.units_sent == sum(1 for _ in range(int(books.units_sent)))
     gap = sum(books.offered.values()) - sum(books.earned.values())
     assert sum(books.lost.values()) == pytest.approx(gap, abs=1e-6)
     assert "unknown" not in books.by_cause(books.over)
 
 
 def test_sums_that_do_not_add_up_are_told() -> None:
-    books = Books(("a",), ("p",))
-    books.tries = 2
-    books.end_try("refused", "cap")
+    books = Accounting(("a",), ("p",))
+    books.requests = 2
+    books.end_request("refused", "cap")
     assert books.check() == ["tries that ended are not those that were begun"]
-    books.ends["refused"] += 1
+    books.results["refused"] += 1
     assert "refusals by cause do not add up to the tries refused" in books.check()
-    books.beyond = 1
+    books.units_beyond = 1
     books.offered[0, 0, 0] = 5.0
     assert len(books.check()) == 3
 
@@ -283,7 +285,7 @@
             return change(event, super().handle(now_us, event))
 
     monkeypatch.setattr("thistletrail.simulation.doors.PolicyEngine", Changed)
-    return set(play(scenario, 1).books.breaks)
+    return set(play(scenario, 1).books.violation_counts)
 
 
 def test_each_rule_that_a_module_breaks_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -353,9 +355,9 @@
 def test_a_dead_door_knows_nothing_and_its_clients_ask_again() -> None:
     killed = msgspec.structs.replace(SMALL, troubles=(Trouble(kind="kill_doors", at_s=1, part=0.5),))
     day = play(killed, 2)
-    assert day.books.ends["unreached"] > 0
-    assert [door.life for door in day.doors].count(1) == 1  # of three, two have died and are back
-    assert not day.books.breaks and all(door.alive for door in day.doors)
+    assert day.books.results["unreached"] > 0
+    assert [door.epoch for door in day.doors].count(1) == 1  # of three, two have died and are back
+    assert not day.books.violation_counts and all(door.is_alive for door in day.doors)
 
 
 @pytest.mark.parametrize(
@@ -384,7 +386,7 @@
 def test_each_trouble_changes_the_day_and_breaks_no_rule(kind: str) -> None:
     trouble = Trouble(kind=kind, at_s=0.5, for_s=2, part=0.4, size=0.8 if kind != "slow" else 6.0)
     day, usual = play(msgspec.structs.replace(SMALL, troubles=(trouble,)), 5), play(SMALL, 5)
-    assert not day.books.breaks and day.books.check() == []
+    assert not day.books.violation_counts and day.books.check() == []
     assert text(day) != text(usual)
 
 
@@ -392,9 +394,9 @@
     lost = Trouble(kind="zone_loss", at_s=1, for_s=2, part=0, size=0.9, zone=1)
     day = play(msgspec.structs.replace(SMALL, length_s=12, troubles=(lost,)), 1)
     back = [one for one in day.servers.values() if one.zone == 1]
-    assert back and all(one.alive and one.started_us == day.start_us + 3 * S for one in back)
+    assert back and all(one.is_alive and one.started_us == day.start_us + 3 * S for one in back)
     assert all(one.served > 0 for one in back)
-    assert not day.books.breaks
+    assert not day.books.violation_counts
 
 
 def test_the_intake_and_the_network_lose_messages_as_told() -> None:
@@ -412,5 +414,5 @@
     counts = []
     for factor in (1, 4):
         day = play(msgspec.structs.replace(SMALL, doors=4 * factor, servers=Servers(count=6 * factor)), 1)
-        counts.append(day.clock.calls / day.books.asks)
+        counts.append(day.clock.calls / day.books.operations)
     assert all(after < 1.5 * before for before, after in pairwise(counts))
--- a/tests/test_simulation_kept.py
+++ b/tests/test_simulation_kept.py
@@ -36,7 +36,7 @@
 def test_what_is_kept_runs_in_one_zone_and_breaks_no_rule(plays: dict[bool, list[Day]]) -> None:
     assert sum(day.books.zones for day in plays[False]) > 0
     assert sum(day.books.zones for day in plays[True]) == 0
-    assert not [day.books.breaks for day in plays[True] if day.books.breaks]
+    assert not [day.books.violation_counts for day in plays[True] if day.books.violation_counts]
     assert all(day.result()["sums"] == [] for day in plays[True])
 
 
--- a/tests/test_simulation_leased.py
+++ b/tests/test_simulation_leased.py
@@ -37,9 +37,9 @@
 
 def test_doors_die_and_are_granted_parts_anew_and_no_ceiling_is_passed(plays: list[Day]) -> None:
     for day in plays:
-        assert day.books.breaks == {} and day.result()["sums"] == []
-        assert day.leases.asks > 100
-        incarnations = {held.holder.incarnation for held in day.leases.held.values()}
+        assert day.books.violation_counts == {} and day.result()["sums"] == []
+        assert day.leases.renewals > 100
+        incarnations = {held.holder.incarnation for held in day.leases.holders.values()}
         assert len(incarnations) > 1  # some have started again
         budgets = day.leases.state.budgets
         assert budgets and {name.split("/")[2] for name in budgets} == {"2"}  # the plan that has ceilings
@@ -50,7 +50,7 @@
 def test_the_same_seed_is_the_same_day_and_off_there_is_no_steward(plays: list[Day]) -> None:
     assert days.play(FLEET, 1).result() == plays[0].result()
     fixed = days.play(msgspec.structs.replace(FLEET, leased=False), 1)
-    assert fixed.leases.asks == 0 and not fixed.leases.held
+    assert fixed.leases.renewals == 0 and not fixed.leases.holders
 
 
 def test_a_steward_that_divides_more_than_there_is_passes_ceilings(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -58,7 +58,9 @@
     monkeypatch.setattr(
         "thistletrail.leasing.budget_state.divisible_total", lambda limits, *_: 8 * limits.total
     )
-    assert any("a ceiling was passed" in days.play(FLEET, seed).books.breaks for seed in range(1, 5))
+    assert any(
+        "a ceiling was passed" in days.play(FLEET, seed).books.violation_counts for seed in range(1, 5)
+    )
 
 
 def test_pairs_of_fixed_parts_and_leases_are_a_command(tmp_path: Path) -> None:
@@ -85,7 +87,7 @@
     )
     leased = msgspec.structs.replace(plain, leased_quotas=True)
     words, leases = days.play(plain, seed), days.play(leased, seed)
-    assert not leases.books.breaks and leases.books.check() == []
+    assert not leases.books.violation_counts and leases.books.check() == []
     assert words.prices()["over_quota"] > 0 and leases.prices()["over_quota"] == 0
     kinds = {name.split("/")[0] for name in leases.leases.state.budgets}
     assert kinds == {"ceiling", "quota"}
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -62,8 +62,6 @@
     "thistletrail/fault_injection/soak.py": 11,
     "thistletrail/fault_injection/world.py": 1,
     "thistletrail/simulation/__main__.py": 3,
-    "thistletrail/simulation/kept.py": 3,
-    "thistletrail/simulation/leased.py": 4,
     "thistletrail/simulation/scenario.py": 2,
 }
 
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -18,7 +18,7 @@
 from thistletrail.fault_injection.world import World
 from thistletrail.gateway.snapshot_store import MAX_AGE_S
 from thistletrail.simulation.clock import MS, Clock, S
-from thistletrail.simulation.ledger import Account, Store
+from thistletrail.simulation.ledger import Account, TokenBucket
 
 NEVER = 1 << 62
 RUN = ("served", "error", "gone", "lost", "silent")  # ends of attempts that may have run
@@ -288,7 +288,7 @@
         account = found.setdefault(
             record["customer"], Account(plan.rate, plan.burst, plan.ceiling, record["at"])
         )
-        units[record["plan"]].append((record["at"], account.send(1.0, record["at"])))
+        units[record["plan"]].append((record["at"], account.charge(1.0, record["at"])))
     return found, units
 
 
@@ -315,10 +315,10 @@
         Violation(
             "ceilings",
             seen.by["came"][-1]["at"],
-            f"customer {name}: {-account.lowest:.1f} units beyond its ceiling, {account.slack:g} at most",
+            f"customer {name}: {-account.min_level:.1f} units beyond its ceiling, {account.slack:g} at most",
         )
         for name, account in stores.items()
-        if account.broken()
+        if account.is_ceiling_exceeded()
     ]
     return found
 
@@ -336,8 +336,8 @@
         return []
     rate, burst = seen.plan.further
     again = sorted(record["at"] for attempts in attempts_of(seen).values() for record, _, _ in attempts[1:])
-    store = Store(rate, burst, seen.by["go"][0]["start_us"])
-    lowest = min(((store.force(1.0, at), at) for at in again), default=(0.0, 0))
+    store = TokenBucket(rate, burst, seen.by["go"][0]["start_us"])
+    lowest = min(((store.overdraw(1.0, at), at) for at in again), default=(0.0, 0))
     if lowest[0] >= -FURTHER_SLACK:
         return []
     return [Violation("further attempts", lowest[1], f"{-lowest[0]:.1f} further attempts beyond the whole")]
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -19,7 +19,7 @@
 from thistletrail.fault_injection.realtime import RealClock, now_us, watch_lag
 from thistletrail.fault_injection.world import Asked, World, load_of
 from thistletrail.gateway.resp import encode
-from thistletrail.simulation.clients import Ask, Clients, Customer, Try
+from thistletrail.simulation.clients import ClientRequest, Clients, Customer, Operation
 from thistletrail.simulation.clock import S
 
 if TYPE_CHECKING:
@@ -58,10 +58,10 @@
         self.busy: dict[str, Line] = {}
         self.looking = False
 
-    def request(self, try_: Try) -> None:
+    def receive_request(self, try_: ClientRequest) -> None:
         self.program.spawn(self.serve(try_))
 
-    async def serve(self, try_: Try) -> None:
+    async def serve(self, try_: ClientRequest) -> None:
         program = self.program
         try:
             while self.free and not self.free[-1].usable():
@@ -74,7 +74,7 @@
             self.missed()
             program.clients.unreached(try_)
             return
-        if try_.over:
+        if try_.is_over:
             self.free.append(line)
             return
         self.busy[try_.id] = line
@@ -82,18 +82,18 @@
         self.busy.pop(try_.id, None)
         how, _, wait = word.partition(" ")
         if how == "closed":
-            if not try_.over:
+            if not try_.is_over:
                 self.missed()
-                program.clients.door_died(try_)
+                program.clients.gateway_died(try_)
             return
         if line.usable():
             self.free.append(line)
-        if not try_.over:
+        if not try_.is_over:
             program.clients.answered(try_, how, int(wait or 0) * 1000, None, self)
         else:
             program.writer.note("late", id=try_.id, how=how)
 
-    def client_gone(self, try_: Try) -> bool:
+    def client_gone(self, try_: ClientRequest) -> bool:
         """Its client gives up: whether an answer was still owed. It keeps the connection for as long as a
         late answer is no broken rule, to see whether one comes."""
         line = self.busy.get(try_.id)
@@ -102,7 +102,7 @@
             self.program.loop.call_later(grace_s, self.lost, try_, line)
         return line is not None
 
-    def lost(self, try_: Try, line: Line) -> None:
+    def lost(self, try_: ClientRequest, line: Line) -> None:
         if self.busy.pop(try_.id, None) is not None:
             self.program.writer.note("lost", id=try_.id)
             line.close()
@@ -150,18 +150,18 @@
         """After how many microseconds the front sees that a door is down."""
         return self.stream.span(self.spec.notice_s) * S
 
-    def ask(self, customer: Customer, kind: int, work_us: float) -> None:
+    def start_operation(self, customer: Customer, kind: int, work_us: float) -> None:
         self.program.open += 1
-        super().ask(customer, kind, work_us)
+        super().start_operation(customer, kind, work_us)
 
-    def receive(self, try_: Try, how: str, cause: str, retry_after_us: int) -> None:
-        if not try_.over:
+    def receive(self, try_: ClientRequest, how: str, cause: str, retry_after_us: int) -> None:
+        if not try_.is_over:
             self.writer.note("end", id=try_.id, how=how, wait_us=retry_after_us)
         super().receive(try_, how, cause, retry_after_us)
 
-    def end(self, ask: Ask, served: Try | None, cause: str) -> None:
+    def end(self, ask: Operation, served: ClientRequest | None, cause: str) -> None:
         super().end(ask, served, cause)
-        rule = self.day.scenario.classes[ask.kind]
+        rule = self.run.scenario.classes[ask.kind]
         self.keys.pop(id(ask), None)
         self.program.open -= 1
         self.writer.note(
@@ -169,11 +169,11 @@
             first_us=ask.first_us,
             customer=ask.customer.name,
             worth=ask.worth,
-            ideal=ask.ideal,
-            tries=ask.tries,
+            ideal=ask.is_in_ideal_quota,
+            tries=ask.requests,
             served=served.id if served else "",
             in_time=bool(served) and now_us() <= ask.aim_us,
-            **{"class": rule.name, "plan": self.day.scenario.plans[ask.customer.plan].name},
+            **{"class": rule.name, "plan": self.run.scenario.plans[ask.customer.plan].name},
         )
 
 
@@ -198,9 +198,9 @@
         self.tasks.add(task := self.loop.create_task(job))
         task.add_done_callback(self.tasks.discard)
 
-    def command(self, try_: Try, door: int) -> bytes:
+    def command(self, try_: ClientRequest, door: int) -> bytes:
         """The request as it is written, and noted."""
-        ask, scenario = try_.ask, self.world.scenario
+        ask, scenario = try_.operation, self.world.scenario
         rule, customer = scenario.classes[ask.kind], ask.customer
         plan = scenario.plans[customer.plan].name
         left = max(0, (try_.end_us - now_us()) // 1000)
@@ -212,7 +212,7 @@
             customer=customer.name,
             key=key,
             left_ms=left,
-            number=ask.tries,
+            number=ask.requests,
             **{"class": rule.name, "plan": plan},
         )
         fields = (
@@ -246,7 +246,7 @@
             if asked.cumulative is not None:
                 asked.customer.cumulative = asked.cumulative
             else:
-                self.clients.ask(asked.customer, asked.kind, asked.work_us)
+                self.clients.start_operation(asked.customer, asked.kind, asked.work_us)
         while self.open or any(door.busy for door in self.world.doors):
             await asyncio.sleep(LOOK_S)
 
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -10,7 +10,7 @@
 from thistletrail.fault_injection.checks import Seen, accounts
 from thistletrail.fault_injection.history import Record
 from thistletrail.simulation.clock import S
-from thistletrail.simulation.service import Point, way_back
+from thistletrail.simulation.service import Point, measure_recovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,10 +106,10 @@
     if calm is not None and faults:
         end = seen.by["go"][0]["end_us"] - start
         usual = points(calm)
-        back = way_back(mine, usual, min(faults) - start, end)
+        back = measure_recovery(mine, usual, min(faults) - start, end)
         pong = last_pong(seen, min(faults))
         if pong is not None:
-            after_pong = way_back(mine, usual, pong - start, end).full_s
+            after_pong = measure_recovery(mine, usual, pong - start, end).full_s
     return Figures(
         served=sum(worth for _, worth, in_time in mine if in_time) / offered,
         full_s=back.full_s if back else None,
--- a/thistletrail/fault_injection/scan.py
+++ b/thistletrail/fault_injection/scan.py
@@ -54,7 +54,7 @@
         self.transport = transport
         self.taken = self.program.server.connect()
         self.program.connections.add(self)
-        if not self.program.server.alive:
+        if not self.program.server.is_alive:
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -77,7 +77,7 @@
             self.program.server.disconnect()
         if self.serving is not None:
             self.program.left(self.serving, "gone")
-            self.program.server.leave(self.serving.work)
+            self.program.server.cancel(self.serving.work)
 
     def write(self, data: bytes) -> None:
         if not self.transport.is_closing():
@@ -132,12 +132,12 @@
 
     async def order(self, order: Order) -> None:
         self.server.advance()
-        self.server.bad = order.get("bad", self.server.bad)
-        self.server.fast_errors = order.get("fast", self.server.fast_errors)
-        self.server.slow = order.get("slow", self.server.slow)
-        self.server.plan()
+        self.server.error_share = order.get("bad", self.server.error_share)
+        self.server.fails_fast = order.get("fast", self.server.fails_fast)
+        self.server.slowdown = order.get("slow", self.server.slowdown)
+        self.server.schedule_step()
         if order.get("drain"):
-            self.server.draining = True
+            self.server.is_draining = True
             with contextlib.suppress(RegistrationError):
                 await self.registration.drain()
         if order.get("leave"):
@@ -174,10 +174,10 @@
             **{"class": fields["c"], "plan": fields["t"]},
         )
         if not connection.taken:
-            self.server.end(work, "full")
+            self.server.end_work(work, "full")
             return
         self.server.accept(work, 0, extra)
-        if self.server.fallen and self.connections:
+        if self.server.has_collapsed and self.connections:
             self.writer.note("fell", server=self.told.name)
             for other in list(self.connections):
                 other.transport.abort()
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from thistletrail.fault_injection.plan import Plan
-from thistletrail.simulation.books import Books
+from thistletrail.simulation.books import Accounting
 from thistletrail.simulation.clients import Customer, Demand, PlanFigures
 from thistletrail.simulation.clock import Clock, S
-from thistletrail.simulation.kept import Kept
+from thistletrail.simulation.kept import Takeover
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.servers import Traits
 from thistletrail.simulation.streams import Stream
@@ -33,7 +33,7 @@
         self.start_us = clock.now
         self.end_us = self.start_us + round(scenario.length_s * S)
         self.streams = {name: Stream(seed, name) for name in ("servers", "clients", "demand", "asks", "work")}
-        self.books = Books(
+        self.books = Accounting(
             tuple(rule.name for rule in scenario.classes), tuple(plan.name for plan in scenario.plans)
         )
         self.traits = Traits(scenario, self.streams["servers"])
@@ -42,7 +42,7 @@
         self.doors: list[Any] = list(range(scenario.doors))
         self.demand = Demand(self)  # type: ignore[arg-type]
         self.clients: Any = None
-        self.kept = Kept(self)  # type: ignore[arg-type] - of the model alone: here doors and steward are real
+        self.kept = Takeover(self)  # type: ignore[arg-type] - of the model alone: here doors and steward are real
 
     def capacity(self) -> float:
         """Of all scan servers, in cores at the usual speed."""
@@ -149,16 +149,16 @@
         # Drawn alike for all parts: a class's work does not go by who asks.
         self.means, self.cvs = world.demand.means, world.demand.cvs
 
-    def ask(self, customer: Customer, kind: int | None = None, work_us: float = 0.0) -> None:
+    def start_operation(self, customer: Customer, kind: int | None = None, work_us: float = 0.0) -> None:
         """Called by the series of a customer, and then by itself with what was drawn."""
         if kind is None:
-            super().ask(customer)
+            super().start_operation(customer)
         else:
-            self.asked.append(Asked(self.day.clock.now, customer, kind, work_us))
+            self.asked.append(Asked(self.run.clock.now, customer, kind, work_us))
 
     def shift(self, customer: Customer, first: bool = True) -> None:
         super().shift(customer, first)
-        self.asked.append(Asked(self.day.clock.now, customer, cumulative=customer.cumulative))
+        self.asked.append(Asked(self.run.clock.now, customer, cumulative=customer.cumulative))
 
 
 def load_of(plan: Plan, seed: int, part: int) -> list[Asked]:
@@ -168,7 +168,7 @@
     load.begin(world.capacity() / plan.clients)
     for fault in plan.faults:
         if fault.kind == "burst":
-            world.clock.at(round(fault.at_s * S), load.change, 1 + fault.size)
-            world.clock.at(round((fault.at_s + fault.for_s) * S), load.change, 1.0)
+            world.clock.at(round(fault.at_s * S), load.set_load_factor, 1 + fault.size)
+            world.clock.at(round((fault.at_s + fault.for_s) * S), load.set_load_factor, 1.0)
     world.clock.run(world.end_us)
     return sorted(load.asked, key=lambda asked: asked.at_us)
--- a/thistletrail/simulation/__main__.py
+++ b/thistletrail/simulation/__main__.py
@@ -90,7 +90,7 @@
     out.flush()
     if sys.stderr.isatty():
         click.echo(f"{time.process_time() - started:.1f} s of processor time", err=True)
-    if day.books.breaks or day.books.check():
+    if day.books.violation_counts or day.books.check():
         sys.exit(BROKEN)
 
 
--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/catalog.py
@@ -1,4 +1,4 @@
-"""The list of scan servers as discovery has it: seconds late, and of running processes only."""
+"""The endpoint list as the registry has it: seconds late, and of running processes only."""
 
 from __future__ import annotations
 
@@ -11,42 +11,45 @@
 
 if TYPE_CHECKING:
     from thistletrail.simulation.day import Day
+    from thistletrail.simulation.doors import Gateway
 
 
-class Catalog:
-    """What has been noticed so far, with a version for each change; each door hears a little later."""
+class EndpointList:
+    """The servers that the registry knows. Each change has a new version and reaches the gateways later."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, self.version = day, 1
+    def __init__(self, run: Day) -> None:
+        self.run, self.version = run, 1
         self.entries: dict[str, Server] = {}
-        self.extra_us = 0  # how much later than usual doors hear
-        self.first: tuple[Server, ...] = ()
+        self.extra_lag_us = 0  # added to each gateway's usual lag
+        self.initial_entries: tuple[Server, ...] = ()
 
     def entry(self, server: ScanServer, state: ServerState) -> Server:
+        """Return the list's entry of a server in a state."""
         return Server(
             server.name, server.zone, 0, server.cell, state, float(server.traits.cores), server.started_us
         )
 
     def begin(self) -> None:
-        """What holds at the start is known to all."""
-        for server in self.day.servers.values():
+        """List the servers of the start, which all gateways know."""
+        for server in self.run.servers.values():
             self.entries[server.name] = self.entry(server, ServerState.UP)
-        self.first = tuple(self.entries.values())
+        self.initial_entries = tuple(self.entries.values())
 
-    def saved(self, again: bool) -> EndpointUpdate:
-        """The list as a door had it last: after a restart what is known now, but for what is on its way."""
-        entries = tuple(self.entries.values()) if again else self.first
+    def cached_list(self, is_restart: bool) -> EndpointUpdate:
+        """Return the list that a gateway has cached: at a restart the present one, else that of the start."""
+        entries = tuple(self.entries.values()) if is_restart else self.initial_entries
         return EndpointUpdate(EndpointUpdateKind.CACHED, self.version, entries)
 
-    def whole(self) -> EndpointUpdate:
+    def full_list(self) -> EndpointUpdate:
         return EndpointUpdate(EndpointUpdateKind.FULL, self.version, tuple(self.entries.values()))
 
-    def notice(self, server: ScanServer, state: ServerState, lag: tuple[float, float]) -> None:
-        """Discovery learns of a change after a time in seconds drawn from `lag`."""
-        wait = self.day.streams["lists"].span(lag) * S
-        self.day.clock.after(wait, self.publish, self.entry(server, state))
+    def report(self, server: ScanServer, state: ServerState, lag_s: tuple[float, float]) -> None:
+        """Report a server's new state to the registry, which notices it after a time drawn from `lag_s`."""
+        delay_us = self.run.streams["lists"].span(lag_s) * S
+        self.run.clock.after(delay_us, self.publish, self.entry(server, state))
 
     def publish(self, entry: Server) -> None:
+        """Change the list and send the change to all running gateways."""
         if entry.state is ServerState.GONE and entry.name not in self.entries:
             return
         self.version += 1
@@ -54,11 +57,13 @@
             del self.entries[entry.name]
         else:
             self.entries[entry.name] = entry
-        news = EndpointUpdate(EndpointUpdateKind.CHANGES, self.version, (replace(entry),))
-        for door in self.day.doors:
-            if door.alive:
-                self.day.clock.after(door.list_lag_us + self.extra_us + MS, self.tell, door, door.life, news)
+        update = EndpointUpdate(EndpointUpdateKind.CHANGES, self.version, (replace(entry),))
+        for gateway in self.run.doors:
+            if gateway.is_alive:
+                delay_us = gateway.list_lag_us + self.extra_lag_us + MS
+                self.run.clock.after(delay_us, self.deliver, gateway, gateway.epoch, update)
 
-    def tell(self, door: object, life: int, news: EndpointUpdate) -> None:
-        if door.life == life:
-            door.hear(news)
+    def deliver(self, gateway: Gateway, epoch: int, update: EndpointUpdate) -> None:
+        """Deliver a change unless the gateway has stopped or restarted since it was sent."""
+        if gateway.epoch == epoch:
+            gateway.on_endpoint_update(update)
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Customers and their clients: what is asked, through which door, for how long, and when again."""
+"""Customers and their clients: what they request and where, how long they wait, when they retry."""
 
 from __future__ import annotations
 
@@ -12,54 +12,58 @@
 from thistletrail.simulation.ledger import Account
 from thistletrail.simulation.scenario import Clients as ClientsSpec
 from thistletrail.simulation.streams import Stream
-from thistletrail.simulation.watched import Decided
+from thistletrail.simulation.watched import RequestDecision
 
 if TYPE_CHECKING:
     from thistletrail.simulation.day import Day
-    from thistletrail.simulation.doors import Door
-    from thistletrail.simulation.kept import Piece
+    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.kept import WorkItem
 
-RECENT_US = 5 * S  # after a start for which what a door does not know is the cause of what it lets by
-TOO_LATE = ("late on arrival", "late retry")  # refusals that come of why an earlier try was not served
-REFUSED_US = 1 * MS  # until a connection to a door that is not there is refused
+# For this long after a gateway's start, units that it forwards beyond the quota are put down to the restart.
+RECENT_START_US = 5 * S
+# Causes of a rejection that follow from an earlier request of the operation that was not served.
+LATE_CAUSES = ("late on arrival", "late retry")
+CONNECTION_REFUSED_DELAY_US = 1 * MS
 
 
 class Customer:
-    """One customer: its plan's figures, its set of doors, how it uses its quota."""
+    """One customer: its plan and account, its set of gateways, and its request rate."""
 
     __slots__ = (
         "account",
+        "arrival_epoch",
         "cumulative",
         "first",
-        "life",
+        "is_spiking",
         "name",
         "plan",
+        "rate",
         "size",
-        "spiking",
-        "spiky",
-        "use",
-        "usual",
+        "spike_factor",
+        "usual_rate",
     )
 
-    def __init__(self, name: str, plan: int, first: int, size: int, account: Account, use: float) -> None:
-        """`use` is in requests a second; `first` and `size` tell its set of doors."""
+    def __init__(self, name: str, plan: int, first: int, size: int, account: Account, rate: float) -> None:
+        """`rate` is in requests a second. The set of gateways has `size` members from number `first` on."""
         self.name, self.plan, self.first, self.size, self.account = name, plan, first, size, account
-        self.use = self.usual = use
-        self.spiky, self.spiking, self.life = 1.0, False, 0
-        self.cumulative: list[float] = []
+        self.rate = self.usual_rate = rate
+        self.spike_factor, self.is_spiking = 1.0, False
+        self.arrival_epoch = 0  # arrivals that were scheduled in an earlier epoch are void
+        self.cumulative: list[float] = []  # cumulative weights of the gateways of its set
 
-    def weigh(self, stream: Stream, skew: float) -> None:
-        """Spread its requests over its set anew: uneven, by rank to the power of -skew."""
+    def draw_weights(self, stream: Stream, skew: float) -> None:
+        """Draw the weights of its gateways: uneven, by rank to the power of -skew."""
         ranks = stream.shuffled(range(1, self.size + 1))
         self.cumulative = list(itertools.accumulate(rank**-skew for rank in ranks))
 
-    def door(self, stream: Stream, doors: int) -> int:
-        at = bisect(self.cumulative, stream.uniform() * self.cumulative[-1])
-        return (self.first + min(at, self.size - 1)) % doors
+    def draw_gateway(self, stream: Stream, gateway_count: int) -> int:
+        """Draw the number of a gateway of its set by the weights."""
+        index = bisect(self.cumulative, stream.uniform() * self.cumulative[-1])
+        return (self.first + min(index, self.size - 1)) % gateway_count
 
 
-class Ask:
-    """What a client wants, from its first try to the last."""
+class Operation:
+    """What a client wants: its first request and the retries."""
 
     __slots__ = (
         "aim_us",
@@ -67,247 +71,292 @@
         "customer",
         "end_us",
         "first_us",
-        "ideal",
+        "is_in_ideal_quota",
         "kind",
-        "tries",
+        "requests",
         "work_us",
         "worth",
         "zones",
     )
 
-    def __init__(self, customer: Customer, kind: int, work_us: float, worth: float, now: int) -> None:
+    def __init__(self, customer: Customer, kind: int, work_us: float, worth: float, now_us: int) -> None:
         self.customer, self.kind, self.work_us, self.worth = customer, kind, work_us, worth
-        self.first_us = now
-        self.tries, self.ideal = 0, False
-        self.zones: frozenset[int] = frozenset()  # where it has run
-        self.cause = "a slow answer"  # why it is not served yet: of its last try that was not
-        self.aim_us = self.end_us = now
+        self.first_us = now_us
+        self.requests = 0  # sent so far
+        self.is_in_ideal_quota = False  # as one gateway that saw all requests would decide
+        self.zones: frozenset[int] = frozenset()  # in which it has run
+        self.cause = "a slow answer"  # why the last request that was not served was not
+        self.aim_us = self.end_us = now_us
 
 
-class Try:
-    """One request id: `booked` once its units were taken, `over` once its client knows how it ended."""
+class ClientRequest:
+    """One request of an operation, with an id of its own.
 
-    __slots__ = ("ask", "booked", "door", "end_us", "heir", "id", "inside", "over")
+    `is_charged` is set once its units have been charged, `is_over` once its client knows the result.
+    `work_item` is None except for a request that stands for the work item of a dead gateway and that no
+    client waits for.
+    """
 
-    def __init__(self, name: str, ask: Ask, door: Door, end_us: int) -> None:
-        self.id, self.ask, self.door, self.end_us = name, ask, door, end_us
-        self.booked = self.inside = self.over = False
-        self.heir: Piece | None = None  # no client's: the work of a dead door
+    __slots__ = ("end_us", "gateway", "id", "is_charged", "is_in_quota", "is_over", "operation", "work_item")
+
+    def __init__(self, request_id: str, operation: Operation, gateway: Gateway, end_us: int) -> None:
+        self.id, self.operation, self.gateway, self.end_us = request_id, operation, gateway, end_us
+        self.is_charged = self.is_in_quota = self.is_over = False
+        self.work_item: WorkItem | None = None
 
 
 class Clients:
-    """All customers and the front that spreads their requests over the doors."""
+    """The clients of all customers, and the load balancer that spreads their requests over the gateways."""
 
-    def __init__(self, day: Day, spec: ClientsSpec, stream: Stream) -> None:
-        self.day, self.spec, self.stream = day, spec, stream
+    def __init__(self, run: Day, spec: ClientsSpec, stream: Stream) -> None:
+        self.run, self.spec, self.stream = run, spec, stream
         self.serial = itertools.count(1)
-        self.down: set[int] = set()  # doors that the front has seen down
-        self.try_share = [stream.span(spec.try_share) for _ in day.scenario.classes]
+        self.down: set[int] = set()  # gateways that the load balancer knows to be down
+        self.try_share = [stream.span(spec.try_share) for _ in run.scenario.classes]
         self.backoff = spec.backoff or stream.pick(("none", "fixed", "exp"))
         self.backoff_us, self.honour = stream.span(spec.backoff_ms) * MS, stream.span(spec.honour)
-        self.elsewhere = stream.span(day.scenario.demand.elsewhere)
-        self.aims = [round(rule.aim_ms * day.scenario.stretch * MS) for rule in day.scenario.classes]
+        self.elsewhere = stream.span(run.scenario.demand.elsewhere)
+        self.aims = [round(rule.aim_ms * run.scenario.stretch * MS) for rule in run.scenario.classes]
         self.deadlines = [
-            round(rule.deadline_ms * day.scenario.stretch * MS) for rule in day.scenario.classes
+            round(rule.deadline_ms * run.scenario.stretch * MS) for rule in run.scenario.classes
         ]
 
-    # --- asking ---
-
-    def ask(self, customer: Customer, kind: int, work_us: float) -> None:
-        day, now = self.day, self.day.clock.now
-        worth = day.scenario.classes[kind].worth * day.plans[customer.plan].price
-        ask = Ask(customer, kind, work_us, worth, now)
-        ask.aim_us, ask.end_us = now + self.aims[kind], now + self.deadlines[kind]
-        ask.ideal = customer.account.ideal.take(1.0, now)
-        day.books.asks += 1
-        self.send(ask, None)
-
-    def pick(self, customer: Customer, before: Door | None) -> Door:
-        """A door of its set, by the customer's weights; not one that the front has seen down."""
-        doors = self.day.doors
-        if before is not None and before.number not in self.down and not self.stream.chance(self.elsewhere):
-            return before
+    # --- requests ---
+
+    def start_operation(self, customer: Customer, kind: int, work_us: float) -> None:
+        run, now_us = self.run, self.run.clock.now
+        worth = run.scenario.classes[kind].worth * run.plans[customer.plan].price
+        operation = Operation(customer, kind, work_us, worth, now_us)
+        operation.aim_us, operation.end_us = now_us + self.aims[kind], now_us + self.deadlines[kind]
+        operation.is_in_ideal_quota = customer.account.ideal.take(1.0, now_us)
+        run.books.operations += 1
+        self.send_request(operation, None)
+
+    def pick_gateway(self, customer: Customer, previous: Gateway | None) -> Gateway:
+        """Pick a gateway of the customer's set by weight, but none that is known to be down.
+
+        A retry goes to the previous gateway again, except for a share of them.
+        """
+        gateways = self.run.doors
+        if (
+            previous is not None
+            and previous.number not in self.down
+            and not self.stream.chance(self.elsewhere)
+        ):
+            return previous
         for _ in range(4):
-            number = customer.door(self.stream, len(doors))
+            number = customer.draw_gateway(self.stream, len(gateways))
             if number not in self.down:
-                return doors[number]
-        numbers = [(customer.first + n) % len(doors) for n in range(customer.size)]
+                return gateways[number]
+        numbers = [(customer.first + n) % len(gateways) for n in range(customer.size)]
         up = [number for number in numbers if number not in self.down] or numbers
-        return doors[self.stream.pick(up)]
-
-    def send(self, ask: Ask, before: Door | None) -> None:
-        day, now = self.day, self.day.clock.now
-        ask.tries += 1
-        door = self.pick(ask.customer, before)
-        wait = self.deadlines[ask.kind] * self.try_share[ask.kind]
-        try_ = Try(f"{next(self.serial):x}", ask, door, min(ask.end_us, now + round(wait)))
-        day.books.tries += 1
-        day.clock.after(day.network.to_client_us(), door.request, try_)
-        day.clock.at(try_.end_us, self.give_up, try_)
-
-    def sent_on(self, try_: Try, door: Door) -> None:
-        """Its first attempt has come whole to a server: its units are booked."""
-        day, customer = self.day, try_.ask.customer
-        now, plan = day.clock.now, day.plans[customer.plan]
-        was = customer.account.broken()
-        try_.inside = customer.account.send(1.0, now)
-        cause = "" if try_.inside else self.over_cause(door.note(try_.id), plan, door)
-        day.books.sent_on(try_.inside, cause, plan.over_cost * try_.ask.worth)
-        if customer.account.broken() and not was:
-            day.books.broke("a ceiling was passed", f"customer {customer.name}")
-
-    def over_cause(self, note: Decided | None, plan: object, door: Door) -> str:
-        """Why a try beyond the quota was sent on."""
-        if note is None:
+        return gateways[self.stream.pick(up)]
+
+    def send_request(self, operation: Operation, previous: Gateway | None) -> None:
+        run, now_us = self.run, self.run.clock.now
+        operation.requests += 1
+        gateway = self.pick_gateway(operation.customer, previous)
+        timeout_us = self.deadlines[operation.kind] * self.try_share[operation.kind]
+        end_us = min(operation.end_us, now_us + round(timeout_us))
+        request = ClientRequest(f"{next(self.serial):x}", operation, gateway, end_us)
+        run.books.requests += 1
+        run.clock.after(run.network.to_client_us(), gateway.receive_request, request)
+        run.clock.at(request.end_us, self.time_out_request, request)
+
+    def charge(self, request: ClientRequest, gateway: Gateway) -> None:
+        """Charge a request's units: its first attempt has arrived at a server in full."""
+        run, customer = self.run, request.operation.customer
+        now_us, plan = run.clock.now, run.plans[customer.plan]
+        was_exceeded = customer.account.is_ceiling_exceeded()
+        request.is_in_quota = customer.account.charge(1.0, now_us)
+        cause = (
+            ""
+            if request.is_in_quota
+            else self.over_quota_cause(gateway.decision_on(request.id), plan, gateway)
+        )
+        run.books.charge(request.is_in_quota, cause, plan.over_cost * request.operation.worth)
+        if customer.account.is_ceiling_exceeded() and not was_exceeded:
+            run.books.record_violation("a ceiling was passed", f"customer {customer.name}")
+
+    def over_quota_cause(self, decision: RequestDecision | None, plan: object, gateway: Gateway) -> str:
+        """Return why a request beyond the quota was forwarded."""
+        if decision is None:
             return "unknown"
-        if not note.inside and plan.over_worth > plan.over_cost:
+        if not decision.is_in_quota and plan.over_worth > plan.over_cost:
             return "on purpose"
-        doors, now = self.day.doors, self.day.clock.now
-        home = doors[note.home] if 0 <= note.home < len(doors) else door
-        for what, started in (("restarted door", door), ("restarted home", home)):
-            if started.life > 1 and now - started.started_us < RECENT_US:
-                return what
-        return note.basis or "unknown"
+        gateways, now_us = self.run.doors, self.run.clock.now
+        owner = gateways[decision.owner] if 0 <= decision.owner < len(gateways) else gateway
+        for cause, restarted in (("restarted door", gateway), ("restarted home", owner)):
+            if restarted.epoch > 1 and now_us - restarted.started_us < RECENT_START_US:
+                return cause
+        return decision.basis or "unknown"
 
     # --- answers ---
 
-    def unreached(self, try_: Try) -> None:
-        """Nobody listens at the door."""
-        self.day.clock.after(REFUSED_US, self.receive, try_, "unreached", "door is down", 0)
+    def unreached(self, request: ClientRequest) -> None:
+        """Handle a connection that is refused because no gateway listens."""
+        self.run.clock.after(
+            CONNECTION_REFUSED_DELAY_US, self.receive, request, "unreached", "door is down", 0
+        )
 
-    def door_died(self, try_: Try) -> None:
-        if try_.heir is not None:
+    def gateway_died(self, request: ClientRequest) -> None:
+        """Handle a connection that is reset because the gateway has died."""
+        if request.work_item is not None:
             return
-        self.day.clock.after(self.day.network.to_client_us(), self.receive, try_, "unreached", "door died", 0)
+        self.run.clock.after(
+            self.run.network.to_client_us(), self.receive, request, "unreached", "door died", 0
+        )
 
-    def answered(self, try_: Try, how: str, retry_after_us: int, note: Decided | None, door: Door) -> None:
-        if try_.heir is not None:
-            self.day.kept.ended(try_.heir, how)
+    def answered(
+        self,
+        request: ClientRequest,
+        result: str,
+        retry_after_us: int,
+        decision: RequestDecision | None,
+        gateway: Gateway,
+    ) -> None:
+        """Send a gateway's answer on to the client, with its cause."""
+        if request.work_item is not None:
+            self.run.kept.on_taker_done(request.work_item, result)
             return
-        cause = how if how != "refused" else self.refusal(try_, note)
-        if how == "failed":
-            cause = f"failed: {note.why}" if note and note.why else "failed"
-        self.day.clock.after(self.day.network.to_client_us(), self.receive, try_, how, cause, retry_after_us)
-
-    def refusal(self, try_: Try, note: Decided | None) -> str:
-        """The one cause of a refusal; those for the quota by whether there was room in truth."""
-        if note is None or not note.why:
+        cause = result if result != "refused" else self.rejection_cause(request, decision)
+        if result == "failed":
+            cause = f"failed: {decision.reason}" if decision and decision.reason else "failed"
+        self.run.clock.after(
+            self.run.network.to_client_us(), self.receive, request, result, cause, retry_after_us
+        )
+
+    def rejection_cause(self, request: ClientRequest, decision: RequestDecision | None) -> str:
+        """Return the one cause of a rejection; for a quota or ceiling, also how full it really is."""
+        if decision is None or not decision.reason:
             return "unknown"
-        account, now = try_.ask.customer.account, self.day.clock.now
-        store = account.ceiling if note.why == "ceiling" else account.quota
-        if store is None or note.why not in ("quota", "ceiling"):
-            return note.why
-        level = store.refill(now)
+        account, now_us = request.operation.customer.account, self.run.clock.now
+        bucket = account.ceiling if decision.reason == "ceiling" else account.quota
+        if bucket is None or decision.reason not in ("quota", "ceiling"):
+            return decision.reason
+        level = bucket.refill(now_us)
         if level < 1.0:
-            return f"beyond {note.why}"
-        room = "half unused" if 2 * level >= store.burst else "some room"
-        return f"{room}, {'ceiling, ' if note.why == 'ceiling' else ''}{note.basis}"
+            return f"beyond {decision.reason}"
+        room = "half unused" if 2 * level >= bucket.burst else "some room"
+        return f"{room}, {'ceiling, ' if decision.reason == 'ceiling' else ''}{decision.basis}"
 
-    def give_up(self, try_: Try) -> None:
-        if try_.over:
+    def time_out_request(self, request: ClientRequest) -> None:
+        if request.is_over:
             return
-        owed = try_.door.client_gone(try_)
-        self.receive(try_, "gone", "no answer in time" if owed else "answer too late", 0)
+        was_owed = request.gateway.client_gone(request)
+        self.receive(request, "gone", "no answer in time" if was_owed else "answer too late", 0)
 
-    def receive(self, try_: Try, how: str, cause: str, retry_after_us: int) -> None:
-        """The client knows how its try ended, and asks again or not."""
-        if try_.over:
+    def receive(self, request: ClientRequest, result: str, cause: str, retry_after_us: int) -> None:
+        """End a request at its client, and retry if the client may."""
+        if request.is_over:
             return
-        try_.over = True
-        day, ask, now = self.day, try_.ask, self.day.clock.now
-        day.books.end_try(how, cause)
-        if how == "served":
-            self.end(ask, try_, cause)
+        request.is_over = True
+        run, operation, now_us = self.run, request.operation, self.run.clock.now
+        run.books.end_request(result, cause)
+        if result == "served":
+            self.end(operation, request, cause)
             return
-        if cause not in TOO_LATE or ask.tries == 1:
-            ask.cause = cause
-        rule = day.scenario.classes[ask.kind]
-        wait = self.wait_us(ask, retry_after_us)
-        may = not rule.keyed or how in ("refused", "unreached")
-        if may and ask.tries <= self.spec.retries and now + wait < ask.end_us:
-            day.clock.after(wait, self.send, ask, try_.door)
+        if cause not in LATE_CAUSES or operation.requests == 1:
+            operation.cause = cause
+        request_class = run.scenario.classes[operation.kind]
+        delay_us = self.retry_delay_us(operation, retry_after_us)
+        may_retry = not request_class.keyed or result in ("refused", "unreached")
+        if may_retry and operation.requests <= self.spec.retries and now_us + delay_us < operation.end_us:
+            run.clock.after(delay_us, self.send_request, operation, request.gateway)
         else:
-            self.end(ask, None, cause if cause == ask.cause else f"{LATE} after {ask.cause}")
-
-    def wait_us(self, ask: Ask, advice_us: int) -> float:
-        if advice_us and self.stream.chance(self.honour):
-            return min(advice_us, self.spec.max_retry_after_ms * MS)
+            self.end(
+                operation, None, cause if cause == operation.cause else f"{LATE} after {operation.cause}"
+            )
+
+    def retry_delay_us(self, operation: Operation, retry_after_us: int) -> float:
+        """Return how long to wait before a retry: as advised, for a share of clients, or by their backoff."""
+        if retry_after_us and self.stream.chance(self.honour):
+            return min(retry_after_us, self.spec.max_retry_after_ms * MS)
         if self.backoff == "none":
             return 1 * MS
-        return self.backoff_us * (2 ** (ask.tries - 1) if self.backoff == "exp" else 1)
-
-    def end(self, ask: Ask, served: Try | None, cause: str) -> None:
-        """The ask is over: what was offered, what was earned, and under which cause the rest is lost."""
-        day, now = self.day, self.day.clock.now
-        day.kept.forget(ask)
-        plan, rule = day.plans[ask.customer.plan], day.scenario.classes[ask.kind]
-        offered = ask.worth * (1.0 if ask.ideal else plan.over_worth)
+        return self.backoff_us * (2 ** (operation.requests - 1) if self.backoff == "exp" else 1)
+
+    def end(self, operation: Operation, served: ClientRequest | None, cause: str) -> None:
+        """End an operation: account for the worth offered, the worth earned and the cause of the difference.
+
+        `served` is the request that was served; None if none was.
+        """
+        run, now_us = self.run, self.run.clock.now
+        run.kept.forget(operation)
+        plan, request_class = run.plans[operation.customer.plan], run.scenario.classes[operation.kind]
+        offered = operation.worth * (1.0 if operation.is_in_ideal_quota else plan.over_worth)
         earned, late_fail = 0.0, 0.0
         if served is None:
-            late_fail = ask.worth if now > ask.aim_us else 0.0
+            late_fail = operation.worth if now_us > operation.aim_us else 0.0
         else:
-            earned = ask.worth * (1.0 if served.inside else plan.over_worth)
-            if now > ask.aim_us:
-                earned, cause = earned * rule.late_worth, f"{LATE} after {ask.cause}"
-            elif not served.inside:
+            earned = operation.worth * (1.0 if served.is_in_quota else plan.over_worth)
+            if now_us > operation.aim_us:
+                earned, cause = earned * request_class.late_worth, f"{LATE} after {operation.cause}"
+            elif not served.is_in_quota:
                 cause = OVER
             else:
-                cause = SERVED if ask.ideal else GAINED
-        second = (ask.first_us - day.start_us) // S
-        in_time = served is not None and now <= ask.aim_us
-        day.books.in_time[second] += in_time
-        if ask.ideal:
-            day.books.points.append((ask.first_us - day.start_us, ask.worth, in_time))
-        day.books.end_ask((second, ask.kind, ask.customer.plan), offered, earned, cause, late_fail)
+                cause = SERVED if operation.is_in_ideal_quota else GAINED
+        second = (operation.first_us - run.start_us) // S
+        in_time = served is not None and now_us <= operation.aim_us
+        run.books.in_time[second] += in_time
+        if operation.is_in_ideal_quota:
+            run.books.points.append((operation.first_us - run.start_us, operation.worth, in_time))
+        run.books.end_operation(
+            (second, operation.kind, operation.customer.plan), offered, earned, cause, late_fail
+        )
 
 
 class PlanFigures:
-    """A plan's figures of one run, as the settings tell them."""
+    """A plan's figures in one run, as the settings of gateways have them."""
 
     __slots__ = ("burst", "ceiling", "over_cost", "over_worth", "price", "rate")
 
     def __init__(self, spec: object, stretch: float, stream: Stream) -> None:
         self.rate = stream.span(spec.rate) / stretch
         self.price, self.over_worth, self.over_cost = spec.price, spec.over_worth, spec.over_cost
-        least = 4 if spec.ceiling else 2  # largest requests (the bench page)
-        self.burst = float(max(least, round(self.rate * stretch * stream.span(spec.burst_s))))
+        # The bench page asks for a burst of at least 2 of the largest requests, 4 where there is a ceiling.
+        min_burst = 4 if spec.ceiling else 2
+        self.burst = float(max(min_burst, round(self.rate * stretch * stream.span(spec.burst_s))))
         multiple = stream.span(spec.ceiling) if spec.ceiling else 0.0
-        most = float(round(self.burst * multiple))
-        self.ceiling = (self.rate * multiple, most, max(1.0, math.floor(most / 10)))
+        ceiling_burst = float(round(self.burst * multiple))
+        # Rate, burst and slack; a rate of 0 means that there is no ceiling.
+        self.ceiling = (self.rate * multiple, ceiling_burst, max(1.0, math.floor(ceiling_burst / 10)))
 
 
 class Demand:
-    """All customers of a run, each asking at random moments at its own, changing rate."""
+    """All customers of a run. The requests of each are a Poisson process whose rate changes."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, scenario = day, day.scenario
-        self.spec, self.stream, self.work = scenario.demand, day.streams["demand"], day.streams["asks"]
+    def __init__(self, run: Day) -> None:
+        self.run, scenario = run, run.scenario
+        self.spec, self.stream, self.work = scenario.demand, run.streams["demand"], run.streams["asks"]
         stream = self.stream
         self.means = [self.work.span(rule.work_ms) * scenario.stretch * MS for rule in scenario.classes]
         self.cvs = [self.work.span(rule.cv) for rule in scenario.classes]
-        shares = sum(rule.share for rule in scenario.classes)
-        self.kinds = list(itertools.accumulate(rule.share / shares for rule in scenario.classes))
+        total_share = sum(rule.share for rule in scenario.classes)
+        self.cumulative_shares = list(
+            itertools.accumulate(rule.share / total_share for rule in scenario.classes)
+        )
         self.mean_work_us = sum(
-            rule.share / shares * mean for rule, mean in zip(scenario.classes, self.means, strict=True)
+            rule.share / total_share * mean for rule, mean in zip(scenario.classes, self.means, strict=True)
         )
         self.customers: list[Customer] = []
         self.names = itertools.count(1)
-        self.factor, self.swing = 1.0, stream.span(self.spec.swing)
+        self.load_factor, self.swing = 1.0, stream.span(self.spec.swing)
         self.phase = stream.uniform() * 2 * math.pi
         self.skew = stream.span(self.spec.skew)
-        self.usual = 0.0  # requests a second inside quotas
+        self.in_quota_rate = 0.0  # requests a second of all customers inside their quotas
 
     def begin(self, capacity: float) -> None:
-        """Draw the customers, for servers that have so many cores at the usual speed."""
-        spec, stream, scenario = self.spec, self.stream, self.day.scenario
-        self.usual = stream.span(spec.load) * capacity * S / self.mean_work_us
-        shares = sum(plan.share for plan in scenario.plans)
+        """Draw the customers for servers with a capacity of so many cores at the usual speed."""
+        spec, stream, scenario = self.spec, self.stream, self.run.scenario
+        self.in_quota_rate = stream.span(spec.load) * capacity * S / self.mean_work_us
+        total_share = sum(plan.share for plan in scenario.plans)
         full, heavy, spiky = stream.span(spec.full), stream.span(spec.heavy), stream.span(spec.spiky)
         for number, plan in enumerate(scenario.plans):
-            rate = self.day.plans[number].rate
+            rate = self.run.plans[number].rate
             calm = sum(spec.calm_use) / 2
-            mean = max(0.05, (1 - full - heavy) * calm + full * 0.95 + heavy)
-            count = max(1, round(self.usual * plan.share / shares / (rate * mean)))
+            mean_use = max(0.05, (1 - full - heavy) * calm + full * 0.95 + heavy)
+            count = max(1, round(self.in_quota_rate * plan.share / total_share / (rate * mean_use)))
             kinds = stream.shuffled(
                 ["full"] * round(full * count)
                 + ["heavy"] * round(heavy * count)
@@ -318,74 +367,82 @@
                 use = {"full": stream.between(0.9, 1.0), "heavy": stream.span(spec.heavy_x)}.get(
                     kind, stream.span(spec.calm_use)
                 )
-                customer = self.customer(number, use * rate)
+                customer = self.add_customer(number, use * rate)
                 if kind == "spiky":
-                    customer.spiky = stream.span(spec.spike_x) / use
-                    self.day.clock.after(
-                        stream.uniform() * stream.span(spec.spike_every_s) * S, self.spike, customer
+                    customer.spike_factor = stream.span(spec.spike_x) / use
+                    self.run.clock.after(
+                        stream.uniform() * stream.span(spec.spike_every_s) * S, self.toggle_spike, customer
                     )
-                self.follow(customer)
+                self.restart_arrivals(customer)
                 self.shift(customer)
 
-    def customer(self, plan: int, use: float) -> Customer:
-        figures, stream, doors = self.day.plans[plan], self.stream, len(self.day.doors)
-        size = max(min(2, doors), round(stream.span(self.day.scenario.plans[plan].spread) * doors))
-        if figures.ceiling[0]:  # no more than twice the largest request for each door of the set
+    def add_customer(self, plan: int, rate: float) -> Customer:
+        """Draw a customer of a plan that makes `rate` requests a second."""
+        figures, stream, gateway_count = self.run.plans[plan], self.stream, len(self.run.doors)
+        spread = self.run.scenario.plans[plan].spread
+        size = max(min(2, gateway_count), round(stream.span(spread) * gateway_count))
+        if figures.ceiling[0]:  # the ceiling's burst has room for two of the largest requests at each gateway
             size = min(size, max(2, int(figures.ceiling[1] / 2)))
-        size = min(size, doors)
-        account = Account(figures.rate, figures.burst, figures.ceiling, self.day.clock.now)
-        customer = Customer(f"{next(self.names):016x}", plan, stream.below(doors), size, account, use)
-        customer.weigh(stream, self.skew)
+        size = min(size, gateway_count)
+        account = Account(figures.rate, figures.burst, figures.ceiling, self.run.clock.now)
+        customer = Customer(
+            f"{next(self.names):016x}", plan, stream.below(gateway_count), size, account, rate
+        )
+        customer.draw_weights(stream, self.skew)
         self.customers.append(customer)
         return customer
 
     def shift(self, customer: Customer, first: bool = True) -> None:
-        """The doors that its requests prefer change now and then."""
+        """Change, now and then, the gateways that a customer's requests prefer."""
         if not first:
-            customer.weigh(self.stream, self.skew)
-        self.day.clock.after(self.stream.span(self.spec.shift_s) * S, self.shift, customer, False)
+            customer.draw_weights(self.stream, self.skew)
+        self.run.clock.after(self.stream.span(self.spec.shift_s) * S, self.shift, customer, False)
 
-    def spike(self, customer: Customer) -> None:
-        customer.spiking = not customer.spiking
-        customer.use = customer.usual * (customer.spiky if customer.spiking else 1)
+    def toggle_spike(self, customer: Customer) -> None:
+        """Begin or end a spike of a customer's rate, and schedule the next change."""
+        customer.is_spiking = not customer.is_spiking
+        customer.rate = customer.usual_rate * (customer.spike_factor if customer.is_spiking else 1)
         spec = self.spec
-        self.day.clock.after(
-            self.stream.span(spec.spike_s if customer.spiking else spec.spike_every_s) * S,
-            self.spike,
+        self.run.clock.after(
+            self.stream.span(spec.spike_s if customer.is_spiking else spec.spike_every_s) * S,
+            self.toggle_spike,
             customer,
         )
-        self.follow(customer)
+        self.restart_arrivals(customer)
 
-    def follow(self, customer: Customer) -> None:
-        """Begin its series of requests at the rate that now holds: there is no memory to lose."""
-        customer.life += 1
-        self.next(customer, customer.life)
+    def restart_arrivals(self, customer: Customer) -> None:
+        """Restart a customer's arrivals at its present rate. A Poisson process has no memory to lose."""
+        customer.arrival_epoch += 1
+        self.schedule_arrival(customer, customer.arrival_epoch)
 
-    def most(self) -> float:
-        return self.factor * (1 + self.swing)
+    def max_factor(self) -> float:
+        """Return the largest factor on a customer's rate while the load swings."""
+        return self.load_factor * (1 + self.swing)
 
-    def next(self, customer: Customer, life: int) -> None:
-        rate = customer.use * self.most()
+    def schedule_arrival(self, customer: Customer, epoch: int) -> None:
+        rate = customer.rate * self.max_factor()
         if rate > 0:
-            self.day.clock.after(self.stream.exponential(S / rate), self.arrive, customer, life)
+            self.run.clock.after(self.stream.exponential(S / rate), self.arrive, customer, epoch)
 
-    def arrive(self, customer: Customer, life: int) -> None:
-        day = self.day
-        if life != customer.life or day.clock.now >= day.end_us:
+    def arrive(self, customer: Customer, epoch: int) -> None:
+        """Start an operation, with the probability that the swing of the load has now."""
+        run = self.run
+        if epoch != customer.arrival_epoch or run.clock.now >= run.end_us:
             return
-        now_part = (day.clock.now - day.start_us) / max(1, day.end_us - day.start_us)
-        swung = 1 + self.swing * math.sin(self.phase + 2 * math.pi * now_part)
-        if self.stream.uniform() * (1 + self.swing) < swung:
-            self.ask(customer)
-        self.next(customer, life)
-
-    def ask(self, customer: Customer) -> None:
-        kind = min(bisect(self.kinds, self.work.uniform()), len(self.means) - 1)
-        work = max(500.0, self.work.lognormal(self.means[kind], self.cvs[kind]))
-        self.day.clients.ask(customer, kind, work)
-
-    def change(self, factor: float) -> None:
-        """All traffic is so many times the usual one from now on."""
-        self.factor = factor
+        elapsed_share = (run.clock.now - run.start_us) / max(1, run.end_us - run.start_us)
+        swing_factor = 1 + self.swing * math.sin(self.phase + 2 * math.pi * elapsed_share)
+        if self.stream.uniform() * (1 + self.swing) < swing_factor:
+            self.start_operation(customer)
+        self.schedule_arrival(customer, epoch)
+
+    def start_operation(self, customer: Customer) -> None:
+        """Draw the class and the work of an operation, and start it."""
+        kind = min(bisect(self.cumulative_shares, self.work.uniform()), len(self.means) - 1)
+        work_us = max(500.0, self.work.lognormal(self.means[kind], self.cvs[kind]))
+        self.run.clients.start_operation(customer, kind, work_us)
+
+    def set_load_factor(self, factor: float) -> None:
+        """Multiply the usual rates of all customers by a factor from now on."""
+        self.load_factor = factor
         for customer in self.customers:
-            self.follow(customer)
+            self.restart_arrivals(customer)
--- a/thistletrail/simulation/clock.py
+++ b/thistletrail/simulation/clock.py
@@ -8,10 +8,10 @@
 
 
 class Clock:
-    """Calls what is due, in order of time and, at one time, of having been asked for.
+    """Makes scheduled calls in order of time; calls due at the same time, in the order of scheduling.
 
-    `now` starts at `start_us` and only moves forward. There is no taking back: whoever asks checks, when
-    called, whether it still matters.
+    `now`, in microseconds, starts at `start_us` and only moves forward. A scheduled call cannot be cancelled:
+    the callee checks whether it still matters.
     """
 
     __slots__ = ("calls", "heap", "now", "serial")
@@ -21,16 +21,16 @@
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, time_us: int, call: Callable[..., None], *args: object) -> None:
-        """Call at that time, or as the next thing where it has passed."""
+        """Schedule a call; if `time_us` has passed, it is made at the present time."""
         self.serial += 1
         heapq.heappush(self.heap, (max(time_us, self.now), self.serial, call, args))
 
     def after(self, delay_us: float, call: Callable[..., None], *args: object) -> None:
-        """Call in so many microseconds; a part of one counts as none."""
+        """Schedule a call after a delay, which is rounded down to whole microseconds."""
         self.at(self.now + int(delay_us), call, *args)
 
     def run(self, until_us: int) -> None:
-        """Let time pass; events due at `until_us` itself happen."""
+        """Make all calls that are due up to and including `until_us`, and set the time to it."""
         heap, pop = self.heap, heapq.heappop
         while heap and heap[0][0] <= until_us:
             self.now, _, call, args = pop(heap)
--- a/thistletrail/simulation/day.py
+++ b/thistletrail/simulation/day.py
@@ -8,19 +8,19 @@
 import msgspec
 
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
-from thistletrail.simulation.books import WEIGHTS, Books
-from thistletrail.simulation.catalog import Catalog
+from thistletrail.simulation.books import WEIGHTS, Accounting
+from thistletrail.simulation.catalog import EndpointList
 from thistletrail.simulation.clients import Clients, Demand, PlanFigures
 from thistletrail.simulation.clock import MS, Clock, S
-from thistletrail.simulation.doors import GRACE_US, Door
-from thistletrail.simulation.kept import Kept
-from thistletrail.simulation.leased import Leases
+from thistletrail.simulation.doors import ANSWER_GRACE_US, Gateway
+from thistletrail.simulation.kept import Takeover
+from thistletrail.simulation.leased import BudgetLeases
 from thistletrail.simulation.network import Network
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.servers import ScanServer, Traits
-from thistletrail.simulation.service import Way, way_back
+from thistletrail.simulation.service import Recovery, measure_recovery
 from thistletrail.simulation.streams import Stream
-from thistletrail.simulation.troubles import Troubles
+from thistletrail.simulation.troubles import FaultInjector
 
 START_US = 1_000 * S  # when a run begins: a start time of 0 means long ago
 TAIL_S = 1.0  # after the last possible end of a request
@@ -51,19 +51,19 @@
         self.clock = Clock(START_US)
         self.start_us = START_US
         self.end_us = START_US + round(scenario.length_s * S)
-        self.books = Books(
+        self.books = Accounting(
             tuple(rule.name for rule in scenario.classes), tuple(plan.name for plan in scenario.plans)
         )
         self.traits = Traits(scenario, self.streams["servers"])
         self.attempt_noise = self.streams["work"].span(NOISE)
         self.network = Network(self, self.clock, scenario.net, self.streams["net"])
         self.plans = [PlanFigures(plan, scenario.stretch, self.streams["demand"]) for plan in scenario.plans]
-        self.catalog = Catalog(self)
+        self.catalog = EndpointList(self)
         self.servers: dict[str, ScanServer] = {}
         self.gone_silent: set[str] = set()
-        self.kept, self.heirs = Kept(self), itertools.count(1)
-        self.leases = Leases(self)
-        self.doors = [Door(self, number, number % scenario.net.zones) for number in range(scenario.doors)]
+        self.kept, self.heirs = Takeover(self), itertools.count(1)
+        self.leases = BudgetLeases(self)
+        self.doors = [Gateway(self, number, number % scenario.net.zones) for number in range(scenario.doors)]
         self.clients = Clients(self, scenario.clients, self.streams["clients"])
         self.demand = Demand(self)
         for number in range(scenario.servers.count):
@@ -137,7 +137,7 @@
             late_fail_price=scenario.prices.late_fail,
             message_price=scenario.prices.peer,
             probe_price=scenario.prices.probe,
-            answer_grace_us=GRACE_US,
+            answer_grace_us=ANSWER_GRACE_US,
             ask_within_us=10 * S,
             cold_capacity=scenario.cold_from,
             warm_up_us=round(scenario.warm_within_s * S),
@@ -149,20 +149,20 @@
 
     # --- a run ---
 
-    def play(self) -> Books:
+    def play(self) -> Accounting:
         """Play the day to its end: until the last request's time is up and a little more."""
         for door in self.doors:
             door.start()
         capacity = sum(server.traits.cores * server.speed for server in self.servers.values())
         self.demand.begin(capacity)
-        Troubles(self).begin()
+        FaultInjector(self).begin()
         self.clock.after(S, self.tick)
         self.clock.run(self.end_us + max(self.clients.deadlines) + round(TAIL_S * S))
         self.check_falls()
         for customer in self.demand.customers:
             for store in (customer.account.quota, customer.account.ceiling):
                 if store and store.level > store.burst + 1e-9:
-                    self.books.broke("a store above its burst", f"customer {customer.name}")
+                    self.books.record_violation("a store above its burst", f"customer {customer.name}")
         return self.books
 
     def tick(self) -> None:
@@ -172,27 +172,29 @@
     def check_falls(self) -> None:
         """A cold server pushed over by doors that had been told of its start breaks the rule."""
         for server in self.servers.values():
-            if not server.fallen:
+            if not server.has_collapsed:
                 continue
             told = sum(
-                work for door, work in server.sent_by.items() if server.name in self.doors[door].told_start
+                work
+                for door, work in server.work_by_gateway.items()
+                if server.name in self.doors[door].start_known_us
             )
-            if told >= 2 / 3 * sum(server.sent_by.values()):
-                self.books.broke("a cold server was pushed over", server.name)
+            if told >= 2 / 3 * sum(server.work_by_gateway.values()):
+                self.books.record_violation("a cold server was pushed over", server.name)
 
     # --- figures ---
 
     def prices(self) -> dict[str, float]:
         """What comes off the result, as the operators' page on prices words it."""
         books, price = self.books, self.scenario.prices
-        asks, offered = max(1, books.asks), sum(books.offered.values()) or 1.0
+        asks, offered = max(1, books.operations), sum(books.offered.values()) or 1.0
         worked = sum(server.worked_us for server in self.servers.values())
         useful = sum(server.useful_us for server in self.servers.values())
         return {
             "over_quota": sum(books.over_cost.values()) / offered,
             "handshake": price.handshake * books.handshakes / asks,
             "peer": price.peer * books.peer_bytes / 256 / asks,
-            "cross_zone": price.cross_zone * books.crossed / asks,
+            "cross_zone": price.cross_zone * books.cross_zone_attempts / asks,
             "late_fail": price.late_fail * books.late_fail / offered,
             "waste": price.waste * max(0.0, worked - useful) / max(1.0, worked),
         }
@@ -214,26 +216,26 @@
             "plans": plans,
             "classes": {name: books.share(kind=number) for number, name in enumerate(books.classes)},
             "prices": prices,
-            "asks": books.asks,
-            "tries": books.tries,
+            "asks": books.operations,
+            "tries": books.requests,
             "attempts": books.attempts,
             "handshakes": books.handshakes,
-            "ends": dict(sorted(books.ends.items())),
+            "ends": dict(sorted(books.results.items())),
             "refused": books.by_cause(books.refused),
             "over": books.by_cause(books.over),
             "over_cost": dict(sorted(books.over_cost.items())),
-            "units_sent": books.sent,
-            "units_beyond": books.beyond,
+            "units_sent": books.units_sent,
+            "units_beyond": books.units_beyond,
             "offered": sum(books.offered.values()),
             "earned": sum(books.earned.values()),
             "lost": dict(sorted(books.lost.items())),
             "messages": books.by_cause(books.messages),
             "peer_bytes": books.peer_bytes,
             "kept": self.kept.result(),
-            "leases": self.leases.asks,
+            "leases": self.leases.renewals,
             "zones": books.zones,
             "outcomes": dict(sorted(books.outcomes.items())),
-            "broken": dict(sorted(books.breaks.items())),
+            "broken": dict(sorted(books.violation_counts.items())),
             "sums": books.check(),
             "events": self.clock.calls,
         }
@@ -244,23 +246,25 @@
         at_us = round(min(trouble.at_s for trouble in self.scenario.troubles) * S)
         length_us = self.end_us - self.start_us
 
-        def back(from_us: int) -> Way:
-            return way_back(books.points, usual.points, from_us, length_us)
+        def back(from_us: int) -> Recovery:
+            return measure_recovery(books.points, usual.points, from_us, length_us)
 
         found = back(at_us)
         return {
             "full_s": found.full_s,
             "worst_second": found.worst_second,
             "lost": found.lost,
-            "full_after_back_s": back(books.last_back_us).full_s if books.last_back_us >= at_us else None,
-            "came_back": books.last_back_us >= at_us,
+            "full_after_back_s": back(books.last_restart_us).full_s
+            if books.last_restart_us >= at_us
+            else None,
+            "came_back": books.last_restart_us >= at_us,
             "left_s": (length_us - at_us) / S,
-            "opened": max(books.opened.values(), default=0),
-            "opened_calm": max(usual.opened.values(), default=0),
-            "fallen": sum(server.fallen for server in self.servers.values()),
-            "beyond": books.beyond,
-            "beyond_calm": usual.beyond,
-            "tries_an_ask": books.tries / max(1, books.asks),
+            "opened": max(books.handshakes_by_second.values(), default=0),
+            "opened_calm": max(usual.handshakes_by_second.values(), default=0),
+            "fallen": sum(server.has_collapsed for server in self.servers.values()),
+            "beyond": books.units_beyond,
+            "beyond_calm": usual.units_beyond,
+            "tries_an_ask": books.requests / max(1, books.operations),
         }
 
     def lines(self, **more: object) -> Iterator[bytes]:
@@ -299,12 +303,12 @@
                     "zone": server.zone,
                     "served": server.served,
                     "busy": server.worked_us / (self.traits.cores * (self.end_us - self.start_us)),
-                    "fallen": server.fallen,
+                    "fallen": server.has_collapsed,
                 }
             )
-        for second, rule, where in books.broken:
+        for second, rule, where in books.violations:
             yield line({"kind": "broken", "at": second, "rule": rule, "where": where})
-        for second, door, text in books.logged:
+        for second, door, text in books.log_lines:
             yield line({"kind": "log", "at": second, "door": door, "text": text})
         yield line({**self.result(), **more})
 
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -1,8 +1,9 @@
-"""A front door in the model: the real decision module, its timers, and its connections to scan servers.
+"""A simulated gateway: the real policy engine, its timers, and its connections to scan servers.
 
-It does what the gateway process does with the module's actions, as far as time and load go: one command at a
-time on a connection, an attempt's connection given up with it, the newest timer of a token only, one outcome
-for each attempt. Each action is held against the rules of the wire page before it is carried out.
+As far as time and load go, it carries out the engine's actions as the gateway process does: a connection
+carries one command at a time, an attempt that is given up closes its connection, only the newest timer of a
+token fires, and each attempt has one outcome. Each action is checked against the rules of the wire page
+before it is carried out.
 """
 
 from __future__ import annotations
@@ -43,21 +44,27 @@
     TimerFired,
 )
 from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
-from thistletrail.simulation.clients import Try
+from thistletrail.simulation.clients import ClientRequest
 from thistletrail.simulation.clock import MS, S
 from thistletrail.simulation.servers import ScanServer, Work
-from thistletrail.simulation.watched import Decided, DecisionRecorder
+from thistletrail.simulation.watched import DecisionRecorder, RequestDecision
 
 if TYPE_CHECKING:
     from thistletrail.simulation.day import Day
-    from thistletrail.simulation.kept import Piece
-
-IDLE_PART = 0.5  # of a server's idle time after which a door closes: as the gateway process does
-SWEEP_US = S  # how often idle connections are looked through
-LIST_AFTER_START_US = 20 * MS  # for the agent's first answer; the known list is there at once
-INTAKE_DEPTH = 0.5  # seconds of the intake that may come at once (ours: the pages say only how many a second)
-GRACE_US = 8 * MS  # after a try's time in which its final answer still counts: the site's settings
-RULE_SLACK_US = 50 * MS  # the protocol page's, on each time limit
+    from thistletrail.simulation.kept import WorkItem
+
+# A gateway closes a connection that has been idle for this share of the server's idle time-out, as the
+# gateway process does.
+IDLE_TIMEOUT_SHARE = 0.5
+IDLE_SWEEP_INTERVAL_US = S
+# The first answer of the registry. The cached endpoint list is there at once.
+FIRST_LIST_DELAY_US = 20 * MS
+# The burst that a gateway takes in, in seconds of its rate. The pages state only the rate.
+PEER_INTAKE_BURST_S = 0.5
+# The site's settings: a final answer still counts this long after the request's deadline.
+ANSWER_GRACE_US = 8 * MS
+# The protocol page allows this much on each time limit.
+TIME_LIMIT_SLACK_US = 50 * MS
 
 RESULTS = {
     "served": AttemptResult.OK,
@@ -68,478 +75,548 @@
 
 
 class Attempt:
-    """One attempt at a door: `over` once its outcome was told, `whole` once it came whole to the server."""
-
-    __slots__ = ("connected", "number", "over", "sent_us", "server", "target", "whole", "work")
-
-    def __init__(self, number: int, server: str, target: ScanServer | None, sent_us: int) -> None:
-        self.number, self.server, self.target, self.sent_us = number, server, target, sent_us
-        self.connected = self.over = self.whole = False
+    """One attempt of a gateway at a scan server.
+
+    `is_over` is set once its outcome has been reported to the engine, `is_fully_sent` once the server has
+    received all of the request. `server` is None for a name that no server has.
+    """
+
+    __slots__ = (
+        "is_connected",
+        "is_fully_sent",
+        "is_over",
+        "number",
+        "sent_us",
+        "server",
+        "server_name",
+        "work",
+    )
+
+    def __init__(self, number: int, server_name: str, server: ScanServer | None, sent_us: int) -> None:
+        self.number, self.server_name, self.server, self.sent_us = number, server_name, server, sent_us
+        self.is_connected = self.is_over = self.is_fully_sent = False
         self.work: Work | None = None
 
 
-class Open:
-    """A request that the door has taken, until its answer, and until its last attempt has ended."""
-
-    __slots__ = ("answered", "attempts", "end_us", "grouped", "out", "proven", "since_us", "try_")
-
-    def __init__(self, try_: Try, end_us: int) -> None:
-        self.try_, self.end_us = try_, end_us
-        self.attempts = self.proven = 0  # attempts begun, and those proven never to have run
-        self.out: dict[int, Attempt] = {}
-        self.answered = False
-        self.grouped: ScanServer | None = None  # where it may first have run, since when
-        self.since_us = 0
-
-
-class Door:
-    """One front door, dead or alive; all its knowledge goes with its process."""
-
-    def __init__(self, day: Day, number: int, zone: int) -> None:
-        self.day, self.number, self.zone = day, number, zone
-        self.gateway: PolicyEngine | None = None
-        self.decisions = DecisionRecorder()
-        self.life = 0  # counts starts and ends: what was asked in an earlier life is void
+class OpenRequest:
+    """A request that the gateway has received, until it is answered and its last attempt has ended."""
+
+    __slots__ = (
+        "attempts_not_run",
+        "attempts_started",
+        "end_us",
+        "first_sent_us",
+        "first_server",
+        "in_flight",
+        "is_answered",
+        "request",
+    )
+
+    def __init__(self, request: ClientRequest, end_us: int) -> None:
+        self.request, self.end_us = request, end_us
+        # `attempts_not_run` counts those attempts that are known not to have run at a server.
+        self.attempts_started = self.attempts_not_run = 0
+        self.in_flight: dict[int, Attempt] = {}
+        self.is_answered = False
+        # The first server at which the request may have run, and since when.
+        self.first_server: ScanServer | None = None
+        self.first_sent_us = 0
+
+
+class Gateway:
+    """One gateway, running or stopped. Its state is lost with its process, except for a stored snapshot."""
+
+    def __init__(self, run: Day, number: int, zone: int) -> None:
+        self.run, self.number, self.zone = run, number, zone
+        self.engine: PolicyEngine | None = None
+        self.recorder = DecisionRecorder()
+        # Counts starts and stops. A scheduled call carries the present epoch and is void in a later one.
+        self.epoch = 0
         self.started_us = 0
-        self.intake, self.intake_at = 0.0, 0
-        self.stored: tuple[int, PolicySnapshot] | None = (
-            None  # outlives the process: when it was made, and what
-        )
-        self.list_lag_us = day.streams["lists"].span(day.scenario.net.list_spread_ms) * MS
+        # Fill level of the intake of peer messages, and the time at which it was computed.
+        self.intake_level, self.intake_updated_us = 0.0, 0
+        # Time and content of the last stored snapshot. It outlives the process.
+        self.stored_snapshot: tuple[int, PolicySnapshot] | None = None
+        self.list_lag_us = run.streams["lists"].span(run.scenario.net.list_spread_ms) * MS
         self.reset()
 
     def reset(self) -> None:
-        self.open: dict[str, Open] = {}
-        self.timers: dict[int, int] = {}  # by token: the serial number of the one set last
-        self.pools: dict[str, list[int]] = {}  # idle connections by server: since when each
-        self.told: dict[str, int] = {}  # servers that drain or have gone, and since when that is known here
-        self.named: set[str] = set()
-        self.told_start: dict[str, int] = {}
+        """Forget everything that belongs to one process."""
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.timer_serials: dict[int, int] = {}  # by token: the serial number of the newest timer
+        self.idle_connections: dict[str, list[int]] = {}  # by server: the time at which each became idle
+        self.leaving_since_us: dict[str, int] = {}  # when the gateway learned that a server drains or is gone
+        self.listed_servers: set[str] = set()  # all names that any endpoint list has had
+        self.start_known_us: dict[str, int] = {}  # when the gateway learned that a server is up
 
     @property
-    def alive(self) -> bool:
-        return self.gateway is not None
+    def is_alive(self) -> bool:
+        return self.engine is not None
 
-    # --- its life ---
+    # --- life cycle ---
 
     def start(self) -> None:
-        """A fresh process with nothing but the last list of servers."""
-        day = self.day
-        self.life += 1
-        self.started_us = day.clock.now
+        """Start a new process that has the cached endpoint list and, if there is one, a recent snapshot."""
+        run = self.run
+        self.epoch += 1
+        self.started_us = run.clock.now
         self.reset()
-        self.intake, self.intake_at = 0.0, day.clock.now
-        self.decisions = DecisionRecorder()
-        self.gateway = PolicyEngine(day.settings(self.number, self.zone), self.decisions)
-        self.hear(day.catalog.saved(self.life > 1))
-        self.recall()
-        day.clock.after(LIST_AFTER_START_US, self.first_list, self.life)
-        day.clock.after(SWEEP_US, self.sweep, self.life)
-        if day.scenario.stored:
-            self.store_later()
-        day.leases.start(self)
-
-    def recall(self) -> None:
-        """What the process before this one stored, where that is young enough."""
-        if self.stored is None:
+        self.intake_level, self.intake_updated_us = 0.0, run.clock.now
+        self.recorder = DecisionRecorder()
+        self.engine = PolicyEngine(run.settings(self.number, self.zone), self.recorder)
+        self.on_endpoint_update(run.catalog.cached_list(self.epoch > 1))
+        self.restore_snapshot()
+        run.clock.after(FIRST_LIST_DELAY_US, self.receive_first_list, self.epoch)
+        run.clock.after(IDLE_SWEEP_INTERVAL_US, self.sweep_idle_connections, self.epoch)
+        if run.scenario.stored:
+            self.schedule_snapshot()
+        run.leases.start(self)
+
+    def restore_snapshot(self) -> None:
+        """Pass the snapshot of the previous process to the engine unless it is too old."""
+        if self.stored_snapshot is None:
             return
-        at, memory = self.stored
-        age = self.day.clock.now - at
-        if age <= MAX_AGE_S * S:
-            self.handle(SnapshotFound(memory, age))
+        stored_us, snapshot = self.stored_snapshot
+        age_us = self.run.clock.now - stored_us
+        if age_us <= MAX_AGE_S * S:
+            self.handle(SnapshotFound(snapshot, age_us))
 
-    def store_later(self) -> None:
-        wait = SAVE_INTERVAL_S * self.day.streams["stored"].between(1 - SAVE_JITTER, 1 + SAVE_JITTER)
-        self.day.clock.after(round(wait * S), self.store, self.life)
+    def schedule_snapshot(self) -> None:
+        interval_s = SAVE_INTERVAL_S * self.run.streams["stored"].between(1 - SAVE_JITTER, 1 + SAVE_JITTER)
+        self.run.clock.after(round(interval_s * S), self.store_snapshot, self.epoch)
 
-    def store(self, life: int) -> None:
-        """A snapshot now and then."""
-        if life == self.life:
-            self.stored = self.day.clock.now, self.gateway.snapshot()
-            self.store_later()
+    def store_snapshot(self, epoch: int) -> None:
+        """Store a snapshot and schedule the next one."""
+        if epoch == self.epoch:
+            self.stored_snapshot = self.run.clock.now, self.engine.snapshot()
+            self.schedule_snapshot()
 
-    def first_list(self, life: int) -> None:
-        if life == self.life:
-            self.hear(self.day.catalog.whole())
+    def receive_first_list(self, epoch: int) -> None:
+        if epoch == self.epoch:
+            self.on_endpoint_update(self.run.catalog.full_list())
 
     def stop(self) -> None:
-        """The process is killed: its connections are reset, at servers and to clients."""
-        if self.gateway is None:
+        """Kill the process: its connections to servers and clients are reset."""
+        if self.engine is None:
             return
-        self.life += 1
-        self.gateway = None
-        for name, pool in self.pools.items():
-            if server := self.day.servers.get(name):
+        self.epoch += 1
+        self.engine = None
+        for name, pool in self.idle_connections.items():
+            if server := self.run.servers.get(name):
                 for _ in pool:
                     server.disconnect()
-        opened, self.open = self.open, {}
-        for state in opened.values():
-            if not state.answered:
-                self.day.kept.lost(state)
-            for attempt in state.out.values():
-                self.release(attempt, keep=False)
-            if not state.answered:
-                self.day.clients.door_died(state.try_)
+        open_requests, self.open_requests = self.open_requests, {}
+        for state in open_requests.values():
+            if not state.is_answered:
+                self.run.kept.add_lost(state)
+            for attempt in state.in_flight.values():
+                self.release_connection(attempt, keep=False)
+            if not state.is_answered:
+                self.run.clients.gateway_died(state.request)
 
     def drain(self, left_us: int) -> None:
-        """SIGTERM: no request, open or new, lasts longer than `left_us`."""
-        if self.gateway is not None:
-            for state in self.open.values():
-                state.end_us = min(state.end_us, self.day.clock.now + left_us)
+        """Start a graceful shutdown (SIGTERM) in which no request takes longer than `left_us`."""
+        if self.engine is not None:
+            for state in self.open_requests.values():
+                state.end_us = min(state.end_us, self.run.clock.now + left_us)
             self.handle(ShutdownStarted(left_us))
 
-    def sweep(self, life: int) -> None:
-        """Close what has stood idle, and forget the pools of servers that have gone."""
-        if life != self.life:
+    def sweep_idle_connections(self, epoch: int) -> None:
+        """Close connections that have been idle for too long, and drop the pools of servers that are gone."""
+        if epoch != self.epoch:
             return
-        clock, servers = self.day.clock, self.day.servers
-        oldest = clock.now - self.day.traits.idle_us * IDLE_PART
-        for name in list(self.pools):
+        clock, servers = self.run.clock, self.run.servers
+        oldest_us = clock.now - self.run.traits.idle_us * IDLE_TIMEOUT_SHARE
+        for name in list(self.idle_connections):
             server = servers.get(name)
-            pool = self.pools[name]
-            kept = [since for since in pool if since > oldest] if server and server.alive else []
-            if server and server.alive:
+            pool = self.idle_connections[name]
+            kept = (
+                [since_us for since_us in pool if since_us > oldest_us] if server and server.is_alive else []
+            )
+            if server and server.is_alive:
                 for _ in range(len(pool) - len(kept)):
                     server.disconnect()
             if kept:
-                self.pools[name] = kept
+                self.idle_connections[name] = kept
             else:
-                del self.pools[name]
-        clock.after(SWEEP_US, self.sweep, life)
+                del self.idle_connections[name]
+        clock.after(IDLE_SWEEP_INTERVAL_US, self.sweep_idle_connections, epoch)
 
-    # --- what comes in ---
+    # --- events ---
 
     def handle(self, event: Event) -> None:
-        gateway = self.gateway
-        if gateway is None:
+        """Pass an event to the engine and carry out its actions; do nothing while the gateway is stopped."""
+        engine = self.engine
+        if engine is None:
             return
-        for action in gateway.handle(self.day.clock.now, event):
+        for action in engine.handle(self.run.clock.now, event):
             ACTIONS[type(action)](self, action)
 
-    def hear(self, news: EndpointUpdate) -> None:
-        now = self.day.clock.now
-        whole = news.kind is not EndpointUpdateKind.CHANGES
-        listed = {entry.name for entry in news.servers}
-        for entry in news.servers:
-            self.named.add(entry.name)
+    def on_endpoint_update(self, update: EndpointUpdate) -> None:
+        """Record which servers the gateway knows to be up or leaving, and pass the update to the engine."""
+        now_us = self.run.clock.now
+        is_full_list = update.kind is not EndpointUpdateKind.CHANGES
+        listed = {entry.name for entry in update.servers}
+        for entry in update.servers:
+            self.listed_servers.add(entry.name)
             if entry.state is ServerState.UP:
-                self.told.pop(entry.name, None)
-                self.told_start[entry.name] = now
+                self.leaving_since_us.pop(entry.name, None)
+                self.start_known_us[entry.name] = now_us
             else:
-                self.told.setdefault(entry.name, now)
-        if whole:
-            for name in self.named - listed:
-                self.told.setdefault(name, now)
-        self.handle(news)
-
-    def datagram(self, sender: int, data: bytes) -> None:
-        """A peer's message that has arrived; the intake drops what comes faster than it takes in."""
-        day, rate = self.day, self.day.scenario.net.peer_per_s
-        if self.gateway is None:
-            day.books.message("to a dead door")
+                self.leaving_since_us.setdefault(entry.name, now_us)
+        if is_full_list:
+            for name in self.listed_servers - listed:
+                self.leaving_since_us.setdefault(name, now_us)
+        self.handle(update)
+
+    def receive_datagram(self, sender: int, data: bytes) -> None:
+        """Handle a peer's datagram; drop it if datagrams arrive faster than the intake allows."""
+        run, rate = self.run, self.run.scenario.net.peer_per_s
+        if self.engine is None:
+            run.books.count_message("to a dead door")
             return
-        now = day.clock.now
-        self.intake = max(0.0, self.intake - (now - self.intake_at) * rate / S)
-        self.intake_at = now
-        if self.intake + 1 > max(1.0, rate * INTAKE_DEPTH):
-            day.books.message("intake full")
+        now_us = run.clock.now
+        self.intake_level = max(0.0, self.intake_level - (now_us - self.intake_updated_us) * rate / S)
+        self.intake_updated_us = now_us
+        if self.intake_level + 1 > max(1.0, rate * PEER_INTAKE_BURST_S):
+            run.books.count_message("intake full")
             return
-        self.intake += 1
-        day.books.message("arrived", len(data))
+        self.intake_level += 1
+        run.books.count_message("arrived", len(data))
         datagram = unpack_datagram(data)
         if datagram is not None:
             self.handle(PeerMessageReceived(sender, datagram.quota_messages, datagram.digest))
 
-    def request(self, try_: Try) -> None:
-        """A client's try; a door that has died resets it."""
-        if self.gateway is None:
-            self.day.clients.unreached(try_)
+    def receive_request(self, request: ClientRequest) -> None:
+        """Handle a client's request. The connection to a stopped gateway is refused."""
+        if self.engine is None:
+            self.run.clients.unreached(request)
             return
-        if self.day.kept.meets(try_):
+        if self.run.kept.handle_retry(request):
             return
-        now = self.day.clock.now
-        left = max(0, try_.end_us - now - int(self.day.scenario.net.way_ms * MS))
-        self.open[try_.id] = Open(try_, now + left)
-        ask = try_.ask
-        customer = ask.customer
+        now_us = self.run.clock.now
+        left_us = max(0, request.end_us - now_us - int(self.run.scenario.net.way_ms * MS))
+        self.open_requests[request.id] = OpenRequest(request, now_us + left_us)
+        operation = request.operation
+        customer = operation.customer
         self.handle(
             RequestArrived(
-                try_.id,
-                ask.kind,
+                request.id,
+                operation.kind,
                 customer.plan,
                 customer.name,
-                left,
+                left_us,
                 1.0,
                 customer.size,
                 customer.first,
                 False,
-                self.day.scenario.classes[ask.kind].keyed,
+                self.run.scenario.classes[operation.kind].keyed,
             )
         )
 
-    def inherit(self, piece: Piece) -> None:
-        """Go on with the work of a dead door."""
-        until = self.day.kept.until_us(piece)
-        try_ = Try(f"{piece.ask.customer.name}.{next(self.day.heirs)}", piece.ask, self, until)
-        try_.heir, try_.booked, try_.inside = piece, True, piece.inside
-        self.go_on(try_, until, piece.server)
-
-    def go_on(self, try_: Try, end_us: int, server: ScanServer) -> None:
-        """Take work that another door has admitted, and that may have run at a scan server."""
-        ask, now = try_.ask, self.day.clock.now
-        customer = ask.customer
-        self.open[try_.id] = Open(try_, end_us)
-        known = server.name if server.name in self.named else self.like(server)
+    def take_over(self, item: WorkItem) -> None:
+        """Continue a work item of a gateway that has died."""
+        end_us = self.run.kept.end_us(item)
+        request = ClientRequest(
+            f"{item.operation.customer.name}.{next(self.run.heirs)}", item.operation, self, end_us
+        )
+        request.work_item, request.is_charged, request.is_in_quota = item, True, item.is_in_quota
+        self.resume_request(request, end_us, item.server)
+
+    def resume_request(self, request: ClientRequest, end_us: int, server: ScanServer) -> None:
+        """Handle a request that another gateway has admitted and that may have run at `server`."""
+        operation, now_us = request.operation, self.run.clock.now
+        customer = operation.customer
+        self.open_requests[request.id] = OpenRequest(request, end_us)
+        known_server = (
+            server.name if server.name in self.listed_servers else self.listed_server_of_zone(server)
+        )
         self.handle(
             RequestArrived(
-                try_.id,
-                ask.kind,
+                request.id,
+                operation.kind,
                 customer.plan,
                 customer.name,
-                max(0, end_us - now),
+                max(0, end_us - now_us),
                 1.0,
                 customer.size,
                 customer.first,
                 False,
                 True,
                 is_taken_over=True,
-                ran_on_server=known,
+                ran_on_server=known_server,
             )
         )
 
-    def like(self, server: ScanServer) -> str:
-        """Another scan server of its zone that this door knows."""
-        servers = self.day.servers
+    def listed_server_of_zone(self, server: ScanServer) -> str:
+        """Return the name of a server in the zone of `server` that this gateway knows, or ""."""
+        servers = self.run.servers
         return next(
-            (name for name in sorted(self.named) if name in servers and servers[name].zone == server.zone), ""
+            (
+                name
+                for name in sorted(self.listed_servers)
+                if name in servers and servers[name].zone == server.zone
+            ),
+            "",
         )
 
-    def client_gone(self, try_: Try) -> bool:
-        """Its client gives up: whether an answer was still owed."""
-        state = self.open.get(try_.id)
-        if state is None or state.answered or self.gateway is None:
+    def client_gone(self, request: ClientRequest) -> bool:
+        """Handle a client that disconnects. Return whether it was still owed an answer."""
+        state = self.open_requests.get(request.id)
+        if state is None or state.is_answered or self.engine is None:
             return False
-        if self.day.clock.now > state.end_us + GRACE_US:
-            self.day.books.broke("no answer in time", f"door {self.number}, request {try_.id}")
-        state.answered = True
-        if not state.out:
-            del self.open[try_.id]
-        self.handle(ClientDisconnected(try_.id))
-        self.decisions.seen.pop(try_.id, None)
+        if self.run.clock.now > state.end_us + ANSWER_GRACE_US:
+            self.run.books.record_violation("no answer in time", f"door {self.number}, request {request.id}")
+        state.is_answered = True
+        if not state.in_flight:
+            del self.open_requests[request.id]
+        self.handle(ClientDisconnected(request.id))
+        self.recorder.by_request.pop(request.id, None)
         return True
 
     # --- actions ---
 
     def set_timer(self, action: SetTimer) -> None:
-        serial = self.timers[action.token] = self.timers.get(action.token, 0) + 1
-        self.day.clock.after(action.delay_us, self.ring, self.life, action.token, serial)
+        serial = self.timer_serials[action.token] = self.timer_serials.get(action.token, 0) + 1
+        self.run.clock.after(action.delay_us, self.fire_timer, self.epoch, action.token, serial)
 
-    def ring(self, life: int, token: int, serial: int) -> None:
-        if life == self.life and self.timers.get(token) == serial:
+    def fire_timer(self, epoch: int, token: int, serial: int) -> None:
+        if epoch == self.epoch and self.timer_serials.get(token) == serial:
             self.handle(TimerFired(token))
 
-    def tell(self, action: SendPeerMessage) -> None:
+    def send_peer_message(self, action: SendPeerMessage) -> None:
         for data in pack_datagrams(action.quota_messages, action.digest):
-            self.day.network.datagram(self.number, action.peer, data)
+            self.run.network.send_datagram(self.number, action.peer, data)
 
-    def note(self, try_id: str) -> Decided | None:
-        return self.decisions.seen.get(try_id) if self.gateway else None
+    def decision_on(self, request_id: str) -> RequestDecision | None:
+        """Return what the engine has decided on an open request; None if nothing is known."""
+        return self.recorder.by_request.get(request_id) if self.engine else None
 
-    def refuse(self, action: RejectRequest) -> None:
+    def reject_request(self, action: RejectRequest) -> None:
         self.answer(action.id, "refused", action.retry_after_us)
 
-    def fail(self, action: FailRequest) -> None:
+    def fail_request(self, action: FailRequest) -> None:
         self.answer(action.id, "failed", 0)
 
-    def answer(self, name: str, how: str, retry_after_us: int) -> None:
-        state = self.open.get(name)
-        if state is None or state.answered:
-            self.day.books.broke("a second answer", f"door {self.number}, request {name}")
+    def answer(self, request_id: str, result: str, retry_after_us: int) -> None:
+        """Send the client a final answer other than a server's."""
+        state = self.open_requests.get(request_id)
+        if state is None or state.is_answered:
+            self.run.books.record_violation("a second answer", f"door {self.number}, request {request_id}")
             return
-        rule = self.day.scenario.classes[state.try_.ask.kind]
-        if how == "refused" and rule.keyed and state.attempts > state.proven:
-            self.day.books.broke("refused though it may have run", f"door {self.number}, request {name}")
-        state.answered = True
-        if not state.out:
-            del self.open[name]
-        note = self.decisions.seen.pop(name, None)
-        self.day.clients.answered(state.try_, how, retry_after_us, note, self)
-
-    def send(self, action: StartAttempt) -> None:
-        state, day = self.open.get(action.id), self.day
-        now = day.clock.now
-        if state is None or state.answered:
-            day.books.broke("an attempt for a request that is over", f"door {self.number}, {action.id}")
+        request_class = self.run.scenario.classes[state.request.operation.kind]
+        if result == "refused" and request_class.keyed and state.attempts_started > state.attempts_not_run:
+            self.run.books.record_violation(
+                "refused though it may have run", f"door {self.number}, request {request_id}"
+            )
+        state.is_answered = True
+        if not state.in_flight:
+            del self.open_requests[request_id]
+        decision = self.recorder.by_request.pop(request_id, None)
+        self.run.clients.answered(state.request, result, retry_after_us, decision, self)
+
+    def start_attempt(self, action: StartAttempt) -> None:
+        """Send a request to a server, on an idle connection if there is one."""
+        state, run = self.open_requests.get(action.id), self.run
+        now_us = run.clock.now
+        if state is None or state.is_answered:
+            run.books.record_violation(
+                "an attempt for a request that is over", f"door {self.number}, {action.id}"
+            )
             return
-        number, state.attempts = state.attempts, state.attempts + 1
-        server = day.servers.get(action.server)
-        self.check_send(action, state, number, server)
-        if number >= day.scenario.max_attempts or state.end_us <= now:
-            state.proven += 1
-            attempt = Attempt(number, action.server, server, now)
-            state.out[number] = attempt
-            day.clock.after(0, self.outcome, self.life, state, attempt, AttemptResult.NOT_SENT)
+        number, state.attempts_started = state.attempts_started, state.attempts_started + 1
+        server = run.servers.get(action.server)
+        self.check_attempt(action, state, number, server)
+        if number >= run.scenario.max_attempts or state.end_us <= now_us:
+            state.attempts_not_run += 1
+            attempt = Attempt(number, action.server, server, now_us)
+            state.in_flight[number] = attempt
+            run.clock.after(0, self.end_attempt, self.epoch, state, attempt, AttemptResult.NOT_SENT)
             return
-        left = state.end_us - now
-        timeout = min(left, action.timeout_us) if action.timeout_us > 0 else left
-        attempt = state.out[number] = Attempt(number, action.server, server, now)
-        if state.grouped is None or state.attempts - 1 == state.proven:
-            state.grouped, state.since_us = server, now
-        day.books.attempts += 1
-        day.books.crossed += bool(server) and server.zone != self.zone
-        day.clock.after(timeout, self.time_out, self.life, state, attempt)
-        pool = self.pools.get(action.server)
-        if pool and server is not None and server.alive:
+        left_us = state.end_us - now_us
+        timeout_us = min(left_us, action.timeout_us) if action.timeout_us > 0 else left_us
+        attempt = state.in_flight[number] = Attempt(number, action.server, server, now_us)
+        if state.first_server is None or state.attempts_started - 1 == state.attempts_not_run:
+            state.first_server, state.first_sent_us = server, now_us
+        run.books.attempts += 1
+        run.books.cross_zone_attempts += bool(server) and server.zone != self.zone
+        run.clock.after(timeout_us, self.time_out_attempt, self.epoch, state, attempt)
+        pool = self.idle_connections.get(action.server)
+        if pool and server is not None and server.is_alive:
             pool.pop()
-            attempt.connected = True
-            day.network.to_server(self, server, self.arrive, self.life, state, attempt, 0.0)
+            attempt.is_connected = True
+            run.network.to_server(self, server, self.arrive_at_server, self.epoch, state, attempt, 0.0)
             return
-        day.network.handshake(self, server, self.connected, self.life, state, attempt)
+        run.network.handshake(self, server, self.on_handshake_end, self.epoch, state, attempt)
 
-    def check_send(self, action: StartAttempt, state: Open, number: int, server: ScanServer | None) -> None:
-        """The rules of the wire page that an attempt can break."""
-        day, now = self.day, self.day.clock.now
+    def check_attempt(
+        self, action: StartAttempt, state: OpenRequest, number: int, server: ScanServer | None
+    ) -> None:
+        """Check the rules of the wire page that an attempt can break."""
+        run, now_us = self.run, self.run.clock.now
         where = f"door {self.number}, {action.id} to {action.server}"
-        if action.server not in self.named:
-            day.books.broke("a server that no list named", where)
-        told = self.told.get(action.server)
-        if told is not None and now - told > day.scenario.drain_grace_ms * MS + RULE_SLACK_US:
-            day.books.broke("sent to a server that drains or is gone", where)
-        if len(state.out) > 0:
-            day.books.broke("two attempts out at once", where)
-        rule = day.scenario.classes[state.try_.ask.kind]
-        if rule.keyed and number > state.proven and server is not None and state.grouped is not None:
-            if server.zone != state.grouped.zone:
-                day.books.broke("a keyed request sent on to another zone", where)
-            elif now - state.since_us > rule.window_ms * day.scenario.stretch * MS + RULE_SLACK_US:
-                day.books.broke("a keyed request sent after its window", where)
-
-    def connected(self, life: int, state: Open, attempt: Attempt, up: bool) -> None:
-        """A handshake has ended."""
-        server = attempt.target
-        if attempt.over or life != self.life:
-            if up and server is not None:
-                server.disconnect()  # nobody waits for it any more
+        if action.server not in self.listed_servers:
+            run.books.record_violation("a server that no list named", where)
+        leaving_since_us = self.leaving_since_us.get(action.server)
+        grace_us = run.scenario.drain_grace_ms * MS + TIME_LIMIT_SLACK_US
+        if leaving_since_us is not None and now_us - leaving_since_us > grace_us:
+            run.books.record_violation("sent to a server that drains or is gone", where)
+        if len(state.in_flight) > 0:
+            run.books.record_violation("two attempts out at once", where)
+        request_class = run.scenario.classes[state.request.operation.kind]
+        if (
+            request_class.keyed
+            and number > state.attempts_not_run
+            and server is not None
+            and state.first_server is not None
+        ):
+            window_us = request_class.window_ms * run.scenario.stretch * MS + TIME_LIMIT_SLACK_US
+            if server.zone != state.first_server.zone:
+                run.books.record_violation("a keyed request sent on to another zone", where)
+            elif now_us - state.first_sent_us > window_us:
+                run.books.record_violation("a keyed request sent after its window", where)
+
+    def on_handshake_end(self, epoch: int, state: OpenRequest, attempt: Attempt, is_up: bool) -> None:
+        """Send the request on a new connection, or end the attempt if the handshake has failed."""
+        server = attempt.server
+        if attempt.is_over or epoch != self.epoch:
+            if is_up and server is not None:
+                server.disconnect()  # the attempt has ended in the meantime
             return
-        self.day.books.handshake()
-        if not up or server is None:
-            self.outcome(life, state, attempt, AttemptResult.CONNECT_FAILED)
+        self.run.books.count_handshake()
+        if not is_up or server is None:
+            self.end_attempt(epoch, state, attempt, AttemptResult.CONNECT_FAILED)
             return
-        attempt.connected = True
-        self.day.network.to_server(
-            self, server, self.arrive, life, state, attempt, self.day.traits.handshake_us
+        attempt.is_connected = True
+        self.run.network.to_server(
+            self, server, self.arrive_at_server, epoch, state, attempt, self.run.traits.handshake_us
         )
 
-    def arrive(self, life: int, state: Open, attempt: Attempt, extra_us: float) -> None:
-        """Its last byte has come to the server."""
-        if attempt.over or life != self.life or attempt.target is None:
+    def arrive_at_server(self, epoch: int, state: OpenRequest, attempt: Attempt, extra_us: float) -> None:
+        """Hand the request to the server once its last byte has arrived there."""
+        if attempt.is_over or epoch != self.epoch or attempt.server is None:
             return
-        first = not attempt.whole and not state.try_.booked
-        attempt.whole = True
-        if first:
-            state.try_.booked = True
-            self.day.clients.sent_on(state.try_, self)
-        day, server = self.day, attempt.target
+        must_charge = not attempt.is_fully_sent and not state.request.is_charged
+        attempt.is_fully_sent = True
+        if must_charge:
+            state.request.is_charged = True
+            self.run.clients.charge(state.request, self)
+        run, server = self.run, attempt.server
         work = Work(
-            state.try_.ask.work_us * max(0.2, day.streams["work"].lognormal(1.0, day.attempt_noise)),
+            state.request.operation.work_us * max(0.2, run.streams["work"].lognormal(1.0, run.attempt_noise)),
             state.end_us,
-            lambda work, how: self.ran(life, server, state, attempt, work, how),
+            lambda work, result: self.on_server_done(epoch, server, state, attempt, work, result),
         )
         attempt.work = work
         server.accept(work, self.number, extra_us)
 
-    def ran(self, life: int, server: ScanServer, state: Open, attempt: Attempt, work: Work, how: str) -> None:
-        """It has ended at its server, whoever hears of that."""
-        ask = state.try_.ask
-        if how != "full" and self.day.scenario.classes[ask.kind].keyed and server.zone not in ask.zones:
-            self.day.books.zones += bool(ask.zones)
-            ask.zones |= {server.zone}
-        self.day.network.from_server(self, server, how, self.answered_by, life, state, attempt, work, how)
-
-    def answered_by(self, life: int, state: Open, attempt: Attempt, work: Work, how: str) -> None:
-        """A server's answer, or word that its connection broke, has come back."""
-        if how == "silent" or attempt.over or life != self.life:
-            return
-        if how == "served":
-            attempt.target.useful_us += 0.0 if state.answered else work.work_us
-        self.outcome(life, state, attempt, RESULTS[how])
-
-    def time_out(self, life: int, state: Open, attempt: Attempt) -> None:
-        if attempt.over or life != self.life:
-            return
-        self.outcome(
-            life, state, attempt, AttemptResult.TIMEOUT if attempt.whole else AttemptResult.CONNECT_FAILED
+    def on_server_done(
+        self, epoch: int, server: ScanServer, state: OpenRequest, attempt: Attempt, work: Work, result: str
+    ) -> None:
+        """Count where the request has run, and send the server's answer back over the network."""
+        operation = state.request.operation
+        if (
+            result != "full"
+            and self.run.scenario.classes[operation.kind].keyed
+            and server.zone not in operation.zones
+        ):
+            self.run.books.zones += bool(operation.zones)
+            operation.zones |= {server.zone}
+        self.run.network.from_server(
+            self, server, result, self.receive_answer, epoch, state, attempt, work, result
         )
 
-    def cancel(self, action: CancelAttempt) -> None:
-        state = self.open.get(action.id)
-        attempt = state.out.get(action.attempt) if state else None
-        if attempt and not attempt.over:
-            self.day.clock.after(0, self.outcome, self.life, state, attempt, AttemptResult.CANCELLED)
+    def receive_answer(
+        self, epoch: int, state: OpenRequest, attempt: Attempt, work: Work, result: str
+    ) -> None:
+        """Handle a server's answer or a reset connection."""
+        if result == "silent" or attempt.is_over or epoch != self.epoch:
+            return
+        if result == "served":
+            attempt.server.useful_us += 0.0 if state.is_answered else work.work_us
+        self.end_attempt(epoch, state, attempt, RESULTS[result])
 
-    def release(self, attempt: Attempt, keep: bool) -> None:
-        """Its connection goes back to the pool, or is closed."""
-        server = attempt.target
-        if attempt.connected and server is not None and server.alive:
+    def time_out_attempt(self, epoch: int, state: OpenRequest, attempt: Attempt) -> None:
+        if attempt.is_over or epoch != self.epoch:
+            return
+        result = AttemptResult.TIMEOUT if attempt.is_fully_sent else AttemptResult.CONNECT_FAILED
+        self.end_attempt(epoch, state, attempt, result)
+
+    def cancel_attempt(self, action: CancelAttempt) -> None:
+        state = self.open_requests.get(action.id)
+        attempt = state.in_flight.get(action.attempt) if state else None
+        if attempt and not attempt.is_over:
+            self.run.clock.after(0, self.end_attempt, self.epoch, state, attempt, AttemptResult.CANCELLED)
+
+    def release_connection(self, attempt: Attempt, keep: bool) -> None:
+        """Return an attempt's connection to the pool, or close it."""
+        server = attempt.server
+        if attempt.is_connected and server is not None and server.is_alive:
             if keep:
-                self.pools.setdefault(attempt.server, []).append(self.day.clock.now)
+                self.idle_connections.setdefault(attempt.server_name, []).append(self.run.clock.now)
             else:
                 server.disconnect()
                 if attempt.work and attempt.work.state != "over":
-                    server.leave(attempt.work)
-        attempt.connected = False
+                    server.cancel(attempt.work)
+        attempt.is_connected = False
 
-    def outcome(self, life: int, state: Open, attempt: Attempt, result: AttemptResult) -> None:
-        """An attempt's one end; the first value goes to the client at once."""
-        if attempt.over or life != self.life or self.gateway is None:
+    def end_attempt(self, epoch: int, state: OpenRequest, attempt: Attempt, result: AttemptResult) -> None:
+        """End an attempt once. The first success is sent to the client at once."""
+        if attempt.is_over or epoch != self.epoch or self.engine is None:
             return
-        attempt.over = True
-        day, try_ = self.day, state.try_
-        self.release(
+        attempt.is_over = True
+        run, request = self.run, state.request
+        self.release_connection(
             attempt, keep=result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
         )
-        state.out.pop(attempt.number, None)
-        state.proven += result in (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
-        if state.attempts == state.proven:
-            state.grouped = None
-        day.books.outcomes[result.value] = day.books.outcomes.get(result.value, 0) + 1
-        served = result is AttemptResult.OK and not state.answered
-        over = served or state.answered
-        if served:
-            state.answered = True
-            day.clients.answered(try_, "served", 0, self.decisions.seen.pop(try_.id, None), self)
-        if state.answered and not state.out:
-            self.open.pop(try_.id, None)
+        state.in_flight.pop(attempt.number, None)
+        state.attempts_not_run += result in (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
+        if state.attempts_started == state.attempts_not_run:
+            state.first_server = None
+        run.books.outcomes[result.value] = run.books.outcomes.get(result.value, 0) + 1
+        is_served = result is AttemptResult.OK and not state.is_answered
+        is_request_over = is_served or state.is_answered
+        if is_served:
+            state.is_answered = True
+            decision = self.recorder.by_request.pop(request.id, None)
+            run.clients.answered(request, "served", 0, decision, self)
+        if state.is_answered and not state.in_flight:
+            self.open_requests.pop(request.id, None)
         self.handle(
             AttemptEnded(
-                try_.id, over, attempt.number, attempt.server, result, day.clock.now - attempt.sent_us
+                request.id,
+                is_request_over,
+                attempt.number,
+                attempt.server_name,
+                result,
+                run.clock.now - attempt.sent_us,
             )
         )
 
     def ignore(self, action: Action) -> None:
-        """What the list's watch does in any case, or nobody has use for here."""
+        """Ignore an action: the simulation watches the endpoint list anyway and has no probes or counters."""
 
-    def log(self, action: WriteLog) -> None:
-        self.day.books.log(self.number, action.text)
+    def write_log(self, action: WriteLog) -> None:
+        self.run.books.add_log_line(self.number, action.text)
 
-    def close_idle(self, action: CloseIdleConnections) -> None:
-        server = self.day.servers.get(action.server)
-        for _ in self.pools.pop(action.server, ()):
+    def close_idle_connections(self, action: CloseIdleConnections) -> None:
+        server = self.run.servers.get(action.server)
+        for _ in self.idle_connections.pop(action.server, ()):
             if server:
                 server.disconnect()
 
 
 ACTIONS: dict[type, Callable[..., None]] = {
-    StartAttempt: Door.send,
-    CancelAttempt: Door.cancel,
-    RejectRequest: Door.refuse,
-    FailRequest: Door.fail,
-    SetTimer: Door.set_timer,
-    SendPeerMessage: Door.tell,
-    WriteLog: Door.log,
-    CloseIdleConnections: Door.close_idle,
-    WatchEndpoints: Door.ignore,
-    FetchEndpoints: Door.ignore,
-    ProbeServer: Door.ignore,
-    AddToCounter: Door.ignore,
+    StartAttempt: Gateway.start_attempt,
+    CancelAttempt: Gateway.cancel_attempt,
+    RejectRequest: Gateway.reject_request,
+    FailRequest: Gateway.fail_request,
+    SetTimer: Gateway.set_timer,
+    SendPeerMessage: Gateway.send_peer_message,
+    WriteLog: Gateway.write_log,
+    CloseIdleConnections: Gateway.close_idle_connections,
+    WatchEndpoints: Gateway.ignore,
+    FetchEndpoints: Gateway.ignore,
+    ProbeServer: Gateway.ignore,
+    AddToCounter: Gateway.ignore,
 }
--- a/thistletrail/simulation/kept.py
+++ b/thistletrail/simulation/kept.py
@@ -1,8 +1,8 @@
-"""Work in hand that outlives its door, in the model: what the steward and the doors make of a death.
+"""Simulated takeover: work items outlive the gateway that had them in flight.
 
-Of docs/takeover.md it has: whose the work is, the lease, one taker by chance, the zone, who asks again, and
-answers that are kept. Not in it: the time that the log takes (some milliseconds), the steward's own failures,
-doors that are paused, and bounds.
+Of docs/takeover.md this models who owns a work item, the work lease, a random gateway that takes it over,
+the zone, clients that retry, and results that are kept. It leaves out the time that the log takes (some
+milliseconds), failures of the lease service, paused gateways, and bounds.
 """
 
 from __future__ import annotations
@@ -13,117 +13,123 @@
 from thistletrail.simulation.clock import MS, S
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.clients import Ask, Try
+    from thistletrail.simulation.clients import ClientRequest, Operation
     from thistletrail.simulation.day import Day
-    from thistletrail.simulation.doors import Open
+    from thistletrail.simulation.doors import OpenRequest
     from thistletrail.simulation.servers import ScanServer
 
-LEASE_US = S  # the steward's, for work in hand
-AGAIN_US = 50 * MS  # until it looks anew where nobody is there
-MOST_DEATHS = 2
+LEASE_US = S  # of a work item
+REASSIGN_INTERVAL_US = 50 * MS  # while no gateway is running
+MAX_DEATHS = 2
 
 
-class Piece:
-    """The work of one ask whose door has died."""
+class WorkItem:
+    """The work of one operation whose gateway has died.
 
-    __slots__ = ("ask", "deaths", "end_us", "first_us", "inside", "server", "state", "waiting")
+    `is_in_quota` is that of the one request whose units were charged. `server` is where it may have run.
+    """
 
-    def __init__(self, ask: Ask, first_us: int) -> None:
-        self.ask, self.first_us = ask, first_us
-        self.state = "lost"  # lost, taken, served, free, over
+    __slots__ = ("deaths", "end_us", "first_us", "is_in_quota", "operation", "server", "state", "waiting")
+
+    def __init__(self, operation: Operation, first_us: int) -> None:
+        self.operation, self.first_us = operation, first_us
+        self.state = "lost"  # then "taken", "served", "free" or "over"
         self.deaths = self.end_us = 0
-        self.inside = False  # its units, which are taken once
-        self.server: ScanServer | None = None  # where it may have run
-        self.waiting: list[Try] = []
+        self.is_in_quota = False
+        self.server: ScanServer | None = None
+        self.waiting: list[ClientRequest] = []
 
 
-class Kept:
-    """All work whose door has died, by the ask that it is for."""
+class Takeover:
+    """All work items whose gateway has died, by operation."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, self.on = day, day.scenario.takeover
-        self.pieces: dict[Ask, Piece] = {}
+    def __init__(self, run: Day) -> None:
+        self.run, self.is_enabled = run, run.scenario.takeover
+        self.items: dict[Operation, WorkItem] = {}
         self.counts: Counter[str] = Counter()
-        self.taken: Counter[tuple[int, int]] = Counter()  # by second and door
-
-    def lost(self, state: Open) -> None:
-        """A door has died with this in hand, of which an attempt may have been written."""
-        try_ = state.try_
-        ask, servers = try_.ask, [attempt.target for attempt in state.out.values()]
-        server = state.grouped or next(iter(servers), None)
-        if not self.on or not self.day.scenario.classes[ask.kind].keyed or server is None:
+        self.taken: Counter[tuple[int, int]] = Counter()  # by second and gateway
+
+    def add_lost(self, state: OpenRequest) -> None:
+        """Add a request of a gateway that has died, if an attempt may have reached a server."""
+        request = state.request
+        operation, servers = request.operation, [attempt.server for attempt in state.in_flight.values()]
+        server = state.first_server or next(iter(servers), None)
+        if not self.is_enabled or not self.run.scenario.classes[operation.kind].keyed or server is None:
             return
-        piece = self.pieces.get(ask)
-        if piece is None:
-            piece = self.pieces[ask] = Piece(ask, state.since_us or self.day.clock.now)
-        piece.state, piece.server, piece.inside = "lost", server, try_.inside
-        piece.deaths += 1
-        piece.end_us = max(piece.end_us, state.end_us)
+        item = self.items.get(operation)
+        if item is None:
+            item = self.items[operation] = WorkItem(operation, state.first_sent_us or self.run.clock.now)
+        item.state, item.server, item.is_in_quota = "lost", server, request.is_in_quota
+        item.deaths += 1
+        item.end_us = max(item.end_us, state.end_us)
         self.counts["lost"] += 1
-        self.day.clock.after(LEASE_US, self.look, piece)
+        self.run.clock.after(LEASE_US, self.assign, item)
 
-    def until_us(self, piece: Piece) -> int:
-        rule = self.day.scenario.classes[piece.ask.kind]
-        window = round(rule.window_ms * self.day.scenario.stretch * MS)
-        return min(piece.end_us, piece.first_us + window)
+    def end_us(self, item: WorkItem) -> int:
+        """Return until when an item may be worked on: its deadline, or the end of its window."""
+        request_class = self.run.scenario.classes[item.operation.kind]
+        window_us = round(request_class.window_ms * self.run.scenario.stretch * MS)
+        return min(item.end_us, item.first_us + window_us)
 
-    def look(self, piece: Piece) -> None:
-        """Its owner's lease is over."""
-        if piece.state != "lost":
+    def assign(self, item: WorkItem) -> None:
+        """Assign an item whose work lease has expired to a random gateway, or close it."""
+        if item.state != "lost":
             return
-        there = [door for door in self.day.doors if door.alive]
-        if piece.deaths >= MOST_DEATHS:
-            self.close(piece, "over", "failed")
-        elif self.day.clock.now >= self.until_us(piece):
-            self.close(piece, "free", "refused")
-        elif not there:
-            self.day.clock.after(AGAIN_US, self.look, piece)
+        running = [gateway for gateway in self.run.doors if gateway.is_alive]
+        if item.deaths >= MAX_DEATHS:
+            self.close(item, "over", "failed")
+        elif self.run.clock.now >= self.end_us(item):
+            self.close(item, "free", "refused")
+        elif not running:
+            self.run.clock.after(REASSIGN_INTERVAL_US, self.assign, item)
         else:
-            piece.state = "taken"
-            door = self.day.streams["kept"].pick(there)
+            item.state = "taken"
+            gateway = self.run.streams["kept"].pick(running)
             self.counts["taken"] += 1
-            self.taken[self.day.books.second, door.number] += 1
-            door.inherit(piece)
+            self.taken[self.run.books.second, gateway.number] += 1
+            gateway.take_over(item)
 
-    def ended(self, piece: Piece, how: str) -> None:
-        """Its taker has ended it."""
-        if how == "served":
+    def on_taker_done(self, item: WorkItem, result: str) -> None:
+        """Close an item that the gateway which took it over has ended."""
+        if result == "served":
             self.counts["served"] += 1
-            self.counts["in vain"] += piece.ask not in self.pieces  # nobody asks for it any more
-            self.close(piece, "served", "served")
+            self.counts["in vain"] += item.operation not in self.items  # its client has given up
+            self.close(item, "served", "served")
         else:
-            self.close(piece, "free", "refused")
-
-    def close(self, piece: Piece, state: str, how: str) -> None:
-        """Whoever waits is told."""
-        piece.state, waiting, piece.waiting = state, piece.waiting, []
-        for try_ in waiting:
-            if not try_.over and try_.door.alive:
-                self.tell(piece, try_, how)
-
-    def tell(self, piece: Piece, try_: Try, how: str) -> None:
-        try_.booked, try_.inside = True, piece.inside
-        self.counts[f"told {how}"] += 1
-        self.day.clients.answered(try_, how, LEASE_US if how == "refused" else 0, None, try_.door)
-
-    def meets(self, try_: Try) -> bool:
-        """A client asks again: whether that is for work whose door has died."""
-        piece = self.pieces.get(try_.ask)
-        if piece is None:
+            self.close(item, "free", "refused")
+
+    def close(self, item: WorkItem, state: str, result: str) -> None:
+        """Set an item's final state and answer the requests that wait for it."""
+        item.state, waiting, item.waiting = state, item.waiting, []
+        for request in waiting:
+            if not request.is_over and request.gateway.is_alive:
+                self.answer(item, request, result)
+
+    def answer(self, item: WorkItem, request: ClientRequest, result: str) -> None:
+        request.is_charged, request.is_in_quota = True, item.is_in_quota
+        self.counts[f"told {result}"] += 1
+        retry_after_us = LEASE_US if result == "refused" else 0
+        self.run.clients.answered(request, result, retry_after_us, None, request.gateway)
+
+    def handle_retry(self, request: ClientRequest) -> bool:
+        """Handle a request whose operation has a work item. Return False if there is none."""
+        item = self.items.get(request.operation)
+        if item is None:
             return False
-        if piece.state in ("served", "over"):
-            self.tell(piece, try_, "served" if piece.state == "served" else "failed")
-        elif piece.state == "free":
-            try_.booked, try_.inside = True, piece.inside
-            try_.door.go_on(try_, try_.end_us, piece.server)
+        if item.state in ("served", "over"):
+            self.answer(item, request, "served" if item.state == "served" else "failed")
+        elif item.state == "free":
+            request.is_charged, request.is_in_quota = True, item.is_in_quota
+            request.gateway.resume_request(request, request.end_us, item.server)
         else:
-            piece.end_us = max(piece.end_us, try_.end_us)
-            piece.waiting.append(try_)
+            item.end_us = max(item.end_us, request.end_us)
+            item.waiting.append(request)
         return True
 
-    def forget(self, ask: Ask) -> None:
-        """Its client asks no more; whoever goes on with it does not know."""
-        self.pieces.pop(ask, None)
+    def forget(self, operation: Operation) -> None:
+        """Forget an operation that has ended at its client. A gateway that has taken it over goes on."""
+        self.items.pop(operation, None)
 
     def result(self) -> dict[str, int]:
+        """Return the counts for the run's output."""
         return {**dict(sorted(self.counts.items())), "most a second": max(self.taken.values(), default=0)}
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -1,8 +1,8 @@
-"""Ceilings divided by a steward's leases, in the model: the steward's own state machine and holders.
+"""Simulated budgets by leases: ceilings and quotas that the lease service's own state machine divides.
 
-Of docs/leasing.md it has: parts, leases, the pool, units by need, renewals with jitter and sooner for a need,
-doors that die with what they hold. Not in it: the steward's own failures, clocks that drift, and what an ask
-costs but for the time that it takes.
+Of docs/leasing.md this models shares, leases, the pool, units on demand, renewals with jitter and early
+renewals, and gateways that die while they hold leases. It leaves out failures of the lease service, clock
+drift, and the cost of a renewal other than its time.
 """
 
 from __future__ import annotations
@@ -19,115 +19,132 @@
 
 if TYPE_CHECKING:
     from thistletrail.simulation.day import Day
-    from thistletrail.simulation.doors import Door
-
-ASK_US = 4 * MS  # from an ask to its answer: two ways on a machine's network, and a sync of the log
-RENEW_US, JITTER = LEASE_MS * MS // 3, 0.25  # as leasing/client.py has them
-LOOK_US, HURRY_US = 50 * MS, 100 * MS  # as gateway/allowance.py and leasing/client.py have them
+    from thistletrail.simulation.doors import Gateway
+
+# Two ways on a machine's network, and a sync of the write-ahead log.
+RENEWAL_DELAY_US = 4 * MS
+# The same as in leasing/client.py.
+RENEWAL_INTERVAL_US, RENEWAL_JITTER = LEASE_MS * MS // 3, 0.25
+# The same as in gateway/allowance.py and leasing/client.py.
+DEMAND_CHECK_INTERVAL_US, MIN_RENEWAL_INTERVAL_US = 50 * MS, 100 * MS
 THOUSANDTHS = 1000
 
 
-class Leases:
-    """The steward, and each door's asks; nothing where the scenario does not say so."""
+class BudgetLeases:
+    """The lease service, and the leases of each gateway. Does nothing unless the scenario has leases."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, self.on = day, day.scenario.leased or day.scenario.leased_quotas
-        self.state = BudgetState(0, day.clock.now // MS, 0)
-        self.held: dict[int, Held] = {}
-        self.asks = 0
+    def __init__(self, run: Day) -> None:
+        self.run, self.is_enabled = run, run.scenario.leased or run.scenario.leased_quotas
+        self.state = BudgetState(0, run.clock.now // MS, 0)
+        self.holders: dict[int, GatewayLeases] = {}
+        self.renewals = 0
 
-    def start(self, door: Door) -> None:
-        """A door has started, or started again: another holder."""
-        if self.on:
-            self.settings = door.gateway.settings
-            held = self.held[door.number] = Held(self, door)
-            first = round(self.day.streams["leases"].uniform() * RENEW_US * JITTER)
-            self.day.clock.after(first, held.renew, door.life, 0)
-            self.day.clock.after(LOOK_US, held.look, door.life)
+    def start(self, gateway: Gateway) -> None:
+        """Register a gateway that has started as a new lease holder."""
+        if self.is_enabled:
+            self.settings = gateway.engine.settings
+            holder = self.holders[gateway.number] = GatewayLeases(self, gateway)
+            jitter = self.run.streams["leases"].uniform()
+            first_us = round(jitter * RENEWAL_INTERVAL_US * RENEWAL_JITTER)
+            self.run.clock.after(first_us, holder.renew, gateway.epoch, 0)
+            self.run.clock.after(DEMAND_CHECK_INTERVAL_US, holder.check_demand, gateway.epoch)
 
-    def terms(self, key: BudgetKey) -> BudgetLimits:
+    def limits(self, key: BudgetKey) -> BudgetLimits:
         return BudgetLimits.from_rate(*total_budget(key[0], self.settings.plans[key[2]]))
 
-    def ask(self, ask: RenewRequest) -> RenewResponse:
-        now, self.asks = self.day.clock.now // MS, self.asks + 1
-        for want in ask.budgets:
-            if want.budget not in self.state.budgets:
-                self.state.set_limits(want.budget, self.terms(key_of(want.budget)), now)
-        return self.state.renew(ask, now)
+    def renew(self, request: RenewRequest) -> RenewResponse:
+        """Renew a holder's leases at the lease service."""
+        now_ms, self.renewals = self.run.clock.now // MS, self.renewals + 1
+        for entry in request.budgets:
+            if entry.budget not in self.state.budgets:
+                self.state.set_limits(entry.budget, self.limits(key_of(entry.budget)), now_ms)
+        return self.state.renew(request, now_ms)
 
 
-class Held:
-    """What one start of a door holds, and its asks."""
+class GatewayLeases:
+    """The leases of one gateway from one start to its end, and their renewals."""
 
-    def __init__(self, leases: Leases, door: Door) -> None:
-        self.leases, self.door, self.clock = leases, door, leases.day.clock
-        self.holder = BudgetHolder(door.number, door.life, leases.day.scenario.doors)
+    def __init__(self, leases: BudgetLeases, gateway: Gateway) -> None:
+        self.leases, self.gateway, self.clock = leases, gateway, leases.run.clock
+        self.holder = BudgetHolder(gateway.number, gateway.epoch, leases.run.scenario.doors)
         self.keys: dict[str, BudgetKey] = {}
-        self.taken: dict[str, int] = {}
-        self.serial = 0  # of the renewal that is due: a sooner one takes its place
-        self.asked_us = self.patience_us = self.needs = 0
-
-    def look(self, life: int) -> None:
-        """Renew sooner for what nothing is held of, or where requests wait for units."""
-        if life != self.door.life or self.door.gateway is None:
+        self.granted_fences: dict[str, int] = {}  # by budget: of the grant that the gateway has last
+        self.serial = 0  # of the renewal that is due; an early renewal replaces it
+        # When the last renewal was sent, and how long to wait after it before an early one for units.
+        self.renewed_us = self.backoff_us = 0
+        self.needed_units = 0  # that the last renewal asked for
+
+    def check_demand(self, epoch: int) -> None:
+        """Renew early if the gateway demands a budget without a lease or if requests wait for units."""
+        if epoch != self.gateway.epoch or self.gateway.engine is None:
             return
-        now = self.clock.now
-        waited = now >= self.asked_us + self.patience_us
-        if now >= self.asked_us + HURRY_US and any(
-            name_of(want.key) not in self.keys or (waited and want.needed > 0) for want in self.wants()
+        now_us = self.clock.now
+        is_backoff_over = now_us >= self.renewed_us + self.backoff_us
+        if now_us >= self.renewed_us + MIN_RENEWAL_INTERVAL_US and any(
+            name_of(demand.key) not in self.keys or (is_backoff_over and demand.needed > 0)
+            for demand in self.demands()
         ):
-            self.renew(life, self.serial)
-        self.clock.after(LOOK_US, self.look, life)
+            self.renew(epoch, self.serial)
+        self.clock.after(DEMAND_CHECK_INTERVAL_US, self.check_demand, epoch)
 
-    def wants(self) -> list[BudgetDemand]:
-        return self.door.gateway.budget_demands(self.clock.now)
+    def demands(self) -> list[BudgetDemand]:
+        return self.gateway.engine.budget_demands(self.clock.now)
 
-    def renew(self, life: int, serial: int) -> None:
-        if life != self.door.life or serial != self.serial or self.door.gateway is None:
+    def renew(self, epoch: int, serial: int) -> None:
+        """Send a renewal with the present demands and schedule the next one."""
+        if epoch != self.gateway.epoch or serial != self.serial or self.gateway.engine is None:
             return
-        now, self.asked_us, self.needs = self.clock.now, self.clock.now, 0
-        for want in self.wants():
-            name = name_of(want.key)
-            self.keys[name] = want.key
-            need, limits = math.ceil(want.needed), self.leases.terms(want.key)
-            self.needs += need
-            demand = round(want.demand * (THOUSANDTHS if limits.burst else 1))
-            self.holder.set_demand(name, limits, Demand(demand, need, want.in_use), now // MS)
-            self.holder.leases[name].returned_units = want.returned
+        now_us, self.renewed_us, self.needed_units = self.clock.now, self.clock.now, 0
+        for demand in self.demands():
+            name = name_of(demand.key)
+            self.keys[name] = demand.key
+            needed_units, limits = math.ceil(demand.needed), self.leases.limits(demand.key)
+            self.needed_units += needed_units
+            amount = round(demand.demand * (THOUSANDTHS if limits.burst else 1))
+            self.holder.set_demand(name, limits, Demand(amount, needed_units, demand.in_use), now_us // MS)
+            self.holder.leases[name].returned_units = demand.returned
         for name in [name for name in self.keys if name not in self.holder.leases]:
             del self.keys[name]
-        self.clock.after(ASK_US, self.answered, life, self.leases.ask(self.holder.next_request(now // MS)))
+        response = self.leases.renew(self.holder.next_request(now_us // MS))
+        self.clock.after(RENEWAL_DELAY_US, self.on_response, epoch, response)
         self.serial += 1
-        part = 1 - JITTER * self.leases.day.streams["leases"].uniform()
-        self.clock.after(round(part * RENEW_US), self.renew, life, self.serial)
+        interval_share = 1 - RENEWAL_JITTER * self.leases.run.streams["leases"].uniform()
+        self.clock.after(round(interval_share * RENEWAL_INTERVAL_US), self.renew, epoch, self.serial)
 
-    def answered(self, life: int, answer: RenewResponse) -> None:
-        now = self.clock.now
-        if life != self.door.life or not self.holder.on_response(answer, now // MS):
+    def on_response(self, epoch: int, response: RenewResponse) -> None:
+        """Pass new grants to the gateway, and back off if units were needed and none were granted."""
+        now_us = self.clock.now
+        if epoch != self.gateway.epoch or not self.holder.on_response(response, now_us // MS):
             return
-        fresh = [
+        granted = [
             (name, lease)
             for name, lease in self.holder.leases.items()
-            if lease.fence and lease.fence != self.taken.get(name)
+            if lease.fence and lease.fence != self.granted_fences.get(name)
         ]
-        brought = any(lease.granted_units for _, lease in fresh)
-        self.patience_us = min(2 * self.patience_us + LOOK_US, RENEW_US) if self.needs and not brought else 0
-        for name, lease in fresh:
-            self.taken[name] = lease.fence
-            self.door.handle(
+        has_units = any(lease.granted_units for _, lease in granted)
+        self.backoff_us = (
+            min(2 * self.backoff_us + DEMAND_CHECK_INTERVAL_US, RENEWAL_INTERVAL_US)
+            if self.needed_units and not has_units
+            else 0
+        )
+        for name, lease in granted:
+            self.granted_fences[name] = lease.fence
+            self.gateway.handle(
                 BudgetGranted(
                     self.keys[name],
                     lease.share / lease.limits.total,
                     lease.granted_units,
-                    now + (lease.until_ms - now // MS) * MS,
+                    now_us + (lease.until_ms - now_us // MS) * MS,
                 )
             )
 
 
 def name_of(key: BudgetKey) -> str:
+    """Return the name by which the lease service knows a budget."""
     return "/".join(map(str, key))
 
 
 def key_of(name: str) -> BudgetKey:
+    """Return the key of a budget's name."""
     kind, *numbers = name.split("/")
     return BudgetKey(BudgetKind(kind), *map(int, numbers))
--- a/thistletrail/simulation/ledger.py
+++ b/thistletrail/simulation/ledger.py
@@ -1,53 +1,61 @@
-"""Each customer's stores of quota and ceiling, over all front doors, as the operators book them."""
+"""Each customer's account of quota units over all gateways, as the operators keep it."""
 
 from thistletrail.simulation.clock import S
 
 
-class Store:
-    """Units that fill at a rate, in units a second, and hold the burst at most; it starts full."""
+class TokenBucket:
+    """A token bucket that refills at a rate in units a second and holds at most its burst; it starts full."""
 
-    __slots__ = ("at", "burst", "level", "rate")
+    __slots__ = ("burst", "level", "rate", "updated_us")
 
-    def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.rate, self.burst, self.level, self.at = rate, burst, burst, now
+    def __init__(self, rate: float, burst: float, now_us: int) -> None:
+        self.rate, self.burst, self.level, self.updated_us = rate, burst, burst, now_us
 
-    def refill(self, now: int) -> float:
-        """Bring the level up to `now`; never above the burst."""
-        self.level = min(self.burst, self.level + self.rate * (now - self.at) / S)
-        self.at = now
+    def refill(self, now_us: int) -> float:
+        """Bring the level up to `now_us`, never above the burst, and return it."""
+        self.level = min(self.burst, self.level + self.rate * (now_us - self.updated_us) / S)
+        self.updated_us = now_us
         return self.level
 
-    def take(self, units: float, now: int) -> bool:
-        """Take units where it holds them: whether it did."""
-        if self.refill(now) < units:
+    def take(self, units: float, now_us: int) -> bool:
+        """Take units if it holds them. Return whether it did."""
+        if self.refill(now_us) < units:
             return False
         self.level -= units
         return True
 
-    def force(self, units: float, now: int) -> float:
-        """Take units whether it holds them or not, as a ceiling does: what is left, also below nothing."""
-        self.level = self.refill(now) - units
+    def overdraw(self, units: float, now_us: int) -> float:
+        """Take units whether it holds them or not, as a ceiling does. Return the level, also below 0."""
+        self.level = self.refill(now_us) - units
         return self.level
 
 
 class Account:
-    """One customer's stores: quota as sent on, as one gateway that saw all would have it, and ceiling."""
+    """One customer's token buckets.
 
-    __slots__ = ("ceiling", "ideal", "lowest", "quota", "slack")
+    `quota` is charged for the requests that were forwarded, `ideal` for those that one gateway that saw all
+    of them would accept, and `ceiling`, None for no ceiling, for all that were forwarded. `min_level` is the
+    ceiling's lowest level so far, at most 0.
+    """
 
-    def __init__(self, rate: float, burst: float, ceiling: tuple[float, float, float], now: int) -> None:
-        """`ceiling` is its rate, burst and slack; a rate of 0 means there is none."""
-        self.quota, self.ideal = Store(rate, burst, now), Store(rate, burst, now)
-        self.ceiling = Store(ceiling[0], ceiling[1], now) if ceiling[0] else None
-        self.slack, self.lowest = ceiling[2], 0.0
+    __slots__ = ("ceiling", "ideal", "min_level", "quota", "slack")
 
-    def send(self, units: float, now: int) -> bool:
-        """A try's first attempt has come to a scan server: whether it is inside the quota."""
-        inside = self.quota.take(units, now)
+    def __init__(self, rate: float, burst: float, ceiling: tuple[float, float, float], now_us: int) -> None:
+        """`ceiling` is its rate, burst and slack; a rate of 0 means that there is none."""
+        self.quota, self.ideal = TokenBucket(rate, burst, now_us), TokenBucket(rate, burst, now_us)
+        self.ceiling = TokenBucket(ceiling[0], ceiling[1], now_us) if ceiling[0] else None
+        self.slack, self.min_level = ceiling[2], 0.0
+
+    def charge(self, units: float, now_us: int) -> bool:
+        """Charge a request whose first attempt has arrived at a server. Return whether it is in the quota."""
+        is_in_quota = self.quota.take(units, now_us)
         if self.ceiling:
-            self.lowest = min(self.lowest, self.ceiling.force(units, now))
-        return inside
+            self.min_level = min(self.min_level, self.ceiling.overdraw(units, now_us))
+        return is_in_quota
+
+    def is_ceiling_exceeded(self) -> bool:
+        """Return whether the ceiling was exceeded by more than its slack and 150 ms of its rate.
 
-    def broken(self) -> bool:
-        """Whether the ceiling was passed, by the rule's slack and 150 ms of its rate (the protocol page)."""
-        return self.ceiling is not None and self.lowest < -(self.slack + 0.15 * self.ceiling.rate) - 1e-9
+        The protocol page allows that much.
+        """
+        return self.ceiling is not None and self.min_level < -(self.slack + 0.15 * self.ceiling.rate) - 1e-9
--- a/thistletrail/simulation/network.py
+++ b/thistletrail/simulation/network.py
@@ -1,4 +1,4 @@
-"""The way between doors, scan servers and peers: delay, loss, zones cut off and servers that fall silent."""
+"""The simulated network: delays, losses, isolated zones and servers that cannot be reached."""
 
 from __future__ import annotations
 
@@ -12,73 +12,86 @@
 
 if TYPE_CHECKING:
     from thistletrail.simulation.day import Day
-    from thistletrail.simulation.doors import Door
+    from thistletrail.simulation.doors import Gateway
 
 
 class Network:
-    """Delays are a run's mean for a pair of zones, with jitter; what is cut says and hears nothing."""
+    """The network between clients, gateways and scan servers.
 
-    def __init__(self, day: Day, clock: Clock, spec: Net, stream: Stream) -> None:
-        self.day, self.clock, self.spec, self.stream = day, clock, spec, stream
+    A delay is a mean of the run for a pair of zones, with jitter. Nothing gets in or out of what is cut off.
+    """
+
+    def __init__(self, run: Day, clock: Clock, spec: Net, stream: Stream) -> None:
+        self.run, self.clock, self.spec, self.stream = run, clock, spec, stream
         self.same_us, self.cross_us = stream.span(spec.same_ms) * MS, stream.span(spec.cross_ms) * MS
         self.client_us, self.jitter = stream.span(spec.client_ms) * MS, stream.span(spec.jitter)
         self.peer_us, self.peer_loss = stream.span(spec.peer_ms) * MS, stream.span(spec.peer_loss)
-        self.cut: set[int] = set()  # zones that reach only themselves
-        self.silent: set[str] = set()  # servers that nothing reaches
-        self.answers_lost = 0.0  # share of answers that never come
-        self.messages_lost = 0.0  # share of peers' messages lost on top
+        self.isolated_zones: set[int] = set()  # each reaches only itself
+        self.unreachable_servers: set[str] = set()
+        self.answer_loss = 0.0  # share of answers that are lost
+        self.message_loss = 0.0  # share of peer messages that are lost in addition to `peer_loss`
 
-    def reachable(self, here: int, there: int) -> bool:
-        return here == there or not (here in self.cut or there in self.cut)
+    def are_zones_connected(self, zone: int, other_zone: int) -> bool:
+        return zone == other_zone or not (zone in self.isolated_zones or other_zone in self.isolated_zones)
 
-    def reaches(self, door: Door, server: ScanServer) -> bool:
-        return server.name not in self.silent and self.reachable(door.zone, server.zone)
+    def is_reachable(self, gateway: Gateway, server: ScanServer) -> bool:
+        return server.name not in self.unreachable_servers and self.are_zones_connected(
+            gateway.zone, server.zone
+        )
 
-    def way_us(self, here: int, there: int) -> float:
-        mean = self.same_us if here == there else self.cross_us
-        return mean * (1 + self.stream.exponential(self.jitter))
+    def one_way_us(self, zone: int, other_zone: int) -> float:
+        """Draw the delay of one way between two zones."""
+        mean_us = self.same_us if zone == other_zone else self.cross_us
+        return mean_us * (1 + self.stream.exponential(self.jitter))
 
     def to_client_us(self) -> float:
+        """Draw the delay of one way between a client and a gateway."""
         return self.client_us * (1 + self.stream.exponential(self.jitter))
 
     def handshake(
-        self, door: Door, server: ScanServer | None, call: Callable[..., None], *args: object
+        self, gateway: Gateway, server: ScanServer | None, call: Callable[..., None], *args: object
     ) -> None:
-        """Open a connection: `call` is told at the end whether it came up."""
-        if server is None or not self.reaches(door, server) or self.day.vanished(server):
+        """Open a connection. At the end `call` gets `args` and whether the connection is up."""
+        if server is None or not self.is_reachable(gateway, server) or self.run.vanished(server):
             self.clock.after(self.spec.connect_timeout_ms * MS, call, *args, False)
             return
-        rtt = 2 * self.way_us(door.zone, server.zone)
-        handling = self.spec.handling_us
-        self.clock.after(handling + rtt * self.day.traits.rtts, self.accept, door, server, call, args)
+        round_trip_us = 2 * self.one_way_us(gateway.zone, server.zone)
+        delay_us = self.spec.handling_us + round_trip_us * self.run.traits.handshake_rtts
+        self.clock.after(delay_us, self.finish_handshake, gateway, server, call, args)
 
-    def accept(
-        self, door: Door, server: ScanServer, call: Callable[..., None], args: tuple[object, ...]
+    def finish_handshake(
+        self, gateway: Gateway, server: ScanServer, call: Callable[..., None], args: tuple[object, ...]
     ) -> None:
-        call(*args, self.reaches(door, server) and server.connect())
+        call(*args, self.is_reachable(gateway, server) and server.connect())
 
-    def to_server(self, door: Door, server: ScanServer, call: Callable[..., None], *args: object) -> None:
-        if self.reaches(door, server) and not self.day.vanished(server):
-            self.clock.after(self.spec.handling_us + self.way_us(door.zone, server.zone), call, *args)
+    def to_server(
+        self, gateway: Gateway, server: ScanServer, call: Callable[..., None], *args: object
+    ) -> None:
+        """Call at the time at which a request arrives at the server; never if it is lost."""
+        if self.is_reachable(gateway, server) and not self.run.vanished(server):
+            delay_us = self.spec.handling_us + self.one_way_us(gateway.zone, server.zone)
+            self.clock.after(delay_us, call, *args)
 
     def from_server(
-        self, door: Door, server: ScanServer, how: str, call: Callable[..., None], *args: object
+        self, gateway: Gateway, server: ScanServer, result: str, call: Callable[..., None], *args: object
     ) -> None:
-        lost = self.answers_lost and self.stream.chance(self.answers_lost)
-        if how != "silent" and not lost and self.reaches(door, server):
-            self.clock.after(self.way_us(door.zone, server.zone), call, *args)
-
-    def datagram(self, sender: int, peer: int, data: bytes) -> None:
-        doors, books = self.day.doors, self.day.books
-        if not 0 <= peer < len(doors):
-            books.broke("a message to nobody", f"door {sender} to {peer}")
+        """Call at the time at which a server's answer arrives at the gateway; never if it is lost."""
+        is_lost = self.answer_loss and self.stream.chance(self.answer_loss)
+        if result != "silent" and not is_lost and self.is_reachable(gateway, server):
+            self.clock.after(self.one_way_us(gateway.zone, server.zone), call, *args)
+
+    def send_datagram(self, sender: int, peer: int, data: bytes) -> None:
+        """Send a datagram from one gateway to another, and count its fate if it does not arrive."""
+        gateways, books = self.run.doors, self.run.books
+        if not 0 <= peer < len(gateways):
+            books.record_violation("a message to nobody", f"door {sender} to {peer}")
             return
-        if not self.reachable(doors[sender].zone, doors[peer].zone):
-            books.message("cut off")
+        if not self.are_zones_connected(gateways[sender].zone, gateways[peer].zone):
+            books.count_message("cut off")
         elif self.stream.chance(self.peer_loss) or (
-            self.messages_lost and self.stream.chance(self.messages_lost)
+            self.message_loss and self.stream.chance(self.message_loss)
         ):
-            books.message("lost on the way")
+            books.count_message("lost on the way")
         else:
-            delay = self.peer_us * (0.5 + self.stream.exponential(0.5))
-            self.clock.after(delay, doors[peer].datagram, sender, data)
+            delay_us = self.peer_us * (0.5 + self.stream.exponential(0.5))
+            self.clock.after(delay_us, gateways[peer].receive_datagram, sender, data)
--- a/thistletrail/simulation/search.py
+++ b/thistletrail/simulation/search.py
@@ -36,7 +36,7 @@
         day = play(scenario, seed)
     except Exception as error:  # a fault of the module or of the model is as good a find as a broken rule
         return f"fault: {type(error).__name__}: {error}"
-    wrong = sorted(day.books.breaks) + day.books.check()
+    wrong = sorted(day.books.violation_counts) + day.books.check()
     return wrong[0] if wrong else ""
 
 
--- a/thistletrail/simulation/servers.py
+++ b/thistletrail/simulation/servers.py
@@ -1,8 +1,8 @@
-"""A scan server: cores shared by what is in work, a waiting room, a cold start, and connections it holds.
+"""A simulated scan server: cores that running work shares, a queue, a warm-up, and a table of connections.
 
-Sources: the bench page's account of the world (slots, waiting room, loss of efficiency, cold ramp, falling
-over, connection caps) and the protocol page (what comes back when). Where they give no formula the one
-used is named here and listed in docs/simulation.md.
+Sources: the bench page's account of the world (slots, queue, loss of efficiency, warm-up, collapse under
+load, connection limits) and the protocol page (what is answered when). Where they give no formula, the one
+that is used is stated here and listed in docs/simulation.md.
 """
 
 import heapq
@@ -14,25 +14,31 @@
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.streams import Stream
 
-RAMP_STEP_US = 100_000  # how often a warming server's rate is taken anew while nothing else happens there
-CHANCE_SLACK = 4.0  # mean works that may come beyond the budget of a cold server: the rule's slack for chance
+# How often the rate of a server that warms up is computed anew while nothing else happens there.
+WARM_UP_STEP_US = 100_000
+# The rule on servers that warm up allows for chance: this many mean works beyond the limit.
+WARM_UP_SLACK_WORKS = 4.0
 
-Ended = Callable[["Work", str], None]  # how: "served", "error", "full", "dropped", "lost" or "silent"
+# Called with the result: "served", "error", "full", "dropped", "lost" or "silent".
+EndCallback = Callable[["Work", str], None]
 
 
 class Work:
-    """A request at a scan server; `ended` is called once, at the server's side of the network."""
+    """A request at a scan server.
 
-    __slots__ = ("ended", "expires_us", "served", "state", "work_us")  # served: whose it is, to its owner
+    `on_end` is called once, at the server's side of the network. `served` is free for the caller's use.
+    """
 
-    def __init__(self, work_us: float, expires_us: int, ended: Ended) -> None:
-        """`work_us` is in microseconds of one core; at `expires_us` its front door stops waiting."""
-        self.work_us, self.expires_us, self.ended = work_us, expires_us, ended
-        self.state = "new"  # "waiting", "working" or "over"
+    __slots__ = ("expires_us", "on_end", "served", "state", "work_us")
+
+    def __init__(self, work_us: float, expires_us: int, on_end: EndCallback) -> None:
+        """`work_us` is in microseconds of one core; at `expires_us` the gateway stops waiting."""
+        self.work_us, self.expires_us, self.on_end = work_us, expires_us, on_end
+        self.state = "new"  # then "waiting", "working" or "over"
 
 
 class Traits:
-    """What all scan servers of a run have in common, drawn once."""
+    """The properties that all scan servers of a run share, drawn once."""
 
     def __init__(self, scenario: Scenario, stream: Stream) -> None:
         spec = scenario.servers
@@ -43,8 +49,10 @@
         self.cold_from = max(scenario.cold_from, stream.span(spec.cold_from))
         self.cold_us = min(scenario.warm_within_s, stream.span(spec.cold_s)) * S
         self.connections, self.full_tax = spec.connections, stream.span(spec.full_tax)
-        self.handshake_us, self.rtts = stream.span(spec.handshake_us), stream.span(spec.handshake_rtts)
+        self.handshake_us = stream.span(spec.handshake_us)
+        self.handshake_rtts = stream.span(spec.handshake_rtts)
         self.error_rate = stream.span(spec.error_rate)
+        # Both are drawn in any case, so that a scenario that sets them leaves the later draws as they are.
         drawn = stream.chance(0.5), stream.chance(0.5)
         self.drops_cancelled = drawn[0] if spec.drops_cancelled is None else spec.drops_cancelled
         self.drops_expired = drawn[1] if spec.drops_expired is None else spec.drops_expired
@@ -54,37 +62,37 @@
 
 
 class ScanServer:
-    """One process on one machine. It knows nothing of front doors but the connections they hold."""
+    """One server process on one machine. Of gateways it knows only the connections that they hold."""
 
     __slots__ = (
-        "alive",
-        "bad",
-        "budget",
-        "budget_at",
         "cell",
         "clock",
-        "cold",
         "connections",
-        "draining",
-        "fallen",
-        "fast_errors",
-        "finish",
+        "error_share",
+        "fails_fast",
+        "has_collapsed",
+        "is_alive",
+        "is_draining",
+        "is_warming_up",
         "mean_work_us",
         "name",
         "rate",
-        "sent_by",
+        "running",
         "serial",
         "served",
-        "slow",
+        "slowdown",
         "speed",
         "started_us",
+        "step_serial",
         "stream",
-        "token",
         "traits",
         "useful_us",
-        "v",
-        "v_at",
+        "virtual_updated_us",
+        "virtual_us",
         "waiting",
+        "warm_up_level_us",
+        "warm_up_updated_us",
+        "work_by_gateway",
         "worked_us",
         "zone",
     )
@@ -99,109 +107,121 @@
         mean_work_us: float,
         cold: bool,
     ) -> None:
-        """`place` is its zone and cell; a cold one starts now, a warm one started long ago."""
+        """Create a server at `place`, its zone and cell.
+
+        A cold one starts now and has to warm up; another one started long ago.
+        """
         self.clock, self.traits, self.stream, self.name = clock, traits, stream, name
         self.zone, self.cell = place
         self.mean_work_us = mean_work_us
         self.speed = max(0.3, stream.lognormal(traits.speed, traits.speed_cv))
-        self.cold, self.started_us = cold, clock.now if cold else 0
-        self.alive, self.draining, self.fallen = True, False, False
-        self.slow, self.bad, self.fast_errors = 1.0, 0.0, False  # times slower; share of errors; at once
+        self.is_warming_up, self.started_us = cold, clock.now if cold else 0
+        self.is_alive, self.is_draining, self.has_collapsed = True, False, False
+        # Faults: a factor on the time of work, a share of errors, and whether errors come without work.
+        self.slowdown, self.error_share, self.fails_fast = 1.0, 0.0, False
         self.connections = self.served = 0
         self.waiting: deque[Work] = deque()
-        # Processor sharing by virtual time: all in work progress alike, so each has a fixed virtual end.
-        self.finish: list[tuple[float, int, Work]] = []
-        self.v, self.v_at, self.rate, self.serial, self.token = 0.0, clock.now, 0.0, itertools.count(), 0
-        self.budget, self.budget_at = 0.0, clock.now  # of the rule on cold servers: drained by time
-        self.sent_by: dict[int, float] = {}  # work by door while it is cold, for who is to blame
-        self.worked_us = self.useful_us = 0.0  # work done; that of answers that served a client
+        # Processor sharing by virtual time: all running work progresses alike, so that each has a fixed
+        # virtual end. The heap is ordered by it.
+        self.running: list[tuple[float, int, Work]] = []
+        self.virtual_us, self.virtual_updated_us, self.rate = 0.0, clock.now, 0.0
+        self.serial = itertools.count()
+        self.step_serial = 0  # of the newest scheduled step: earlier ones are void
+        # Work received while warming up, drained by time: the rule on servers that warm up limits it.
+        self.warm_up_level_us, self.warm_up_updated_us = 0.0, clock.now
+        self.work_by_gateway: dict[int, float] = {}  # while it warms up: who has caused a collapse
+        self.worked_us = 0.0  # work done
+        self.useful_us = 0.0  # work done for answers that served a client
 
     # --- capacity ---
 
-    def warmth(self) -> float:
-        """The part of its full capacity that it has by now: rising evenly, as the stated least."""
-        if not self.cold:
+    def warm_up_share(self) -> float:
+        """Return the share of its full capacity that it has now. It rises evenly, from the stated minimum."""
+        if not self.is_warming_up:
             return 1.0
-        age = (self.clock.now - self.started_us) / self.traits.cold_us
-        if age >= 1:
-            self.cold = False
+        progress = (self.clock.now - self.started_us) / self.traits.cold_us
+        if progress >= 1:
+            self.is_warming_up = False
             return 1.0
-        return self.traits.cold_from + (1 - self.traits.cold_from) * age
+        return self.traits.cold_from + (1 - self.traits.cold_from) * progress
 
     def capacity(self) -> float:
-        """Work that it can do, in cores at the usual speed."""
-        return self.traits.cores * self.speed / self.slow * self.warmth()
+        """Return the work that it can do, in cores at the usual speed."""
+        return self.traits.cores * self.speed / self.slowdown * self.warm_up_share()
 
     def efficiency(self) -> float:
-        """What holding too many, and a full table of connections, leave of its capacity (ours: linear)."""
-        held = (len(self.finish) + len(self.waiting)) / self.traits.cores
+        """Return the share of its capacity that is left under much work and many connections.
+
+        The pages give no formula: both losses are taken as linear.
+        """
+        held = (len(self.running) + len(self.waiting)) / self.traits.cores
         thrash = self.traits.thrash * max(0.0, held / self.traits.thrash_at - 1)
         table = self.traits.full_tax * min(1.0, self.connections / max(1, self.traits.connections))
         return (1 - table) / (1 + thrash)
 
     def advance(self) -> None:
-        """Bring what is in work up to now, at the rate that has held since the last change."""
-        now = self.clock.now
-        done = (now - self.v_at) * self.rate
-        self.v += done
-        self.worked_us += done * len(self.finish)
-        self.v_at = now
-
-    def plan(self) -> None:
-        """Take the rate anew and ask to be called at the next end."""
-        self.token += 1
-        count = len(self.finish)
+        """Advance running work to the present, at the rate that has held since the last change."""
+        now_us = self.clock.now
+        done_us = (now_us - self.virtual_updated_us) * self.rate
+        self.virtual_us += done_us
+        self.worked_us += done_us * len(self.running)
+        self.virtual_updated_us = now_us
+
+    def schedule_step(self) -> None:
+        """Compute the rate anew and schedule a step at the next end of work."""
+        self.step_serial += 1
+        count = len(self.running)
         if not count:
             self.rate = 0.0
             return
         cores = self.traits.cores
         self.rate = self.capacity() * self.efficiency() / cores * min(1.0, cores / count)
-        wait = max(0.0, (self.finish[0][0] - self.v) / self.rate)
-        if self.cold:
-            wait = min(wait, RAMP_STEP_US)
-        self.clock.after(wait + 1, self.step, self.token)
-
-    def step(self, token: int) -> None:
-        if token != self.token or not self.alive:
+        wait_us = max(0.0, (self.running[0][0] - self.virtual_us) / self.rate)
+        if self.is_warming_up:
+            wait_us = min(wait_us, WARM_UP_STEP_US)
+        self.clock.after(wait_us + 1, self.step, self.step_serial)
+
+    def step(self, step_serial: int) -> None:
+        """End the work that is done and start what waits."""
+        if step_serial != self.step_serial or not self.is_alive:
             return
         self.advance()
-        ended = []
-        while self.finish and self.finish[0][0] <= self.v + 1e-6:
-            ended.append(heapq.heappop(self.finish)[2])
-        self.fill()
-        self.plan()
-        for work in ended:
-            self.end(
-                work, "error" if self.stream.uniform() < max(self.bad, self.traits.error_rate) else "served"
-            )
-
-    def fill(self) -> None:
-        """Begin what waits while there are slots."""
-        while self.waiting and len(self.finish) < self.traits.slots:
+        done = []
+        while self.running and self.running[0][0] <= self.virtual_us + 1e-6:
+            done.append(heapq.heappop(self.running)[2])
+        self.start_waiting()
+        self.schedule_step()
+        for work in done:
+            error_share = max(self.error_share, self.traits.error_rate)
+            self.end_work(work, "error" if self.stream.uniform() < error_share else "served")
+
+    def start_waiting(self) -> None:
+        """Start waiting work while there are free slots."""
+        while self.waiting and len(self.running) < self.traits.slots:
             work = self.waiting.popleft()
             if work.state == "over":
                 continue
             if self.traits.drops_expired and self.clock.now >= work.expires_us:
-                self.end(work, "full")
+                self.end_work(work, "full")
                 continue
-            self.begin(work)
+            self.start_work(work)
 
-    def begin(self, work: Work) -> None:
+    def start_work(self, work: Work) -> None:
         work.state = "working"
-        heapq.heappush(self.finish, (self.v + work.work_us, next(self.serial), work))
+        heapq.heappush(self.running, (self.virtual_us + work.work_us, next(self.serial), work))
 
-    def end(self, work: Work, how: str) -> None:
+    def end_work(self, work: Work, result: str) -> None:
         if work.state == "over":
             return
         work.state = "over"
-        self.served += how == "served"
-        work.ended(work, how)
+        self.served += result == "served"
+        work.on_end(work, result)
 
-    # --- what comes in ---
+    # --- connections and requests ---
 
     def connect(self) -> bool:
-        """A front door's new connection: whether it is taken."""
-        if not self.alive or self.connections >= self.traits.connections:
+        """Accept a gateway's new connection if there is room. Return whether it was accepted."""
+        if not self.is_alive or self.connections >= self.traits.connections:
             return False
         self.connections += 1
         return True
@@ -209,75 +229,82 @@
     def disconnect(self) -> None:
         self.connections = max(0, self.connections - 1)
 
-    def accept(self, work: Work, door: int, extra_us: float) -> None:
-        """A request whose last byte has come; `extra_us` is the work of its handshake, if it needed one."""
-        if not self.alive:
+    def accept(self, work: Work, gateway: int, extra_us: float) -> None:
+        """Handle a request that has arrived in full; `extra_us` is the work of its handshake, if any."""
+        if not self.is_alive:
             work.state = "over"
-            work.ended(work, "lost")
+            work.on_end(work, "lost")
             return
-        if self.cold and self.over_budget(work.work_us, door):
-            self.fall()
+        if self.is_warming_up and self.exceeds_warm_up_limit(work.work_us, gateway):
+            self.collapse()
             work.state = "over"
-            work.ended(work, "lost")
+            work.on_end(work, "lost")
             return
-        if self.fast_errors and self.stream.uniform() < self.bad:
-            self.end(work, "error")  # fast but wrong: it answers at once, having done nothing
+        if self.fails_fast and self.stream.uniform() < self.error_share:
+            self.end_work(work, "error")  # at once, without having done the work
             return
-        if self.draining:
-            self.end(work, "full")
+        if self.is_draining:
+            self.end_work(work, "full")
             return
         work.work_us += extra_us
         self.advance()
-        if len(self.finish) < self.traits.slots:
-            self.begin(work)
+        if len(self.running) < self.traits.slots:
+            self.start_work(work)
         elif len(self.waiting) < self.traits.queue:
             work.state = "waiting"
             self.waiting.append(work)
         else:
-            self.plan()
-            self.end(work, "full")
+            self.schedule_step()
+            self.end_work(work, "full")
             return
-        self.plan()
+        self.schedule_step()
 
-    def leave(self, work: Work) -> None:
-        """Its front door has stopped waiting: running work goes on, waiting work may be dropped."""
+    def cancel(self, work: Work) -> None:
+        """Handle a gateway that stops waiting: running work goes on, waiting work may be dropped."""
         if work.state == "waiting" and self.traits.drops_cancelled:
             work.state = "over"
             self.waiting.remove(work)
 
-    # --- the rule on cold servers ---
+    # --- the rule on servers that warm up ---
+
+    def exceeds_warm_up_limit(self, work_us: float, gateway: int) -> bool:
+        """Add work that has been received, and return whether it is too much for a server that warms up.
 
-    def over_budget(self, work_us: float, door: int) -> bool:
-        """Whether this work is more than `fall_multiple` times present capacity over the window allows."""
-        now, most_rate = self.clock.now, self.traits.fall_multiple * self.capacity()
-        drained = (now - self.budget_at) * most_rate
-        self.budget, self.budget_at = max(0.0, self.budget - drained) + work_us, now
-        self.sent_by[door] = self.sent_by.get(door, 0.0) + work_us
-        return self.budget > most_rate * self.traits.fall_us + CHANCE_SLACK * self.mean_work_us
+        The limit is `fall_multiple` times the present capacity over the window, and some slack for chance.
+        """
+        now_us, max_rate = self.clock.now, self.traits.fall_multiple * self.capacity()
+        drained_us = (now_us - self.warm_up_updated_us) * max_rate
+        self.warm_up_level_us = max(0.0, self.warm_up_level_us - drained_us) + work_us
+        self.warm_up_updated_us = now_us
+        self.work_by_gateway[gateway] = self.work_by_gateway.get(gateway, 0.0) + work_us
+        limit_us = max_rate * self.traits.fall_us + WARM_UP_SLACK_WORKS * self.mean_work_us
+        return self.warm_up_level_us > limit_us
 
-    def fall(self) -> None:
-        self.fallen = True
+    def collapse(self) -> None:
+        """Crash under too much load while warming up."""
+        self.has_collapsed = True
         self.stop()
 
-    # --- ends ---
+    # --- life cycle ---
 
     def stop(self, silent: bool = False) -> None:
-        """The process ends, or the machine vanishes: then nobody hears of it."""
+        """End the process and reset its connections; if `silent`, the machine vanishes without a reset."""
         self.advance()
-        self.alive = False
-        self.token += 1
-        works = [work for _, _, work in self.finish] + list(self.waiting)
-        self.finish, self.rate, self.connections = [], 0.0, 0
+        self.is_alive = False
+        self.step_serial += 1
+        works = [work for _, _, work in self.running] + list(self.waiting)
+        self.running, self.rate, self.connections = [], 0.0, 0
         self.waiting.clear()
         for work in works:
-            self.end(work, "silent" if silent else "lost")
+            self.end_work(work, "silent" if silent else "lost")
 
     def start(self) -> None:
-        """A fresh process under the same id: cold, with nothing in hand."""
-        self.alive, self.draining, self.fallen, self.cold = True, False, False, True
-        self.started_us = self.v_at = self.budget_at = self.clock.now
-        self.budget = 0.0
-        self.sent_by = {}
+        """Start a new process under the same id, which has to warm up and has no work."""
+        self.is_alive, self.is_draining, self.has_collapsed, self.is_warming_up = True, False, False, True
+        self.started_us = self.virtual_updated_us = self.warm_up_updated_us = self.clock.now
+        self.warm_up_level_us = 0.0
+        self.work_by_gateway = {}
 
     def busy(self) -> int:
-        return len(self.finish)
+        """Return the number of requests that it works on."""
+        return len(self.running)
