--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/troubles.py
@@ -1,4 +1,4 @@
-"""What befalls a fleet: each kind of trouble begins, and ends, by events on the run's clock."""
+"""Fault injection: each kind of fault begins, and ends, by events on the run's clock."""
 
 from __future__ import annotations
 
@@ -12,253 +12,280 @@
 from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
+    from thistletrail.simulation.clients import Customer
     from thistletrail.simulation.day import Day
-    from thistletrail.simulation.doors import Door
-
-RESTART_S = 0.4  # until a planned restart is back: what a real one takes here
-SETTLE_S = (0.2, 0.4)  # after SIGTERM for which new connections keep coming (the protocol page)
-STALE_S = 3600  # by which a stale snapshot is older than it was
-DRAIN_EXTRA_S, LEAST_DRAIN_S = 0.5, 3.0  # past the longest deadline, as the gateway process drains
-DRAINED_S = (2.0, 5.4)  # for which a server that leaves drains (the site's `shrink`)
-RESTART_STEPS = 10  # a tenth of the doors at a time
-ONE_SHOT_PLAN = 0  # customers that are seen once come under the first plan
-LIST_DRAIN_S = (0.05, 0.5)  # a drain is told at once, but for what lists take
-
-
-class Troubles:
-    """Carries out a scenario's troubles."""
-
-    def __init__(self, day: Day) -> None:
-        self.day, self.stream = day, day.streams["troubles"]
-        self.names = 0
+    from thistletrail.simulation.doors import Gateway
+
+# A planned restart of a real gateway takes this long.
+RESTART_S = 0.4
+# After SIGTERM new connections keep coming for a time in this range (the protocol page).
+LOAD_BALANCER_SETTLE_S = (0.2, 0.4)
+# A stale snapshot is made older by this much.
+STALE_SNAPSHOT_AGE_S = 3600
+# A gateway drains for its longest deadline, or the minimum, and the extra time, as the gateway process does.
+DRAIN_EXTRA_S, MIN_DRAIN_S = 0.5, 3.0
+# A server that leaves drains for a time in this range (the site's `shrink`).
+SERVER_DRAIN_S = (2.0, 5.4)
+# In a rolling restart a tenth of the gateways restarts at a time.
+RESTART_STEPS = 10
+# The plan of customers that are seen once.
+ONE_SHOT_PLAN = 0
+# The registry learns of a drain at once: only the list takes time.
+DRAIN_NOTICE_S = (0.05, 0.5)
+
+
+class FaultInjector:
+    """Injects a scenario's faults. Each kind of fault is the method of that name."""
+
+    def __init__(self, run: Day) -> None:
+        self.run, self.stream = run, run.streams["troubles"]
+        self.replacement_count = 0
 
     def begin(self) -> None:
-        for trouble in self.day.scenario.troubles:
-            self.day.clock.at(self.day.start_us + round(trouble.at_s * S), KINDS[trouble.kind], self, trouble)
+        """Schedule all faults of the scenario."""
+        for fault in self.run.scenario.troubles:
+            self.run.clock.at(self.run.start_us + round(fault.at_s * S), KINDS[fault.kind], self, fault)
 
-    def later(self, seconds: float, call: Callable[..., None], *args: object) -> None:
-        self.day.clock.after(seconds * S, call, *args)
+    def after_s(self, delay_s: float, call: Callable[..., None], *args: object) -> None:
+        self.run.clock.after(delay_s * S, call, *args)
 
-    def some(self, values: list, part: float) -> list:
-        """That share of them, by chance; at least one where there is any and the share is above nothing."""
-        count = min(len(values), math.ceil(len(values) * part - 1e-9))
+    def sample(self, values: list, share: float) -> list:
+        """Return a random share of the values, rounded up."""
+        count = min(len(values), math.ceil(len(values) * share - 1e-9))
         return self.stream.shuffled(values)[:count]
 
     def running(self) -> list[ScanServer]:
-        return [server for server in self.day.servers.values() if server.alive and not server.draining]
+        """Return the servers that run and do not drain."""
+        return [server for server in self.run.servers.values() if server.is_alive and not server.is_draining]
 
     # --- demand ---
 
-    def burst(self, trouble: Trouble) -> None:
-        self.day.demand.change(1 + trouble.size)
-        self.later(trouble.for_s, self.day.demand.change, 1.0)
-
-    def hot_customers(self, trouble: Trouble) -> None:
-        """One to three customers ask `size` times the usual load on top."""
-        demand = self.day.demand
-        struck = [self.stream.pick(demand.customers) for _ in range(1 + self.stream.below(3))]
-        for customer in struck:
-            customer.use += trouble.size * demand.usual / len(struck)
-            demand.follow(customer)
-        self.later(trouble.for_s, self.cool, struck)
-
-    def cool(self, struck: list) -> None:
-        for customer in struck:
-            customer.use = customer.usual
-            self.day.demand.follow(customer)
-
-    def one_shots(self, trouble: Trouble) -> None:
-        """Customers that ask once and are not seen again add `size` times the usual load."""
-        self.one_shot(trouble, self.day.clock.now + round(trouble.for_s * S))
-
-    def one_shot(self, trouble: Trouble, until_us: int, ask: bool = False) -> None:
-        demand = self.day.demand
-        if self.day.clock.now >= min(until_us, self.day.end_us):
+    def burst(self, fault: Trouble) -> None:
+        self.run.demand.set_load_factor(1 + fault.size)
+        self.after_s(fault.for_s, self.run.demand.set_load_factor, 1.0)
+
+    def hot_customers(self, fault: Trouble) -> None:
+        """Let one to three customers together add `size` times the usual load."""
+        demand = self.run.demand
+        affected = [self.stream.pick(demand.customers) for _ in range(1 + self.stream.below(3))]
+        for customer in affected:
+            customer.rate += fault.size * demand.in_quota_rate / len(affected)
+            demand.restart_arrivals(customer)
+        self.after_s(fault.for_s, self.end_hot_customers, affected)
+
+    def end_hot_customers(self, affected: list[Customer]) -> None:
+        for customer in affected:
+            customer.rate = customer.usual_rate
+            self.run.demand.restart_arrivals(customer)
+
+    def one_shots(self, fault: Trouble) -> None:
+        """Let customers that make one request each add `size` times the usual load."""
+        self.next_one_shot(fault, self.run.clock.now + round(fault.for_s * S))
+
+    def next_one_shot(self, fault: Trouble, until_us: int, must_request: bool = False) -> None:
+        demand = self.run.demand
+        if self.run.clock.now >= min(until_us, self.run.end_us):
             return
-        if ask:
-            customer = demand.customer(ONE_SHOT_PLAN, 0.0)
-            demand.ask(customer)
+        if must_request:
+            customer = demand.add_customer(ONE_SHOT_PLAN, 0.0)
+            demand.start_operation(customer)
             demand.customers.remove(customer)
-        rate = trouble.size * demand.usual
+        rate = fault.size * demand.in_quota_rate
         if rate > 0:
-            self.later(self.stream.exponential(1 / rate), self.one_shot, trouble, until_us, True)
-
-    # --- doors ---
-
-    def kill_doors(self, trouble: Trouble) -> None:
-        for door in self.some([door for door in self.day.doors if door.alive], trouble.part):
-            self.kill(door, trouble)
-
-    def kill(self, door: Door, trouble: Trouble) -> None:
-        back = self.stream.span(trouble.back_s)
-        door.stop()
-        if door.stored and trouble.state != "kept":
-            at, memory = door.stored
-            door.stored = (at - STALE_S * S, memory) if trouble.state == "stale" else None
-        notice = self.stream.span(self.day.scenario.clients.notice_s)
-        if notice < back:
-            self.later(notice, self.day.clients.down.add, door.number)
-        self.later(back, self.revive, door)
-
-    def revive(self, door: Door) -> None:
-        """It is back; the front takes it in as soon as it answers."""
-        self.day.clients.down.discard(door.number)
-        if not door.alive:
-            door.start()
-            self.day.books.last_back_us = self.day.clock.now - self.day.start_us
-
-    def restart_doors(self, trouble: Trouble) -> None:
-        """All of them in turn, a tenth at a time, by SIGTERM."""
-        doors = self.some(self.day.doors, 1.0)
-        step = math.ceil(len(doors) / RESTART_STEPS)
-        for number in range(0, len(doors), step):
-            self.later(trouble.for_s * number / len(doors), self.terminate, doors[number : number + step])
-
-    def terminate(self, doors: list[Door]) -> None:
-        longest = max(self.day.clients.deadlines) / S
-        left = max(LEAST_DRAIN_S, longest) + DRAIN_EXTRA_S
-        for door in doors:
-            if door.alive:
-                door.drain(round(left * S))
-                self.later(self.stream.span(SETTLE_S), self.day.clients.down.add, door.number)
-                self.drained(door, door.life, self.day.clock.now + round(left * S))
-
-    def drained(self, door: Door, life: int, latest_us: int) -> None:
-        """The process ends once all is answered, or when its time is up."""
-        if door.life != life:
+            self.after_s(self.stream.exponential(1 / rate), self.next_one_shot, fault, until_us, True)
+
+    # --- gateways ---
+
+    def kill_doors(self, fault: Trouble) -> None:
+        """Kill a share of the gateways; each restarts after a time from `back_s`."""
+        running = [gateway for gateway in self.run.doors if gateway.is_alive]
+        for gateway in self.sample(running, fault.part):
+            self.kill_gateway(gateway, fault)
+
+    def kill_gateway(self, gateway: Gateway, fault: Trouble) -> None:
+        back_s = self.stream.span(fault.back_s)
+        gateway.stop()
+        if gateway.stored_snapshot and fault.state != "kept":
+            stored_us, snapshot = gateway.stored_snapshot
+            gateway.stored_snapshot = (
+                (stored_us - STALE_SNAPSHOT_AGE_S * S, snapshot) if fault.state == "stale" else None
+            )
+        notice_s = self.stream.span(self.run.scenario.clients.notice_s)
+        if notice_s < back_s:
+            self.after_s(notice_s, self.run.clients.down.add, gateway.number)
+        self.after_s(back_s, self.start_gateway, gateway)
+
+    def start_gateway(self, gateway: Gateway) -> None:
+        """Start a gateway again. The load balancer uses it as soon as it answers."""
+        self.run.clients.down.discard(gateway.number)
+        if not gateway.is_alive:
+            gateway.start()
+            self.run.books.last_restart_us = self.run.clock.now - self.run.start_us
+
+    def restart_doors(self, fault: Trouble) -> None:
+        """Restart all gateways by SIGTERM, a tenth of them at a time."""
+        gateways = self.sample(self.run.doors, 1.0)
+        step = math.ceil(len(gateways) / RESTART_STEPS)
+        for number in range(0, len(gateways), step):
+            delay_s = fault.for_s * number / len(gateways)
+            self.after_s(delay_s, self.terminate, gateways[number : number + step])
+
+    def terminate(self, gateways: list[Gateway]) -> None:
+        """Start a graceful shutdown of gateways."""
+        longest_s = max(self.run.clients.deadlines) / S
+        left_s = max(MIN_DRAIN_S, longest_s) + DRAIN_EXTRA_S
+        for gateway in gateways:
+            if gateway.is_alive:
+                gateway.drain(round(left_s * S))
+                settle_s = self.stream.span(LOAD_BALANCER_SETTLE_S)
+                self.after_s(settle_s, self.run.clients.down.add, gateway.number)
+                self.check_drained(gateway, gateway.epoch, self.run.clock.now + round(left_s * S))
+
+    def check_drained(self, gateway: Gateway, epoch: int, latest_us: int) -> None:
+        """End a draining process once all requests are answered, or when its time is up."""
+        if gateway.epoch != epoch:
             return
-        settled = door.number in self.day.clients.down
-        if (settled and not door.open) or self.day.clock.now > latest_us + 200 * MS:
-            if door.stored:  # a planned end keeps what is known then
-                door.store(door.life)
-            door.stop()
-            self.later(RESTART_S, self.revive, door)
+        is_settled = gateway.number in self.run.clients.down
+        if (is_settled and not gateway.open_requests) or self.run.clock.now > latest_us + 200 * MS:
+            if gateway.stored_snapshot:  # a graceful shutdown stores a last snapshot
+                gateway.store_snapshot(gateway.epoch)
+            gateway.stop()
+            self.after_s(RESTART_S, self.start_gateway, gateway)
         else:
-            self.later(0.05, self.drained, door, life, latest_us)
+            self.after_s(0.05, self.check_drained, gateway, epoch, latest_us)
 
     # --- servers ---
 
-    def release(self, trouble: Trouble) -> None:
-        """`part` of the servers are replaced over `for_s`: a new one under a new id, the old one drains."""
-        old = self.some(self.running(), trouble.part)
+    def release(self, fault: Trouble) -> None:
+        """Replace `part` of the servers over `for_s`: a new one under a new id, while the old one drains."""
+        old = self.sample(self.running(), fault.part)
         for number, server in enumerate(old):
-            self.later(trouble.for_s * number / max(1, len(old)), self.replace, server)
+            self.after_s(fault.for_s * number / max(1, len(old)), self.replace_server, server)
 
-    def replace(self, server: ScanServer) -> None:
-        self.names += 1
-        fresh = self.day.add_server(f"{server.name}r{self.names}", (server.zone, server.cell), cold=True)
-        self.day.catalog.notice(fresh, ServerState.UP, self.day.scenario.net.list_add_s)
-        self.retire(server)
+    def replace_server(self, server: ScanServer) -> None:
+        self.replacement_count += 1
+        name = f"{server.name}r{self.replacement_count}"
+        new_server = self.run.add_server(name, (server.zone, server.cell), cold=True)
+        self.run.catalog.report(new_server, ServerState.UP, self.run.scenario.net.list_add_s)
+        self.drain_server(server)
 
-    def retire(self, server: ScanServer) -> None:
-        if not server.alive or server.draining:
+    def drain_server(self, server: ScanServer) -> None:
+        if not server.is_alive or server.is_draining:
             return
-        server.draining = True
-        self.day.catalog.notice(server, ServerState.DRAINING, LIST_DRAIN_S)
-        self.later(self.stream.span(DRAINED_S), self.gone, server)
+        server.is_draining = True
+        self.run.catalog.report(server, ServerState.DRAINING, DRAIN_NOTICE_S)
+        self.after_s(self.stream.span(SERVER_DRAIN_S), self.remove_server, server)
 
-    def gone(self, server: ScanServer) -> None:
-        if server.alive:
+    def remove_server(self, server: ScanServer) -> None:
+        if server.is_alive:
             server.stop()
-        self.day.catalog.notice(server, ServerState.GONE, self.day.scenario.net.list_gone_s)
+        self.run.catalog.report(server, ServerState.GONE, self.run.scenario.net.list_gone_s)
 
-    def shrink(self, trouble: Trouble) -> None:
-        old = self.some(self.running(), trouble.part)
+    def shrink(self, fault: Trouble) -> None:
+        """Drain `part` of the servers over `for_s`, and replace none."""
+        old = self.sample(self.running(), fault.part)
         for number, server in enumerate(old):
-            self.later(trouble.for_s * number / max(1, len(old)), self.retire, server)
-
-    def zone_loss(self, trouble: Trouble) -> None:
-        """A zone's servers vanish (`size` above a half: in silence, else their processes die) and come back
-        cold; `part` of its doors go with them."""
-        silent = trouble.size > 0.5
-        struck = [server for server in self.running() if server.zone == trouble.zone]
-        if self.day.scenario.net.zones == 1:
-            struck = self.some(self.running(), 0.3)
-        lag = self.day.scenario.net.list_silent_s if silent else self.day.scenario.net.list_gone_s
-        for server in struck:
-            self.day.lose(server, silent)
-            if trouble.for_s > lag[0]:
-                self.day.catalog.notice(server, ServerState.GONE, lag)
-        self.later(trouble.for_s, self.come_back, struck)
-        doors = [door for door in self.day.doors if door.zone == trouble.zone and door.alive]
-        for door in self.some(doors, trouble.part) if trouble.part else []:
-            self.kill(door, trouble)
-
-    def come_back(self, struck: list[ScanServer]) -> None:
-        for server in struck:
-            if not server.alive:
-                self.day.gone_silent.discard(server.name)
+            self.after_s(fault.for_s * number / max(1, len(old)), self.drain_server, server)
+
+    def zone_loss(self, fault: Trouble) -> None:
+        """Stop a zone's servers, which come back cold, and kill `part` of its gateways.
+
+        With a `size` above 0.5 the machines vanish in silence, else the processes die. Where there is one
+        zone, 30% of the servers are stopped.
+        """
+        is_silent = fault.size > 0.5
+        affected = [server for server in self.running() if server.zone == fault.zone]
+        if self.run.scenario.net.zones == 1:
+            affected = self.sample(self.running(), 0.3)
+        lag_s = self.run.scenario.net.list_silent_s if is_silent else self.run.scenario.net.list_gone_s
+        for server in affected:
+            self.run.lose(server, is_silent)
+            if fault.for_s > lag_s[0]:
+                self.run.catalog.report(server, ServerState.GONE, lag_s)
+        self.after_s(fault.for_s, self.start_servers, affected)
+        gateways = [gateway for gateway in self.run.doors if gateway.zone == fault.zone and gateway.is_alive]
+        for gateway in self.sample(gateways, fault.part) if fault.part else []:
+            self.kill_gateway(gateway, fault)
+
+    def start_servers(self, affected: list[ScanServer]) -> None:
+        for server in affected:
+            if not server.is_alive:
+                self.run.gone_silent.discard(server.name)
                 server.start()
-                self.day.catalog.notice(server, ServerState.UP, self.day.scenario.net.list_add_s)
-
-    def zone_cut(self, trouble: Trouble) -> None:
-        cut = self.day.network.cut
-        cut.add(trouble.zone)
-        self.later(trouble.for_s, cut.discard, trouble.zone)
-
-    def silent(self, trouble: Trouble) -> None:
-        """`part` of the servers are not reached for a while, and lose nothing."""
-        names = {server.name for server in self.some(self.running(), trouble.part)}
-        self.day.network.silent |= names
-        self.later(trouble.for_s, self.day.network.silent.difference_update, names)
-
-    def bad(self, trouble: Trouble, fast: bool = False) -> None:
-        """`part` of the servers answer `size` of their requests with errors."""
-        struck = self.some(self.running(), trouble.part)
-        for server in struck:
-            server.bad, server.fast_errors = trouble.size, fast
-        self.later(trouble.for_s, self.mend, struck)
-
-    def errors_fast(self, trouble: Trouble) -> None:
-        """The same, but at once, without having done the work."""
-        self.bad(trouble, fast=True)
-
-    def mend(self, struck: list[ScanServer]) -> None:
-        for server in struck:
-            server.bad, server.fast_errors = 0.0, False
-
-    def slow(self, trouble: Trouble) -> None:
-        struck = self.some(self.running(), trouble.part)
-        self.set_slow(struck, max(1.0, trouble.size))
-        self.later(trouble.for_s, self.set_slow, struck, 1.0)
-
-    def set_slow(self, struck: list[ScanServer], factor: float) -> None:
-        for server in struck:
+                self.run.catalog.report(server, ServerState.UP, self.run.scenario.net.list_add_s)
+
+    def zone_cut(self, fault: Trouble) -> None:
+        """Isolate a zone for a while."""
+        isolated_zones = self.run.network.isolated_zones
+        isolated_zones.add(fault.zone)
+        self.after_s(fault.for_s, isolated_zones.discard, fault.zone)
+
+    def silent(self, fault: Trouble) -> None:
+        """Make `part` of the servers unreachable for a while; they lose no work."""
+        names = {server.name for server in self.sample(self.running(), fault.part)}
+        self.run.network.unreachable_servers |= names
+        self.after_s(fault.for_s, self.run.network.unreachable_servers.difference_update, names)
+
+    def bad(self, fault: Trouble, fails_fast: bool = False) -> None:
+        """Let `part` of the servers answer a share `size` of their requests with errors."""
+        affected = self.sample(self.running(), fault.part)
+        for server in affected:
+            server.error_share, server.fails_fast = fault.size, fails_fast
+        self.after_s(fault.for_s, self.end_errors, affected)
+
+    def errors_fast(self, fault: Trouble) -> None:
+        """Let servers answer with errors as `bad` does, but at once, without having done the work."""
+        self.bad(fault, fails_fast=True)
+
+    def end_errors(self, affected: list[ScanServer]) -> None:
+        for server in affected:
+            server.error_share, server.fails_fast = 0.0, False
+
+    def slow(self, fault: Trouble) -> None:
+        """Make `part` of the servers slower by a factor of `size`."""
+        affected = self.sample(self.running(), fault.part)
+        self.set_slowdown(affected, max(1.0, fault.size))
+        self.after_s(fault.for_s, self.set_slowdown, affected, 1.0)
+
+    def set_slowdown(self, affected: list[ScanServer], factor: float) -> None:
+        for server in affected:
             server.advance()
-            server.slow = factor
-            if server.alive:
-                server.plan()
+            server.slowdown = factor
+            if server.is_alive:
+                server.schedule_step()
 
-    # --- network and lists ---
+    # --- network and endpoint lists ---
 
-    def messages_lost(self, trouble: Trouble) -> None:
-        self.set_lost(min(1.0, trouble.size))
-        self.later(trouble.for_s, self.set_lost, 0.0)
+    def messages_lost(self, fault: Trouble) -> None:
+        """Lose a share `size` of the peer messages."""
+        self.set_message_loss(min(1.0, fault.size))
+        self.after_s(fault.for_s, self.set_message_loss, 0.0)
 
-    def set_lost(self, share: float) -> None:
-        self.day.network.messages_lost = share
+    def set_message_loss(self, share: float) -> None:
+        self.run.network.message_loss = share
 
-    def drop_answers(self, trouble: Trouble) -> None:
-        self.set_dropped(min(1.0, trouble.size))
-        self.later(trouble.for_s, self.set_dropped, 0.0)
+    def drop_answers(self, fault: Trouble) -> None:
+        """Lose a share `size` of the servers' answers."""
+        self.set_answer_loss(min(1.0, fault.size))
+        self.after_s(fault.for_s, self.set_answer_loss, 0.0)
 
-    def set_dropped(self, share: float) -> None:
-        self.day.network.answers_lost = share
+    def set_answer_loss(self, share: float) -> None:
+        self.run.network.answer_loss = share
 
-    def lists_late(self, trouble: Trouble) -> None:
-        """News of the list reach the doors `size` seconds later; never out of their order."""
-        self.day.catalog.extra_us = round(trouble.size * S)
-        self.later(trouble.for_s, self.lists_again)
+    def lists_late(self, fault: Trouble) -> None:
+        """Delay changes of the endpoint list by `size` seconds; they stay in order."""
+        self.run.catalog.extra_lag_us = round(fault.size * S)
+        self.after_s(fault.for_s, self.reduce_list_lag)
 
-    def lists_again(self) -> None:
-        """The lag falls a little at a time: what is on its way must not be overtaken."""
-        catalog = self.day.catalog
-        step = 20 * MS
-        catalog.extra_us = max(0, catalog.extra_us - step)
-        if catalog.extra_us:
-            self.later(step / S, self.lists_again)
+    def reduce_list_lag(self) -> None:
+        """Reduce the extra lag in small steps, so that no change overtakes one that was sent before."""
+        catalog = self.run.catalog
+        step_us = 20 * MS
+        catalog.extra_lag_us = max(0, catalog.extra_lag_us - step_us)
+        if catalog.extra_lag_us:
+            self.after_s(step_us / S, self.reduce_list_lag)
 
 
-KINDS: dict[str, Callable[[Troubles, Trouble], None]] = {
-    kind: getattr(Troubles, kind) for kind in get_args(Kind)
+KINDS: dict[str, Callable[[FaultInjector, Trouble], None]] = {
+    kind: getattr(FaultInjector, kind) for kind in get_args(Kind)
 }
--- a/thistletrail/simulation/watched.py
+++ b/thistletrail/simulation/watched.py
@@ -1,7 +1,7 @@
-"""What the decision engine makes of requests, made known to the simulation's books.
+"""Records the policy engine's decisions on requests, for the simulation's accounting.
 
-`DecisionRecorder` observes an engine and changes nothing: it notes on what basis a request's quota was
-decided and why one was rejected, in the words that the simulation's output has.
+`DecisionRecorder` observes an engine and changes nothing. It records on what basis the quota of a request
+was decided and why one was rejected, in the texts of the simulation's output.
 """
 
 from __future__ import annotations
@@ -36,42 +36,47 @@
 }
 
 
-class Decided:
-    """What the engine made of one request: whether it counted it as inside the quota, and on what basis."""
+class RequestDecision:
+    """What the engine decided on one request: whether it is in the quota, on what basis, and why rejected.
 
-    __slots__ = ("basis", "chance", "home", "inside", "why")
+    `owner` is the number of the quota owner's gateway, -1 as long as nothing is decided. `reason` is empty
+    unless the request was rejected.
+    """
+
+    __slots__ = ("basis", "chance", "is_in_quota", "owner", "reason")
 
     def __init__(self) -> None:
-        self.basis, self.chance, self.inside, self.why, self.home = "", 1.0, False, "", -1
+        self.basis, self.chance, self.is_in_quota, self.reason, self.owner = "", 1.0, False, "", -1
 
 
 class DecisionRecorder:
-    """Observes one gateway's decisions; `seen` holds a note for each request that is open."""
+    """Records one gateway's decisions; `by_request` has one for each open request."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, Decided] = {}
-        self.wait_text = ""  # of the request whose expiry is checked
+        self.by_request: dict[str, RequestDecision] = {}
+        self.wait_text = ""  # of the request whose expiry was checked last
 
-    def note(self, request: PendingRequest) -> Decided:
-        """The note of a request, made where there is none."""
-        return self.seen.setdefault(request.arrival.id, Decided())
+    def decision_on(self, request: PendingRequest) -> RequestDecision:
+        """Return the decision on a request; create one if there is none."""
+        return self.by_request.setdefault(request.arrival.id, RequestDecision())
 
     def on_quota_decision(self, request: PendingRequest, basis: QuotaBasis, chance: float) -> None:
-        """Note the basis, and whether the request is inside its quota."""
-        note = self.note(request)
-        note.basis = BASIS_TEXTS[basis]
-        note.chance = chance
-        note.inside = request.is_in_quota
-        note.home = request.customer.owner
+        """Record the basis, and whether the request is in its quota."""
+        decision = self.decision_on(request)
+        decision.basis = BASIS_TEXTS[basis]
+        decision.chance = chance
+        decision.is_in_quota = request.is_in_quota
+        decision.owner = request.customer.owner
 
     def on_expiry_check(self, request: PendingRequest, wait_reason: WaitReasonOf) -> None:
-        """Remember what the request waits for: it is why it is rejected, if it is.
+        """Remember what the request waits for, which is the reason if it is rejected as expired.
 
-        This is looked up at each check, not only before a rejection, as to look refills the customer's
-        buckets, and recorded runs have been made so.
+        The reason is looked up at each check and not only before a rejection, because the look-up refills
+        the customer's buckets and recorded runs were made that way.
         """
         self.wait_text = WAIT_TEXTS[wait_reason(request)]
 
     def on_reject(self, request: PendingRequest, reason: RejectReason) -> None:
-        """Note the reason."""
-        self.note(request).why = self.wait_text if reason is RejectReason.EXPIRED else REASON_TEXTS[reason]
+        """Record the reason."""
+        decision = self.decision_on(request)
+        decision.reason = self.wait_text if reason is RejectReason.EXPIRED else REASON_TEXTS[reason]
