--- a/tests/test_simulation_kept.py
+++ b/tests/test_simulation_kept.py
@@ -1,4 +1,4 @@
-"""Work in hand that outlives its door, in the model: nobody runs twice in two zones, and rules are kept."""
+"""Simulated takeover: a keyed request runs in one zone only, and no rule is broken."""
 
 import subprocess
 import sys
@@ -26,47 +26,53 @@
 
 
 @pytest.fixture(scope="module")
-def plays() -> dict[bool, list[Day]]:
+def runs() -> dict[bool, list[Day]]:
     return {
-        kept: [days.play(msgspec.structs.replace(FLEET, takeover=kept), seed) for seed in range(1, 9)]
-        for kept in (False, True)
+        has_takeover: [
+            days.play(msgspec.structs.replace(FLEET, takeover=has_takeover), seed) for seed in range(1, 9)
+        ]
+        for has_takeover in (False, True)
     }
 
 
-def test_what_is_kept_runs_in_one_zone_and_breaks_no_rule(plays: dict[bool, list[Day]]) -> None:
-    assert sum(day.books.zones for day in plays[False]) > 0
-    assert sum(day.books.zones for day in plays[True]) == 0
-    assert not [day.books.violation_counts for day in plays[True] if day.books.violation_counts]
-    assert all(day.result()["sums"] == [] for day in plays[True])
+def test_with_takeover_a_keyed_request_runs_in_one_zone_and_no_rule_is_broken(
+    runs: dict[bool, list[Day]],
+) -> None:
+    assert sum(run.books.zones for run in runs[False]) > 0
+    assert sum(run.books.zones for run in runs[True]) == 0
+    assert not [run.books.violation_counts for run in runs[True] if run.books.violation_counts]
+    assert all(run.result()["sums"] == [] for run in runs[True])
 
 
-def test_lost_work_is_taken_over_and_told_and_units_are_taken_once(plays: dict[bool, list[Day]]) -> None:
-    counts = [day.kept.result() for day in plays[True]]
+def test_lost_work_items_are_taken_over_and_their_clients_answered(runs: dict[bool, list[Day]]) -> None:
+    counts = [run.kept.result() for run in runs[True]]
     assert sum(count.get("taken", 0) for count in counts) > 0
     assert sum(count.get("told served", 0) for count in counts) > 0
     assert all(count.get("served", 0) <= count.get("taken", 0) <= count.get("lost", 0) for count in counts)
-    assert all(day.kept.counts == {} for day in plays[False])
+    assert all(run.kept.counts == {} for run in runs[False])
 
 
-def test_a_day_with_nothing_lost_is_the_same_with_it_and_without() -> None:
-    calm = msgspec.structs.replace(FLEET, troubles=(), length_s=5)
-    usual = days.play(calm, 1).result()
-    assert days.play(msgspec.structs.replace(calm, takeover=True), 1).result() == usual
-    assert LEASE_US < 2_000_000  # else what is taken over would have no time left
+def test_without_faults_takeover_changes_nothing() -> None:
+    without_faults = msgspec.structs.replace(FLEET, troubles=(), length_s=5)
+    baseline = days.play(without_faults, 1).result()
+    assert days.play(msgspec.structs.replace(without_faults, takeover=True), 1).result() == baseline
+    assert LEASE_US < 2_000_000  # otherwise a work item would have no time left after its takeover
 
 
-def test_the_command_sets_both_sides_beside_each_other(tmp_path: Path) -> None:
-    path = tmp_path / "small.toml"
-    path.write_text(dump(msgspec.structs.replace(FLEET, length_s=6, doors=4, servers=Servers(count=4))))
-    words = ["takeover", str(path), "--seeds", "1", "--jobs", "2"]
-    done = subprocess.run(
-        [sys.executable, "-m", "thistletrail.simulation", *words],
+def test_the_takeover_command_compares_runs_with_and_without_takeover(tmp_path: Path) -> None:
+    scenario_path = tmp_path / "small.toml"
+    scenario_path.write_text(
+        dump(msgspec.structs.replace(FLEET, length_s=6, doors=4, servers=Servers(count=4)))
+    )
+    arguments = ["takeover", str(scenario_path), "--seeds", "1", "--jobs", "2"]
+    completed = subprocess.run(
+        [sys.executable, "-m", "thistletrail.simulation", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=120,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
-    assert "lost against kept" in done.stdout and "keyed in two zones" in done.stdout
-    assert "most a second" in done.stdout.splitlines()[-1]
+    assert completed.returncode == 0, completed.stderr
+    assert "lost against kept" in completed.stdout and "keyed in two zones" in completed.stdout
+    assert "most a second" in completed.stdout.splitlines()[-1]
--- a/tests/test_simulation_leased.py
+++ b/tests/test_simulation_leased.py
@@ -1,4 +1,4 @@
-"""Ceilings by a steward's leases in the model: doors die, none is passed; a steward that lies is found."""
+"""Simulated budgets by leases: no ceiling is exceeded when gateways die, and a wrong division is found."""
 
 import subprocess
 import sys
@@ -12,7 +12,7 @@
 from thistletrail.simulation.day import Day
 from thistletrail.simulation.scenario import PLANS, Demand, Net, Scenario, Servers, Trouble, dump, parse
 
-# Ceilings below the quotas, so that it is they that bind.
+# Ceilings below the quotas, so that the ceilings limit the customers.
 LOW = tuple(msgspec.structs.replace(plan, ceiling=(0.4, 0.5)) if plan.ceiling else plan for plan in PLANS)
 FLEET = Scenario(
     name="leased",
@@ -31,30 +31,32 @@
 
 
 @pytest.fixture(scope="module")
-def plays() -> list[Day]:
+def runs() -> list[Day]:
     return [days.play(FLEET, seed) for seed in range(1, 5)]
 
 
-def test_doors_die_and_are_granted_parts_anew_and_no_ceiling_is_passed(plays: list[Day]) -> None:
-    for day in plays:
-        assert day.books.violation_counts == {} and day.result()["sums"] == []
-        assert day.leases.renewals > 100
-        incarnations = {held.holder.incarnation for held in day.leases.holders.values()}
-        assert len(incarnations) > 1  # some have started again
-        budgets = day.leases.state.budgets
-        assert budgets and {name.split("/")[2] for name in budgets} == {"2"}  # the plan that has ceilings
-    # What is served by ceilings is more than the floors alone, a tenth of them, would let through.
-    assert min(day.result()["plans"]["institution"] for day in plays) > 0.2
+def test_restarted_gateways_are_granted_shares_again_and_no_ceiling_is_exceeded(runs: list[Day]) -> None:
+    for run in runs:
+        assert run.books.violation_counts == {} and run.result()["sums"] == []
+        assert run.leases.renewals > 100
+        incarnations = {leases.holder.incarnation for leases in run.leases.holders.values()}
+        assert len(incarnations) > 1  # some gateways have restarted
+        budgets = run.leases.state.budgets
+        assert budgets and {name.split("/")[2] for name in budgets} == {"2"}  # the only plan with ceilings
+    # More is served than the floors alone, a tenth of the ceilings, would let through.
+    assert min(run.result()["plans"]["institution"] for run in runs) > 0.2
 
 
-def test_the_same_seed_is_the_same_day_and_off_there_is_no_steward(plays: list[Day]) -> None:
-    assert days.play(FLEET, 1).result() == plays[0].result()
+def test_runs_are_reproducible_and_without_leases_nothing_is_renewed(runs: list[Day]) -> None:
+    assert days.play(FLEET, 1).result() == runs[0].result()
     fixed = days.play(msgspec.structs.replace(FLEET, leased=False), 1)
     assert fixed.leases.renewals == 0 and not fixed.leases.holders
 
 
-def test_a_steward_that_divides_more_than_there_is_passes_ceilings(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: the check of ceilings finds it."""
+def test_a_lease_service_that_grants_more_than_the_total_exceeds_ceilings(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The fault is injected, to test that the check of ceilings finds it."""
     monkeypatch.setattr(
         "thistletrail.leasing.budget_state.divisible_total", lambda limits, *_: 8 * limits.total
     )
@@ -63,32 +65,42 @@
     )
 
 
-def test_pairs_of_fixed_parts_and_leases_are_a_command(tmp_path: Path) -> None:
-    path = tmp_path / "x.toml"
-    path.write_text(dump(msgspec.structs.replace(FLEET, length_s=3, troubles=())))
-    assert parse(path.read_bytes(), "x") == msgspec.structs.replace(FLEET, length_s=3, troubles=())
-    done = subprocess.run(
-        [sys.executable, "-m", "thistletrail.simulation", "leases", str(path), "--seeds", "1", "--jobs", "2"],
+def test_the_leases_command_compares_fixed_shares_with_leases(tmp_path: Path) -> None:
+    scenario_path = tmp_path / "x.toml"
+    scenario_path.write_text(dump(msgspec.structs.replace(FLEET, length_s=3, troubles=())))
+    assert parse(scenario_path.read_bytes(), "x") == msgspec.structs.replace(FLEET, length_s=3, troubles=())
+    completed = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "thistletrail.simulation",
+            "leases",
+            str(scenario_path),
+            "--seeds",
+            "1",
+            "--jobs",
+            "2",
+        ],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=120,
         check=False,
     )
-    assert done.returncode == 0 and "refused, ceiling half unused" in done.stdout
-    assert "asks of the steward" in done.stdout
+    assert completed.returncode == 0 and "refused, ceiling half unused" in completed.stdout
+    assert "asks of the steward" in completed.stdout
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_quotas_by_leases_cost_nothing_beyond_them_and_serve_as_well(seed: int) -> None:
-    """A customer's share of the burst at each of many doors is less than a unit: whole units go round."""
-    plain = Scenario(
+def test_leased_quotas_are_not_exceeded_and_serve_nearly_as_much(seed: int) -> None:
+    """At each of many gateways a customer's share of the burst is below a unit: whole units are granted."""
+    fixed = Scenario(
         name="fleet", doors=17, length_s=8, servers=Servers(count=12), demand=Demand(load=(0.5, 0.5))
     )
-    leased = msgspec.structs.replace(plain, leased_quotas=True)
-    words, leases = days.play(plain, seed), days.play(leased, seed)
-    assert not leases.books.violation_counts and leases.books.check() == []
-    assert words.prices()["over_quota"] > 0 and leases.prices()["over_quota"] == 0
-    kinds = {name.split("/")[0] for name in leases.leases.state.budgets}
+    leased = msgspec.structs.replace(fixed, leased_quotas=True)
+    fixed_run, leased_run = days.play(fixed, seed), days.play(leased, seed)
+    assert not leased_run.books.violation_counts and leased_run.books.check() == []
+    assert fixed_run.prices()["over_quota"] > 0 and leased_run.prices()["over_quota"] == 0
+    kinds = {name.split("/")[0] for name in leased_run.leases.state.budgets}
     assert kinds == {"ceiling", "quota"}
-    assert leases.result()["whole"] > 0.85 * words.result()["whole"]
+    assert leased_run.result()["whole"] > 0.85 * fixed_run.result()["whole"]
