--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -130,7 +130,7 @@
     world = World(plan.fleet, seed, Clock())
     load = Load(world, 0)
     load.begin(world.capacity())
-    largest = sorted(load.customers, key=lambda customer: -customer.usual)[:count]
+    largest = sorted(load.customers, key=lambda customer: -customer.usual_rate)[:count]
     homes = {
         (customer.first + zlib.crc32(customer.name.encode()) % customer.size) % plan.fleet.doors
         for customer in largest
