--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -47,7 +47,9 @@
 
 
 def servers(count: int, **changes: object) -> tuple[Server, ...]:
-    return tuple(replace(Server(f"s{n}", n % 2, 0, n // 2, ServerState.UP), **changes) for n in range(count))
+    return tuple(
+        replace(Server(f"s{n}", n % 2, 0, n // 2, ServerState.SERVING), **changes) for n in range(count)
+    )
 
 
 class World:
@@ -92,12 +94,12 @@
     def answer(
         self,
         name: str,
-        result: AttemptResult = AttemptResult.OK,
+        result: AttemptResult = AttemptResult.SUCCESS,
         attempt: int = 0,
         report: LoadReport | None = None,
     ) -> list[Action]:
         server, sent, _ = self.out.pop((name, attempt))
-        over = result is AttemptResult.OK
+        over = result is AttemptResult.SUCCESS
         event = AttemptEnded(name, over, attempt, server, result, self.now - sent, report=report)
         return self.tell(event)
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -28,7 +28,7 @@
         self, address: Address, idle_us: int = 30 * S, max_connections: int = 50, connect_us: int = 20 * S
     ) -> None:
         self.backends = Backends(idle_us, connect_us, max_connections)
-        self.backends.update({"s": ServerState.UP}, {"s": address}, is_full=True)
+        self.backends.update({"s": ServerState.SERVING}, {"s": address}, is_full=True)
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
     def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
@@ -72,11 +72,11 @@
         assert backend.opened == 2
         for writer in backend.writers:
             writer.write(value(b"x"))
-        assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
+        assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
         backend.answer = lambda arguments: value(b"y")
         for _ in range(5):
             sender.send()
-            assert await sender.result() is AttemptResult.OK
+            assert await sender.result() is AttemptResult.SUCCESS
         assert backend.opened == 2
         sender.backends.close()
 
@@ -204,7 +204,7 @@
         sender = Sender(await backend.start(), idle_us=200_000)
         sender.backends.sweep()
         sender.send()
-        assert await sender.result() is AttemptResult.OK
+        assert await sender.result() is AttemptResult.SUCCESS
         await backend.left.wait()
         assert sender.backends.connection_count() == 0
 
@@ -223,7 +223,7 @@
             await backend.received(2)
             for writer in backend.writers:
                 writer.write(value(b"x"))
-            assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
+            assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
             assert len(sender.backends.pools["s"].idle) == 2
             backend.answer = lambda arguments, broken=broken: broken
             assert await sender.send_and_time_out() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
@@ -257,7 +257,7 @@
         await backend.came.wait()
         sender.backends.update({}, {}, is_full=True)
         backend.writers[0].write(value(b"x"))
-        assert await sender.result() is AttemptResult.OK
+        assert await sender.result() is AttemptResult.SUCCESS
         await backend.left.wait()
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
@@ -301,7 +301,7 @@
         await backend.received(2)
         for writer in backend.writers:
             writer.write(value(b"x"))
-        assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
+        assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
         backend.answer = lambda arguments: answer
         sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
@@ -309,7 +309,7 @@
         assert len(sender.backends.pools["s"].idle) == 1
         backend.answer = lambda arguments: value(b"good")
         sender.send()
-        assert await sender.ended.get() == (AttemptResult.OK, b"good", None)
+        assert await sender.ended.get() == (AttemptResult.SUCCESS, b"good", None)
         assert backend.opened == 2
         sender.backends.close()
 
@@ -413,7 +413,7 @@
         backend = Backend(lambda arguments: value(b"x" * 213_035))
         sender = Sender(await backend.start())
         sender.send()
-        assert await sender.ended.get() == (AttemptResult.OK, b"x" * 213_035, None)
+        assert await sender.ended.get() == (AttemptResult.SUCCESS, b"x" * 213_035, None)
         backend.answer = lambda arguments: value(b"x" * 213_035)[:150_000]
         sender.backends.max_partial_answer_bytes = 400_000
         for _ in range(3):
@@ -439,7 +439,7 @@
         assert sender.backends.connection_count() == 1  # the event loop closes the socket in a later turn
         await backend.left.wait()
         assert sender.backends.connection_count() == 0
-        sender.backends.update({"s": ServerState.UP}, {"s": refusing_address()}, is_full=True)
+        sender.backends.update({"s": ServerState.SERVING}, {"s": refusing_address()}, is_full=True)
         sender.send()
         assert await sender.result() is AttemptResult.CANCELLED
         assert await sender.result() is AttemptResult.CONNECT_FAILED
@@ -466,7 +466,7 @@
             results.append(await sender.result())
         assert AttemptResult.RESET in results
         assert results.count(AttemptResult.RESET) <= backends.MIN_USES
-        assert results[-20:] == [AttemptResult.OK] * 20
+        assert results[-20:] == [AttemptResult.SUCCESS] * 20
         for _ in range(9):
             sender.backends.reuse_limit.decay()
         # Reuse is tried again after a while.
@@ -527,11 +527,11 @@
 def test_load_report_is_read_by_field_names_and_without_malformed_values() -> None:
     expected = LoadReport(util=0.61, service_ms=12.5)
     report = b"util=0.61,latency_ms=12.5,strange=x"
-    assert outcome_of(Answer(b"v", report=report)) == (AttemptResult.OK, b"v", expected)
+    assert outcome_of(Answer(b"v", report=report)) == (AttemptResult.SUCCESS, b"v", expected)
     for malformed in ("nan", "inf", "-inf", "-1", "-0.1", "1_0", " 1", "1e99", "2.5", "", "=", "0x1", "\xb2"):
         report = f"util={malformed},latency_ms=5".encode()
         load_report = outcome_of(Answer(b"v", report=report))[2]
         assert load_report is None or load_report.util is None
     assert outcome_of(Answer(b"v", report=b"util=\xff"))[2] is None
-    assert outcome_of(Answer(b"v", report=b"util=what")) == (AttemptResult.OK, b"v", None)
-    assert outcome_of(Answer(b"v")) == (AttemptResult.OK, b"v", None)
+    assert outcome_of(Answer(b"v", report=b"util=what")) == (AttemptResult.SUCCESS, b"v", None)
+    assert outcome_of(Answer(b"v")) == (AttemptResult.SUCCESS, b"v", None)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -74,7 +74,7 @@
     async def scenario() -> None:
         backend, ended = Backend(), []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, is_full=True)
+        pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
 
         def attempt(name: str) -> Attempt:
             payload = query(name)
@@ -97,7 +97,7 @@
         pool.send(second, 5 * S)
         while len(ended) < 2:
             await asyncio.sleep(0.001)
-        assert ended[1] == (second, AttemptResult.OK) and backend.opened == 1
+        assert ended[1] == (second, AttemptResult.SUCCESS) and backend.opened == 1
         assert [arguments[2] for arguments in backend.commands] == [b"a2"]
         pool.close()
 
@@ -319,7 +319,7 @@
     async def scenario() -> None:
         backend, ended = Backend(lambda arguments: None), []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": await backend.start()}, is_full=True)
+        pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
         first = Attempt(
             "a1", 0, "s", lambda remaining_us: query("a1"), lambda attempt, result, *_: ended.append(result)
         )
@@ -337,7 +337,7 @@
     async def scenario() -> None:
         ended = []
         pool = Backends(30 * S, 200_000, 5)
-        pool.update({"s": ServerState.UP}, {"s": (HOST, 9)}, is_full=True)
+        pool.update({"s": ServerState.SERVING}, {"s": (HOST, 9)}, is_full=True)
         for remaining_us in (0, 999):
             pool.send(
                 Attempt("a1", 0, "s", lambda _: b"", lambda attempt, result, *_: ended.append(result)),
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -72,7 +72,7 @@
         states = {server.name: server.state for server in first.event.servers}
         assert (first.event.kind, first.event.version) == (EndpointUpdateKind.FULL, 5)
         draining = ServerState.DRAINING
-        assert states == {"s1": ServerState.UP, "s2": draining, "s3": draining}
+        assert states == {"s1": ServerState.SERVING, "s2": draining, "s3": draining}
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.GONE
 
--- a/tests/test_health_gossip.py
+++ b/tests/test_health_gossip.py
@@ -174,7 +174,7 @@
         world.ask(f"t{number}", customer=f"c{number}")
         for name, attempt in list(world.out):
             is_failing = int(world.out[(name, attempt)][0][1:]) < 30
-            world.answer(name, AttemptResult.CONNECT_FAILED if is_failing else AttemptResult.OK, attempt)
+            world.answer(name, AttemptResult.CONNECT_FAILED if is_failing else AttemptResult.SUCCESS, attempt)
         world.run(20 * MS)
     names = [action.server for _, action in world.log if isinstance(action, StartAttempt)]
     half_open_attempts = sum(int(name[1:]) < 30 for name in names)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -330,7 +330,7 @@
             assert "\n" not in str(error) and len(str(error)) < 300
             return
     policy = PolicyEngine(loaded.settings)
-    server = Server("s1", 0, 0, 0, ServerState.UP)
+    server = Server("s1", 0, 0, 0, ServerState.SERVING)
     policy.handle(1_000_000, EndpointUpdate(EndpointUpdateKind.CACHED, 1, (server,)))
     for number in range(3):
         policy.handle(1_000_000 + number, RequestArrived(f"r{number}", 0, 0, "c", 1_000_000))
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -83,7 +83,7 @@
         request_class = CLASSES[request.class_index]
         runs = self.possible_runs.setdefault(action.id, [])
         assert action.id not in self.finished_ids
-        assert self.states[action.server].state is ServerState.UP
+        assert self.states[action.server].state is ServerState.SERVING
         in_flight = [key for key in self.out if key[0] == action.id]
         assert len(in_flight) == 1 or (self.gateway.settings.may_hedge and len(in_flight) == 2)
         if runs and request_class.effect is not Effect.IDEMPOTENT:
@@ -125,8 +125,8 @@
         server, sent, _ = self.out.pop(key)
         if result in NEVER_RAN:
             self.possible_runs[key[0]].remove((server, sent))
-        request_ended = key[0] in self.finished_ids or result is AttemptResult.OK
-        if result is AttemptResult.OK:
+        request_ended = key[0] in self.finished_ids or result is AttemptResult.SUCCESS
+        if result is AttemptResult.SUCCESS:
             self.finished_ids.add(key[0])
         self.tell(AttemptEnded(key[0], request_ended, key[1], server, result, self.now - sent))
 
@@ -170,7 +170,7 @@
             )
         elif kind <= 7 and world.out:
             key = list(world.out)[number % len(world.out)]
-            world.end_attempt(key, AttemptResult.OK if kind == 5 else FAILURES[number % len(FAILURES)])
+            world.end_attempt(key, AttemptResult.SUCCESS if kind == 5 else FAILURES[number % len(FAILURES)])
         elif kind == 8:
             world.change_server(number)
         elif number % 20 == 0:
--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -70,7 +70,9 @@
         assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
-async def wait_until_known(gateway: GatewayServer, *names: str, state: ServerState = ServerState.UP) -> None:
+async def wait_until_known(
+    gateway: GatewayServer, *names: str, state: ServerState = ServerState.SERVING
+) -> None:
     """Wait until exactly these scan servers have that state at the gateway."""
 
     def names_in_state() -> set[str]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -314,7 +314,7 @@
     world = World(replace(SETTINGS, settles_true_units=True))
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
-    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, true_units=4.0))
+    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.SUCCESS, world.now - sent, true_units=4.0))
     assert next(iter(world.gateway.customers.by_key.values())).set_level == pytest.approx(16)
 
 
@@ -563,7 +563,7 @@
         for name, attempt in list(world.out):
             fails = world.out[(name, attempt)][0] == failing_server
             sends, half_open_attempts = sends + fails, half_open_attempts + (fails and n > 200)
-            world.answer(name, AttemptResult.RESET if fails else AttemptResult.OK, attempt)
+            world.answer(name, AttemptResult.RESET if fails else AttemptResult.SUCCESS, attempt)
     assert sends < 20
     assert half_open_attempts >= 1
 
@@ -756,7 +756,7 @@
 def test_gone_servers_and_refilled_customers_are_forgotten() -> None:
     world = World(fleet=servers(2))
     for number in range(200):
-        gone = Server(f"x{number}", 0, 0, 0, ServerState.UP)
+        gone = Server(f"x{number}", 0, 0, 0, ServerState.SERVING)
         world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, number, (gone,)))
         world.tell(
             EndpointUpdate(EndpointUpdateKind.CHANGES, number, (replace(gone, state=ServerState.GONE),))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -125,7 +125,7 @@
     gateway_store = SnapshotStore(config)
     assert gateway_store.stored_snapshot is not None
     world = World(config.settings, ())
-    servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.UP) for number in range(4))
+    servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.SERVING) for number in range(4))
     world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 7, servers))
     world.tell(SnapshotFound(gateway_store.stored_snapshot.policy, 0))
     gateway = world.gateway
--- a/thistletrail/gateway/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -145,7 +145,7 @@
     """The attempt's result, value and load report by a server's answer."""
     load_report = parse_load_report(answer.report)
     if answer.error is None:
-        return AttemptResult.OK, answer.value, load_report
+        return AttemptResult.SUCCESS, answer.value, load_report
     error_code = answer.error.partition(b" ")[0]
     if error_code not in (b"BUSY", b"ERR"):
         log.error("a backend answers %.200r", answer.error)
@@ -534,7 +534,7 @@
             if state is not ServerState.GONE and address and name not in self.pools:
                 self.pools[name] = Pool(self, name, address)
             if pool := self.pools.get(name):
-                if state is ServerState.UP:
+                if state is ServerState.SERVING:
                     pool.is_accepting = True
                 else:
                     pool.stop_sending()
--- a/thistletrail/gateway/endpoint_list.py
+++ b/thistletrail/gateway/endpoint_list.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 STATE_BY_LIFECYCLE = {
-    "SERVING": ServerState.UP,
+    "SERVING": ServerState.SERVING,
     "DRAINING": ServerState.DRAINING,
     "DELETED": ServerState.GONE,
 }
--- a/thistletrail/gateway/exchanges.py
+++ b/thistletrail/gateway/exchanges.py
@@ -211,7 +211,7 @@
             exchange = self.answered_in_flight.get(request_id)
         else:
             self.add_to_history(exchange, attempt, result, now)
-            if result is AttemptResult.OK and value is not None:
+            if result is AttemptResult.SUCCESS and value is not None:
                 self.answer_with_value(request_id, value)
                 is_over = True
         if exchange:
--- a/thistletrail/leasing/model_checking/search.py
+++ b/thistletrail/leasing/model_checking/search.py
@@ -16,11 +16,11 @@
         """Return a value that is equal for equal states."""
 
 
-W = TypeVar("W", bound=World)
+WorldT = TypeVar("WorldT", bound=World)
 
 
 @dataclass(frozen=True, slots=True)
-class Transition(Generic[W]):
+class Transition(Generic[WorldT]):
     """An event that can occur in a state.
 
     Attributes:
@@ -29,12 +29,12 @@
     """
 
     event: str
-    apply: Callable[[], W]
+    apply: Callable[[], WorldT]
 
 
-Transitions = Callable[[W], Iterable[Transition[W]]]
+Transitions = Callable[[WorldT], Iterable[Transition[WorldT]]]
 # Returns a description of the property that a state violates; empty if all properties hold.
-ViolationFinder = Callable[[W], str]
+ViolationFinder = Callable[[WorldT], str]
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,11 +55,11 @@
 
 
 def search_breadth_first(
-    initial: W, transitions: Transitions[W], find_violation: ViolationFinder[W], depth: int
+    initial: WorldT, transitions: Transitions[WorldT], find_violation: ViolationFinder[WorldT], depth: int
 ) -> CheckResult:
     """Check all states within `depth` events of the initial one, nearest first, up to the first violation."""
     seen = {initial.key()}
-    queue: deque[tuple[W, tuple[str, ...]]] = deque([(initial, ())])
+    queue: deque[tuple[WorldT, tuple[str, ...]]] = deque([(initial, ())])
     while queue:
         world, trace = queue.popleft()
         if len(trace) == depth:
@@ -86,9 +86,9 @@
 
 
 def walk_randomly(
-    initial_of_walk: Callable[[int], W],
-    transitions: Transitions[W],
-    find_violation: ViolationFinder[W],
+    initial_of_walk: Callable[[int], WorldT],
+    transitions: Transitions[WorldT],
+    find_violation: ViolationFinder[WorldT],
     walks: Walks,
 ) -> CheckResult:
     """Check the states of random walks up to the first violation.
--- a/thistletrail/policy/attempt_outcomes.py
+++ b/thistletrail/policy/attempt_outcomes.py
@@ -51,12 +51,12 @@
             and server.last_success_us >= self.context.now_us - event.latency_us
         )
         latency_ratio = event.latency_us / request.request_class.latency_objective_us
-        if event.result is AttemptResult.OK or is_slow_request:
+        if event.result is AttemptResult.SUCCESS or is_slow_request:
             self.gossip.record_answer(server.entry.name, latency_ratio)
             self.servers.record_latency_ratio(server, latency_ratio, 1)
-        if event.result is AttemptResult.OK:
+        if event.result is AttemptResult.SUCCESS:
             self.record_success(request, server, event)
-        if event.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
+        if event.result in (AttemptResult.SUCCESS, AttemptResult.TIMEOUT):
             self.overload.record_latency_ratio(min(1.0, latency_ratio))
             self.gossip.record_occupancy(min(1.0, latency_ratio))
         if not is_slow_request:
@@ -96,7 +96,7 @@
                 self.gossip.record_failure(name, now_us, True)
         elif event.result in BROKEN_ANSWER_RESULTS:
             self.outliers.record_broken_answer(server)
-        elif event.result is AttemptResult.OK:
+        elif event.result is AttemptResult.SUCCESS:
             self.outliers.record_success(server, now_us - event.latency_us)
         elif event.result not in NO_HEALTH_SIGNAL_RESULTS:
             self.gossip.record_failure(name, now_us, event.result is AttemptResult.CONNECT_FAILED)
--- a/thistletrail/policy/events.py
+++ b/thistletrail/policy/events.py
@@ -13,7 +13,7 @@
 class AttemptResult(Enum):
     """The result of an attempt, a probe or a call of the shared counter."""
 
-    OK = "ok"
+    SUCCESS = "ok"
     ERROR = "error"
     AT_CAPACITY = "full"  # the server rejected it without running it
     TIMEOUT = "timeout"
@@ -36,7 +36,7 @@
 class ServerState(Enum):
     """The state of a server in the endpoint list."""
 
-    UP = "up"
+    SERVING = "up"
     DRAINING = "draining"
     GONE = "gone"
 
--- a/thistletrail/policy/server_set.py
+++ b/thistletrail/policy/server_set.py
@@ -53,7 +53,9 @@
             server.entry = entry
             if entry.state is ServerState.GONE:  # the name is not reused
                 del self.by_name[entry.name]
-        self.available = [server for server in self.by_name.values() if server.entry.state is ServerState.UP]
+        self.available = [
+            server for server in self.by_name.values() if server.entry.state is ServerState.SERVING
+        ]
         self.names_by_fingerprint = by_fingerprint(self.by_name)
 
     def find_by_fingerprint(self, fingerprint: int) -> UpstreamServer | None:
--- a/thistletrail/policy/simulator_wire.py
+++ b/thistletrail/policy/simulator_wire.py
@@ -49,7 +49,7 @@
 
 # The wire's names for the result of an attempt, the state of a server and the kind of an endpoint update.
 RESULTS = {
-    "served": AttemptResult.OK,
+    "served": AttemptResult.SUCCESS,
     "server_error": AttemptResult.ERROR,
     "turned_away": AttemptResult.AT_CAPACITY,
     "no_answer": AttemptResult.TIMEOUT,
@@ -58,7 +58,7 @@
     "called_off": AttemptResult.CANCELLED,
     "not_sent": AttemptResult.NOT_SENT,
 }
-SERVER_STATES = {"U": ServerState.UP, "L": ServerState.DRAINING, "D": ServerState.GONE}
+SERVER_STATES = {"U": ServerState.SERVING, "L": ServerState.DRAINING, "D": ServerState.GONE}
 UPDATE_KINDS = {
     "snapshot": EndpointUpdateKind.FULL,
     "disk": EndpointUpdateKind.CACHED,
--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/catalog.py
@@ -30,7 +30,7 @@
     def begin(self) -> None:
         """What holds at the start is known to all."""
         for server in self.day.servers.values():
-            self.entries[server.name] = self.entry(server, ServerState.UP)
+            self.entries[server.name] = self.entry(server, ServerState.SERVING)
         self.first = tuple(self.entries.values())
 
     def saved(self, again: bool) -> EndpointUpdate:
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -60,7 +60,7 @@
 RULE_SLACK_US = 50 * MS  # the protocol page's, on each time limit
 
 RESULTS = {
-    "served": AttemptResult.OK,
+    "served": AttemptResult.SUCCESS,
     "error": AttemptResult.ERROR,
     "full": AttemptResult.AT_CAPACITY,
     "lost": AttemptResult.RESET,
@@ -222,7 +222,7 @@
         listed = {entry.name for entry in news.servers}
         for entry in news.servers:
             self.named.add(entry.name)
-            if entry.state is ServerState.UP:
+            if entry.state is ServerState.SERVING:
                 self.told.pop(entry.name, None)
                 self.told_start[entry.name] = now
             else:
@@ -496,14 +496,14 @@
         attempt.over = True
         day, try_ = self.day, state.try_
         self.release(
-            attempt, keep=result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
+            attempt, keep=result in (AttemptResult.SUCCESS, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
         )
         state.out.pop(attempt.number, None)
         state.proven += result in (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
         if state.attempts == state.proven:
             state.grouped = None
         day.books.outcomes[result.value] = day.books.outcomes.get(result.value, 0) + 1
-        served = result is AttemptResult.OK and not state.answered
+        served = result is AttemptResult.SUCCESS and not state.answered
         over = served or state.answered
         if served:
             state.answered = True
--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/troubles.py
@@ -147,7 +147,7 @@
     def replace(self, server: ScanServer) -> None:
         self.names += 1
         fresh = self.day.add_server(f"{server.name}r{self.names}", (server.zone, server.cell), cold=True)
-        self.day.catalog.notice(fresh, ServerState.UP, self.day.scenario.net.list_add_s)
+        self.day.catalog.notice(fresh, ServerState.SERVING, self.day.scenario.net.list_add_s)
         self.retire(server)
 
     def retire(self, server: ScanServer) -> None:
@@ -189,7 +189,7 @@
             if not server.alive:
                 self.day.gone_silent.discard(server.name)
                 server.start()
-                self.day.catalog.notice(server, ServerState.UP, self.day.scenario.net.list_add_s)
+                self.day.catalog.notice(server, ServerState.SERVING, self.day.scenario.net.list_add_s)
 
     def zone_cut(self, trouble: Trouble) -> None:
         cut = self.day.network.cut
