--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/catalog.py
@@ -32,7 +32,7 @@
     def begin(self) -> None:
         """List the servers of the start, which all gateways know."""
         for server in self.run.servers.values():
-            self.entries[server.name] = self.entry(server, ServerState.UP)
+            self.entries[server.name] = self.entry(server, ServerState.SERVING)
         self.initial_entries = tuple(self.entries.values())
 
     def cached_list(self, is_restart: bool) -> EndpointUpdate:
--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/troubles.py
@@ -166,7 +166,7 @@
         self.replacement_count += 1
         name = f"{server.name}r{self.replacement_count}"
         new_server = self.run.add_server(name, (server.zone, server.cell), cold=True)
-        self.run.catalog.report(new_server, ServerState.UP, self.run.scenario.net.list_add_s)
+        self.run.catalog.report(new_server, ServerState.SERVING, self.run.scenario.net.list_add_s)
         self.drain_server(server)
 
     def drain_server(self, server: ScanServer) -> None:
@@ -212,7 +212,7 @@
             if not server.is_alive:
                 self.run.unresponsive_servers.discard(server.name)
                 server.start()
-                self.run.catalog.report(server, ServerState.UP, self.run.scenario.net.list_add_s)
+                self.run.catalog.report(server, ServerState.SERVING, self.run.scenario.net.list_add_s)
 
     def zone_cut(self, fault: ScenarioFault) -> None:
         """Isolate a zone for a while."""
