--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -13,7 +13,7 @@
 from thistletrail.gateway.takeover.detached_reply import DetachedReply
 from thistletrail.gateway.takeover.messages import (
     new_work_item,
-    placement,
+    place_of_server,
     read_transferred_request,
     request_digest,
 )
@@ -64,4 +64,4 @@
 def test_place_is_the_group_of_servers_that_deduplicate_together(scope: IdempotencyScope, place: str) -> None:
     request_class = replace(SETTINGS.classes[0], idempotency_scope=scope)
     settings = replace(SETTINGS, classes=(request_class, *SETTINGS.classes[1:]))
-    assert placement(settings, 0, Server("s1", 2, 0, 5, ServerState.UP)) == place
+    assert place_of_server(settings, 0, Server("s1", 2, 0, 5, ServerState.UP)) == place
--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -430,8 +430,8 @@
     holder.enqueue(begin_work())
     holder.enqueue(CompleteWork(name="c/x", fence=1, value=b""))
     holder.next_request(START)
-    assert [operation.name for operation in holder.on_rejected()] == ["c/k"]
-    assert [operation.name for operation in holder.queue] == ["c/x"] and not holder.on_rejected()
+    assert [operation.name for operation in holder.on_not_persisted()] == ["c/k"]
+    assert [operation.name for operation in holder.queue] == ["c/x"] and not holder.on_not_persisted()
     assert (
         sum(holder.enqueue(begin_work(str(n))) for n in range(5 * MAX_OPERATIONS)) < 5 * MAX_OPERATIONS
     )  # bounded
--- a/thistletrail/gateway/exchanges.py
+++ b/thistletrail/gateway/exchanges.py
@@ -286,7 +286,10 @@
             del self.answered_in_flight[request_id]
 
     def fail_after_fault(self, request_id: str) -> None:
-        """Fail a request after a fault in the gateway, and have the policy drop it."""
+        """Fail a request that the policy has not ended, and have the policy drop it.
+
+        The reason is a fault in the gateway, or the loss of the request's work lease.
+        """
         if exchange := self.unanswered.get(request_id):
             self.fail(FailRequest(request_id))
             self.post_disconnected(request_id, exchange)
--- a/thistletrail/gateway/takeover/__init__.py
+++ b/thistletrail/gateway/takeover/__init__.py
@@ -8,8 +8,8 @@
 without being recorded and are counted as untracked.
 
 `coordinator` connects the parts: `client` calls the lease service, `work_table` stores the work items and
-ends them, `ownership_wait` waits for another gateway's outcome, and `work_transfer` continues the work of
-other gateways. `host` defines what they need from the gateway.
+ends them, `ownership_wait` waits for another owner's outcome, and `work_transfer` continues the work of
+earlier owners. `host` defines what they need from the gateway.
 """
 
 from thistletrail.gateway.takeover.coordinator import TakeoverCoordinator
--- a/thistletrail/gateway/takeover/client.py
+++ b/thistletrail/gateway/takeover/client.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RENEWAL_INTERVAL_S = WORK_LEASE_MS / 4000  # a lease outlasts three lost renewals
+MAX_RENEWAL_INTERVAL_S = WORK_LEASE_MS / 4000  # so that a lease outlasts lost renewals
 CALL_TIMEOUT_S = WORK_LEASE_MS / 2000  # after it the lease service counts as unreachable
 FLUSH_POLL_INTERVAL_S = 0.01
 # Ranges of the factor of MAX_RENEWAL_INTERVAL_S. Jitter prevents gateways from calling all at once, above all
@@ -36,8 +36,8 @@
     def on_response(self, response: WorkResponse) -> None:
         """Handle a response, which renews the lease and has the results of the call's operations."""
 
-    def on_batch_rejected(self, begins: list[WorkOperation]) -> None:
-        """Handle the rejection of a batch by the lease service; `begins` are its `BeginWork` operations."""
+    def on_batch_not_persisted(self, begins: list[WorkOperation]) -> None:
+        """Handle a batch that the lease service could not persist; `begins` are its `BeginWork`s."""
 
 
 class WorkLeaseClient:
@@ -87,7 +87,7 @@
             response = await self.send_request()
         except ServiceFullError as error:
             log.warning("the lease service does not record work: %s", error)
-            self.listener.on_batch_rejected(self.holder.on_rejected())
+            self.listener.on_batch_not_persisted(self.holder.on_not_persisted())
             return
         except LeaseServiceUnavailableError as error:
             if not self.is_unreachable:
@@ -104,7 +104,7 @@
 
         Raises:
             LeaseServiceUnavailableError: No usable response arrived within `CALL_TIMEOUT_S`.
-            ServiceFullError: The lease service rejected the request.
+            ServiceFullError: The lease service cannot persist the request now.
         """
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -133,18 +133,21 @@
         self.address_index = (self.address_index + 1) % len(self.addresses)
 
     def enqueue(self, operation: WorkOperation) -> bool:
-        """Queue an operation and start the next call at once; return False if the queue is full."""
+        """Queue an operation and call `wake`; return False if the queue is full."""
         if not self.holder.enqueue(operation):
             return False
         self.wakeup.set()
         return True
 
     def wake(self) -> None:
-        """Start the next call at once."""
+        """Start the next call without waiting; no effect while the lease service is unreachable."""
         self.wakeup.set()
 
     async def flush(self) -> None:
-        """Wait until all operations have results, for `CALL_TIMEOUT_S` at most."""
+        """Wait until all operations have results, or the lease service counts as unreachable.
+
+        Waits for `CALL_TIMEOUT_S` at most.
+        """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + CALL_TIMEOUT_S
         while (
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -18,7 +18,7 @@
     attempt_message,
     begin_message,
     new_work_item,
-    placement,
+    place_of_server,
 )
 from thistletrail.gateway.takeover.ownership_wait import OwnershipWait
 from thistletrail.gateway.takeover.work_item import WorkItem
@@ -40,12 +40,13 @@
 log = logging.getLogger(__name__)
 
 LEASE_CHECK_INTERVAL_S = 0.05
-# The lease service syncs each record to disk, which takes some milliseconds. Latency objectives are 400 ms or
-# more.
+# How long an attempt waits for its record. The lease service syncs each record to disk, which takes some
+# milliseconds; latency objectives are 400 ms or more.
 RECORD_TIMEOUT_S = 0.15
 OUTCOME_TIMEOUT_S = 0.25  # after it the client is answered although the outcome may not be recorded
 RELEASE_BEFORE_DRAIN_END_US = 200_000  # unfinished requests are then released to other gateways
 CONFLICTING_KEY_RESPONSE = b"-ERR this key stands for another request\r\n"
+# The policy's `NEVER_RAN_RESULTS` without `OWNED_ELSEWHERE`, which only `WorkTable.withdraw_attempt` reports.
 PROVEN_NOT_RUN_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT, AttemptResult.AT_CAPACITY)
 
 
@@ -128,13 +129,13 @@
         for work in applied_response.transferred:
             self.transfer.accept(work)
 
-    def on_batch_rejected(self, begins: list[WorkOperation]) -> None:
-        """Continue the requests of `begins` untracked, as the lease service has rejected their batch."""
+    def on_batch_not_persisted(self, begins: list[WorkOperation]) -> None:
+        """Handle each of `begins` as not recorded, as the lease service could not persist their batch."""
         for begin in begins:
             self.on_result(begin, OperationResult(status=OperationStatus.FULL))
 
     def on_result(self, operation: WorkOperation, result: OperationResult) -> None:
-        """Handle the result of one operation; one of an earlier fence has no effect."""
+        """Handle the result of one operation; the result of one under an earlier fence has no effect."""
         if isinstance(operation, BeginWork):
             self.on_begin_result(operation, result)
             return
@@ -149,7 +150,7 @@
             self.table.answer_pending_response(item)
 
     def on_begin_result(self, begin: BeginWork, result: OperationResult) -> None:
-        """Handle the result of recording a request; the result of an outdated `BeginWork` has no effect."""
+        """Handle the result of recording a request; that of a withdrawn `BeginWork` has no effect."""
         item = self.table.by_name.get(begin.name)
         if item is None or item.pending_begin is not begin:
             return
@@ -167,8 +168,9 @@
     def on_leased(self, item: WorkItem, begin: BeginWork, result: OperationResult) -> None:
         """Run work that is recorded and leased to this gateway.
 
-        The pending attempt is sent. If the request has waited for another gateway's outcome, or may have run
-        at servers that do not deduplicate together with the attempt's, the policy chooses a server again.
+        The pending attempt is sent. There are two exceptions, in which the policy chooses a server again: the
+        request has waited for another owner's outcome, or it may have run at servers that do not deduplicate
+        together with the attempt's server.
         """
         self.counts.begun += 1
         item.fence = result.fence
@@ -184,9 +186,11 @@
             self.send_attempt(item)
 
     def on_not_recorded(self, item: WorkItem) -> None:
-        """Handle work that the lease service has no room for, or rejects as of a replaced incarnation.
+        """Handle work that the lease service has not recorded.
 
-        A request that waits for another gateway's outcome is rejected; any other continues untracked.
+        It has no room, could not persist the batch, or ignored the request as stale, such as one from a
+        replaced incarnation. A request that waits for another owner's outcome is rejected; any other
+        continues untracked.
         """
         self.counts.rejected += 1
         if item.wait_until_ms:
@@ -195,7 +199,11 @@
             self.continue_untracked(item)
 
     def on_already_ended(self, item: WorkItem, result: OperationResult) -> None:
-        """Answer with the recorded outcome, or with an error if the key stands for another request."""
+        """Answer without running the request here.
+
+        The answer is the recorded value, or an error if there is none, if the work must not run again, or if
+        the key stands for another request.
+        """
         self.counts.answered += 1
         self.table.withdraw_attempt(item)
         if result.status == OperationStatus.ANSWERED:
@@ -207,7 +215,10 @@
         self.table.complete(item, response)
 
     def limit_deadline(self, item: WorkItem, remaining_ms: int) -> None:
-        """Limit the deadline of work that may have run to the time for which servers deduplicate it."""
+        """Limit the deadline of work that may have run to `remaining_ms`, if that is earlier.
+
+        The lease service allows attempts for this long: for keyed work, while servers deduplicate it.
+        """
         exchange = item.exchange
         capped_deadline = exchange.deadline.capped_at(now_us() + remaining_ms * 1000, DeadlineSource.CLIENT)
         if item.may_have_run_before and capped_deadline is not exchange.deadline:
@@ -216,24 +227,32 @@
     # --- attempts ---
 
     def covers(self, exchange: Exchange) -> bool:
-        """Return whether a request's attempts are recorded: its class is, or it already has a work item."""
+        """Return whether `start_attempt` sends the attempts of a request.
+
+        That is so if its class is recorded, or if it already has a work item.
+        """
         is_recorded_class = exchange.command.class_index in self.recorded_classes
         return is_recorded_class or exchange.reply.id in self.table.by_request_id
 
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
-        """Record an attempt, then send it; untracked requests are sent at once."""
+        """Record an attempt, then send it.
+
+        An attempt of untracked work is sent at once. If another request of this gateway has the work's name,
+        the request waits for its outcome. If the lease service is unreachable or this gateway's lease has
+        ended, work that is not recorded yet becomes untracked.
+        """
         item = self.get_or_add_item(exchange, attempt)
         attempt.may_write = lambda: item.is_untracked or self.table.is_leased(item)
         settings = self.requests.settings
         server = self.directory.servers_by_name[attempt.server].entry
-        place = placement(settings, exchange.command.class_index, server)
+        place = place_of_server(settings, exchange.command.class_index, server)
         item.pending_attempt = attempt
         if item.is_untracked:
             self.send_attempt(item)
         elif item.fence:
             item.attempt_number += 1
             self.enqueue_record(item, attempt_message(item, attempt, place))
-        elif item.name in self.table.by_name:  # another request of this gateway owns the work
+        elif item.name in self.table.by_name:  # another request of this gateway has the name
             self.ownership_wait.wait(item, begin_message(item, attempt, place, settings))
         elif self.client.is_unreachable or not self.holder.is_alive(now_ms()):
             self.continue_untracked(item)
@@ -243,7 +262,7 @@
             self.enqueue_record(item, item.pending_begin)
 
     def get_or_add_item(self, exchange: Exchange, attempt: Attempt) -> WorkItem:
-        """Return the work item of an attempt's request, which its first attempt adds to the table."""
+        """Return the work item of an attempt's request; the first attempt adds it to the table."""
         item = self.table.by_request_id.get(attempt.request_id)
         if item is None:
             item = new_work_item(exchange, self.requests.settings)
@@ -251,7 +270,7 @@
         return item
 
     def enqueue_record(self, item: WorkItem, operation: WorkOperation) -> None:
-        """Queue the record of the pending attempt, which is sent once the result arrives.
+        """Queue the record of the pending attempt; the attempt is sent once the record's result arrives.
 
         If the queue is full, an attempt of leased work is not sent; work without a lease continues untracked.
         """
@@ -265,7 +284,9 @@
     def on_record_timeout(self, item: WorkItem) -> None:
         """End the pending attempt without sending it, as it may not be recorded.
 
-        When the client retries, the work has no owner or has ended.
+        The policy then rejects the request, unless other attempts are in flight. The lease service counts as
+        unreachable until its next response. A `BeginWork` without a result is withdrawn: if it is recorded
+        after all, the work is released, so that the client's retry does not find it owned by another request.
         """
         self.client.is_unreachable = True
         self.table.withdraw_begin(item)
@@ -291,9 +312,10 @@
             self.attempts.send(attempt, attempt.end_us - now_us())
 
     def on_attempt_ended(self, request_id: str, result: AttemptResult, has_others: bool) -> None:
-        """Note that a request has not run here if no attempt was written completely and accepted.
+        """Note that a request has not run here, if an attempt has ended that certainly did not run.
 
-        `has_others` means that the request has other attempts in flight, which may run.
+        `has_others` means that the request has other attempts in flight, which may run. Attempts that ended
+        earlier are not considered.
         """
         item = self.table.by_request_id.get(request_id)
         if item is not None and result in PROVEN_NOT_RUN_RESULTS:
@@ -304,7 +326,7 @@
     def record_outcome(self, request_id: str, response: bytes, value: bytes) -> bool:
         """Record a value, then answer with `response`.
 
-        Returns False if the request is not recorded and the caller has to answer it.
+        Returns False if the request has no recorded work and the caller has to answer it.
         """
         item = self.table.by_request_id.get(request_id)
         if item is None or item.is_untracked or item.is_over:
@@ -317,7 +339,7 @@
         return True
 
     def on_outcome_timeout(self, item: WorkItem) -> None:
-        """Answer although the outcome may not be recorded.
+        """Answer although the outcome may not be recorded, if this gateway still owns the work.
 
         That is safe while the lease lasts, as no other gateway can have continued the work.
         """
--- a/thistletrail/gateway/takeover/counts.py
+++ b/thistletrail/gateway/takeover/counts.py
@@ -11,14 +11,16 @@
 
     Attributes:
         begun: Recorded and leased to this gateway for a client's request.
-        answered: Already ended when the request arrived, and answered with that outcome.
+        answered: Answered without running here: the work had ended or must not run again, or its key stands
+            for another request.
         transferred: Transferred to this gateway from another one.
         released: Released by this gateway without an outcome.
-        lost: Lost before the request was answered, as the lease had ended.
-        rejected: Not recorded, as the lease service had no room or rejected the operation.
-        unrecorded: Answered without a confirmation that the outcome is recorded.
+        lost: Lost before the request was answered, as the lease had ended or the fence was outdated.
+        rejected: Not recorded, as the lease service had no room, could not persist it, or ignored the
+            request.
+        unrecorded: Outcome not confirmed as recorded in time; answered if the lease still lasted.
         untracked: Continued without being recorded.
-        waited: Waited for another gateway's outcome.
+        waited: Waited for the outcome of another owner: another gateway, or another request of this one.
     """
 
     begun: int = 0
--- a/thistletrail/gateway/takeover/host.py
+++ b/thistletrail/gateway/takeover/host.py
@@ -51,4 +51,4 @@
         """Answer that a request failed."""
 
     def fail_after_fault(self, request_id: str) -> None:
-        """Fail a request, and have the policy drop it."""
+        """Fail a request that the policy has not ended, and have the policy drop it."""
--- a/thistletrail/gateway/takeover/messages.py
+++ b/thistletrail/gateway/takeover/messages.py
@@ -38,7 +38,7 @@
 def request_digest(arguments: list[bytes], values: dict[str, str]) -> str:
     """Return a digest of a request's content, in hexadecimal.
 
-    The lease service answers a request whose key is recorded with another digest with an error.
+    If the request's key is recorded with another digest, the lease service's result is `CONFLICT`.
     """
     stable_fields = [f"{field}={values.get(field, '')}".encode() for field in DIGEST_FIELDS]
     content = encode([arguments[0], arguments[1], *stable_fields, *arguments[4:]])
@@ -80,10 +80,10 @@
     return item.exchange.deadline.remaining_us(now_us()) // 1000
 
 
-def placement(settings: Settings, class_index: int, server: Server) -> str:
-    """Return the name of the group of servers that deduplicate a key together with `server`.
+def place_of_server(settings: Settings, class_index: int, server: Server) -> str:
+    """Return a server's place: the name of the group of servers that deduplicate a key together with it.
 
-    The lease service stores and compares these names.
+    The lease service stores and compares places.
     """
     scope = settings.classes[class_index].idempotency_scope
     if scope is IdempotencyScope.ZONE:
--- a/thistletrail/gateway/takeover/ownership_wait.py
+++ b/thistletrail/gateway/takeover/ownership_wait.py
@@ -1,4 +1,7 @@
-"""Requests whose work another gateway owns: they wait for its outcome until shortly before their deadline."""
+"""Requests whose work another gateway, or another request of this one, owns: they wait for its outcome.
+
+They wait for `MAX_WAIT_MS` at most, and not beyond shortly before their deadline.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 class OwnershipWait:
-    """Polls the lease service for work that another gateway owns, by repeating its `BeginWork`."""
+    """Polls the lease service for work that has another owner, by repeating the request's `BeginWork`."""
 
     def __init__(
         self, table: WorkTable, client: WorkLeaseClient, rng: random.Random, record_timeout_s: float
@@ -33,7 +36,7 @@
         self.record_timeout_s = record_timeout_s
 
     def wait(self, item: WorkItem, begin: BeginWork) -> None:
-        """Schedule the next poll, or reject the request if it cannot wait any longer."""
+        """Schedule the next poll, or reject the request if it cannot wait or has waited long enough."""
         if not item.wait_until_ms and not self.start_waiting(item):
             self.table.reject(item)
             return
@@ -53,16 +56,16 @@
         return True
 
     def poll(self, item: WorkItem, begin: BeginWork) -> None:
-        """Send the `BeginWork` again; the result is the outcome, the lease, or that another gateway owns it.
+        """Send the `BeginWork` again; the result is the outcome, the lease, or that there is another owner.
 
         If the lease service is unreachable, the queue is full, or another request of this gateway has the
         work's name, nothing is sent and the request waits for the next poll.
         """
         if item.is_over:
             return
-        name_owner = self.table.by_name.get(item.name)
+        item_with_name = self.table.by_name.get(item.name)
         next_begin = msgspec.structs.replace(begin, left_ms=remaining_ms(item))
-        may_use_name = name_owner is None or name_owner is item
+        may_use_name = item_with_name is None or item_with_name is item
         if may_use_name and not self.client.is_unreachable and self.client.enqueue(next_begin):
             self.table.by_name[item.name] = item
             item.pending_begin = next_begin
--- a/thistletrail/gateway/takeover/work_item.py
+++ b/thistletrail/gateway/takeover/work_item.py
@@ -16,11 +16,14 @@
 class WorkItem:
     """One request whose work is recorded at the lease service or is being recorded.
 
+    The lease service's record of the work is `thistletrail.leasing.work_store.WorkItem`.
+
     The fields show its state:
 
-    - being recorded: `pending_begin` has no result yet, for which `pending_attempt` waits;
+    - being recorded: `pending_attempt` waits for the result of `pending_begin`;
     - leased: `fence` is not 0; each further attempt is recorded before it is sent;
-    - owned elsewhere: `wait_until_ms` is not 0, and the request waits for another gateway's outcome;
+    - owned elsewhere: `wait_until_ms` is not 0, and the request waits for the outcome of the work's owner,
+      which is another gateway or another request of this one;
     - outcome being recorded: `pending_response` is sent once the outcome is recorded;
     - untracked: `is_untracked` is set; the work continues without being recorded;
     - over: `is_over` is set; later results and events are ignored.
@@ -32,8 +35,8 @@
         fence: Fencing token; 0 if the work is not leased.
         attempt_number: Number of the last attempt that was recorded under this fence.
         may_have_run_before: Whether an attempt may have run under an earlier fence.
-        may_have_run_here: Whether an attempt of this gateway may have run.
-        wait_until_ms: When the wait for another gateway's outcome ends; 0 if the request does not wait.
+        may_have_run_here: Whether an attempt of this request at this gateway may have run.
+        wait_until_ms: When the wait for another owner's outcome ends; 0 if the request does not wait.
     """
 
     exchange: Exchange
@@ -64,7 +67,7 @@
 
     @property
     def has_never_run(self) -> bool:
-        """Whether it is certain that no attempt has run, at any gateway."""
+        """Whether no attempt is known that may have run, here or under an earlier fence."""
         return not (self.may_have_run_here or self.may_have_run_before)
 
     def start_timer(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> None:
--- a/thistletrail/gateway/takeover/work_table.py
+++ b/thistletrail/gateway/takeover/work_table.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-# Sent to clients. After one work lease the work has no owner, is taken over or has ended.
+# Sent to clients. After one work lease the work has no owner, has been taken over or has ended.
 RETRY_AFTER_US = WORK_LEASE_MS * 1000
 
 
@@ -34,7 +34,7 @@
         self.counts = counts
         self.by_request_id: dict[str, WorkItem] = {}
         self.by_name: dict[str, WorkItem] = {}
-        self.waiting_count = 0  # number of items that wait for another gateway's outcome
+        self.waiting_count = 0  # number of items that wait for another owner's outcome
 
     def add(self, item: WorkItem) -> None:
         """Add a new item by its request id."""
@@ -55,7 +55,10 @@
         self.remove_name(item)
 
     def withdraw_attempt(self, item: WorkItem) -> None:
-        """End the pending attempt and tell the policy that another gateway owns the work."""
+        """End the pending attempt and have the policy finish the request, without answering its client.
+
+        The policy is told that the work is owned elsewhere; this is also used if the work has ended.
+        """
         attempt = item.pending_attempt
         item.pending_attempt = None
         if attempt is None or attempt.is_over:
@@ -74,7 +77,7 @@
             del self.by_name[item.name]
 
     def stop_waiting(self, item: WorkItem) -> None:
-        """Stop waiting for another gateway's outcome; no effect on an item that does not wait."""
+        """Stop waiting for another owner's outcome; no effect on an item that does not wait."""
         if item.wait_until_ms:
             self.waiting_count -= 1
             item.wait_until_ms = 0
@@ -108,9 +111,9 @@
             self.abandon_lost(item)
 
     def abandon_lost(self, item: WorkItem) -> None:
-        """Cancel the attempts of work that another gateway may own, and fail its request.
+        """Cancel the attempts of work that this gateway no longer owns, and fail its request.
 
-        Answers of these attempts must not reach the client.
+        Another gateway may own the work, so answers of these attempts must not reach the client.
         """
         if item.is_over:
             return
@@ -131,15 +134,15 @@
     def release(self, request_id: str, was_rejected: bool = False) -> None:
         """Release the work of a request that the policy or its client has ended.
 
-        Another gateway is to continue it only if the policy rejected it here and it was transferred from
-        another gateway, or a drain would end before its deadline.
+        Another gateway is to continue it only if two conditions hold: the policy rejected it here; and it was
+        transferred from another gateway, or a drain of this one ends no later than its deadline.
         """
         item = self.by_request_id.get(request_id)
         if item is None or item.is_over:
             return
         self.withdraw_begin(item)
-        is_draining = self.requests.drain_end_us <= item.exchange.deadline.end_us
-        is_to_be_transferred = was_rejected and (item.is_transferred or is_draining)
+        is_limited_by_drain = self.requests.drain_end_us <= item.exchange.deadline.end_us
+        is_to_be_transferred = was_rejected and (item.is_transferred or is_limited_by_drain)
         self.counts.released += self.is_leased(item)
         self.holder.release(item.name, transfer=is_to_be_transferred, never_ran=item.has_never_run)
         self.client.wake()
@@ -148,12 +151,13 @@
     def release_unfinished(self) -> None:
         """Release all work without an outcome, so that other gateways continue it."""
         for item in list(self.by_request_id.values()):
-            self.release_to_others(item)
+            self.release_for_transfer(item)
 
-    def release_to_others(self, item: WorkItem) -> None:
+    def release_for_transfer(self, item: WorkItem) -> None:
         """Release unfinished work so that another gateway continues it, and reject its request.
 
-        The client is to retry after `RETRY_AFTER_US`.
+        The client is to retry after `RETRY_AFTER_US`. The policy, which has not ended the request, drops it
+        on `ClientDisconnected`.
         """
         if item.is_over or item.pending_response is not None or not self.is_leased(item):
             return
--- a/thistletrail/gateway/takeover/work_transfer.py
+++ b/thistletrail/gateway/takeover/work_transfer.py
@@ -1,4 +1,8 @@
-"""Work that this gateway continues for others: its request is decoded, opened and posted to the policy."""
+"""Work that this gateway takes over: its request is posted to the policy as one that was admitted before.
+
+The request is either transferred by the lease service, then decoded and opened here, or a client of this
+gateway has repeated it, so that it is already open.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 from thistletrail.gateway.takeover.client import WorkLeaseClient
 from thistletrail.gateway.takeover.detached_reply import DetachedReply
 from thistletrail.gateway.takeover.host import Requests, ServerDirectory
-from thistletrail.gateway.takeover.messages import new_work_item, placement, read_transferred_request
+from thistletrail.gateway.takeover.messages import new_work_item, place_of_server, read_transferred_request
 from thistletrail.gateway.takeover.work_item import WorkItem
 from thistletrail.gateway.takeover.work_table import WorkTable
 from thistletrail.leasing.messages import TransferredWork
@@ -45,7 +49,8 @@
     def accept(self, transferred: TransferredWork) -> None:
         """Continue transferred work under the fence that the lease service gave this gateway.
 
-        Work that cannot be decoded is released; with too many requests open, it is released for transfer.
+        Work that cannot be decoded is released. If its request cannot be opened, as the id is in use or too
+        many requests are open, it is released for transfer.
         """
         self.table.counts.transferred += 1
         self.client.wake()  # acknowledges that the work has arrived
@@ -72,7 +77,7 @@
         self.post_arrival(item, transferred.server, transferred.place)
 
     def resume(self, item: WorkItem, server: str, place: str) -> None:
-        """Run a client's request at this gateway, whose work another gateway owned before.
+        """Run an open request of a client, whose work this gateway has got from an earlier owner.
 
         `server` and `place` say where the work may have run; `server` is empty if it has not.
         """
@@ -81,9 +86,9 @@
         self.post_arrival(item, server, place)
 
     def post_arrival(self, item: WorkItem, server: str, place: str) -> None:
-        """Post the request to the policy as one that another gateway admitted.
+        """Post the request to the policy as one that was admitted before, by the work's earlier owner.
 
-        It fails if it may have run at a place of which the policy knows no server.
+        The request fails if it may have run at a place of which the policy knows no server.
         """
         exchange = item.exchange
         request_id = item.request_id
@@ -102,6 +107,6 @@
             return server
         settings = self.requests.settings
         for name, known_server in known_servers.items():
-            if placement(settings, class_index, known_server.entry) == place:
+            if place_of_server(settings, class_index, known_server.entry) == place:
                 return name
         return ""
--- a/thistletrail/leasing/budget_holder.py
+++ b/thistletrail/leasing/budget_holder.py
@@ -41,7 +41,7 @@
         limits: The limits of the budget.
         demand: Recent demand: a count, or thousandths of a unit per second.
         share: The granted share.
-        fence: Fencing number of the adopted grant; 0 before the first one.
+        fence: Fencing token of the adopted grant; 0 before the first one.
         until_ms: When the holder stops using the share.
         level_thousandths: Level of the token bucket, in thousandths of a unit.
         level_at_ms: When the bucket was last refilled.
@@ -155,7 +155,7 @@
         return sent_ms + lease_ms - max(1, int(lease_ms * MARGIN_FRACTION))
 
     def is_newer(self, lease: BudgetLease, fence: int) -> bool:
-        """Return whether a grant is later than the adopted one, by its fencing number."""
+        """Return whether a grant is later than the adopted one, by its fencing token."""
         return fence > lease.fence
 
     def accepts(self, lease: BudgetLease, share: int, now_ms: int) -> bool:
--- a/thistletrail/leasing/budget_state.py
+++ b/thistletrail/leasing/budget_state.py
@@ -169,7 +169,7 @@
         """Begin a history.
 
         Args:
-            fence: Fencing numbers of this history are greater than this.
+            fence: Fencing tokens of this history are greater than this.
             now_ms: The current time.
             quiet_ms: How long nothing is granted, so that all grants of an earlier history have ended.
             lease_ms: The length of a lease.
@@ -326,7 +326,7 @@
     def issue(
         self, budget: Budget, holding: Holding, request: BudgetRequest, share: int, now_ms: int
     ) -> Grant:
-        """Issue a grant under the next fencing number, and return it."""
+        """Issue a grant under the next fencing token, and return it."""
         self.fence += 1
         units = self.units_to_grant(budget, share - holding.reserved, request.needed_units)
         budget.pool_thousandths -= THOUSANDTHS * units
--- a/thistletrail/leasing/committer.py
+++ b/thistletrail/leasing/committer.py
@@ -102,7 +102,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether too many requests are waiting to accept another."""
+        """Whether so many requests are waiting that no further one is accepted."""
         return len(self.waiting_requests) >= MAX_WAITING_REQUESTS
 
     @contextlib.asynccontextmanager
@@ -246,7 +246,7 @@
             self.states.budgets.expire(now_ms())
 
     async def transfer_forever(self) -> None:
-        """Transfer items with a lost owner; the next commit journals that before any response is sent."""
+        """Transfer items with a lost owner; the next commit journals this before it sends any response."""
         while True:
             await asyncio.sleep(LOST_OWNER_CHECK_INTERVAL_S)
             if records := self.states.work.transfer_lost_items(now_ms()):
--- a/thistletrail/leasing/http_service.py
+++ b/thistletrail/leasing/http_service.py
@@ -213,7 +213,7 @@
         }
 
     async def on_parked(self, request: web.Request) -> web.Response:
-        """Answer with the parked items, which were given up because their owners died, as JSON."""
+        """Answer with the parked items, which were given up because several owners were lost, as JSON."""
         self.check_signature(request, request.path.encode())
         return web.json_response(
             [
--- a/thistletrail/leasing/journal.py
+++ b/thistletrail/leasing/journal.py
@@ -39,8 +39,8 @@
 MAX_RECORDS = 50_000
 MAX_LOG_BYTES = 64 << 20
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-# The fencing numbers of a history start at the wall-clock time in these units, so that no history reaches the
-# numbers of a later one.
+# The fencing tokens of a history start at the wall-clock time in these units, so that no history reaches the
+# tokens of a later one.
 FENCES_PER_MS = 1000
 
 # A stored record of a work item: the fields of the record, and `boot`.
@@ -170,7 +170,7 @@
                 work.restore(msgspec.convert(fields, type=WorkRecord))
             else:
                 skipped += 1
-        if skipped:  # the machine and every gateway on it have restarted, so these items have ended
+        if skipped:  # the machine and every gateway on it have restarted: no client waits for these items
             log.warning("%d records of work items are of another boot, and are skipped", skipped)
         work.finish_restore(now)
         return LeasingStates(budgets, work)
--- a/thistletrail/leasing/messages.py
+++ b/thistletrail/leasing/messages.py
@@ -22,7 +22,7 @@
     Attributes:
         budget: The name of the budget.
         demand: Recent demand: a count, or thousandths of a unit per second.
-        fence: The fencing number of the latest grant that the holder has adopted; 0 for none.
+        fence: The fencing token of the latest grant that the holder has adopted; 0 for none.
         returned_units: Units that exceeded the token bucket's capacity when that grant was adopted.
         needed_units: Units that queued requests need now beyond what the holder has.
         in_use: How much of a count is in use.
@@ -128,7 +128,7 @@
 class AttemptWork(Message, frozen=True, tag="try"):
     """Another attempt at `server`; `number` counts attempts under this fence from 1.
 
-    `earlier_never_ran` means that no earlier attempt arrived completely at its server.
+    `earlier_never_ran` means that no earlier attempt has run, under this fence or an earlier one.
     """
 
     name: str
@@ -150,7 +150,8 @@
 class ReleaseWork(Message, frozen=True, tag="leave"):
     """The owner gives up the item.
 
-    With `transfer` another gateway is to continue it; without, no client of the owner waits for it any more.
+    With `transfer` another gateway is to continue it. Without, it is dropped if it never ran; else it has no
+    owner until a gateway begins it again for a client's request.
     `never_ran` means that no attempt has ever run.
     """
 
@@ -166,8 +167,9 @@
 class WorkRequest(Message, frozen=True):
     """Operations of one incarnation of a gateway on its work items; each request renews its lease.
 
-    `incarnation` rises with each start of a gateway. `accepted_fences` are the fencing numbers of transferred
-    items that have arrived; `is_draining` means that no more items should be transferred to this gateway.
+    `incarnation` rises with each start of a gateway. `accepted_fences` are the fencing tokens of transferred
+    items whose arrival the gateway acknowledges; `is_draining` means that no more items should be transferred
+    to this gateway.
     """
 
     gateway: int = field(name="door")
@@ -182,12 +184,12 @@
     """The status of an operation's result."""
 
     PERSISTED = "kept"  # journaled; the sender owns the item under the fence of the result
-    FULL = "full"  # there is no room; the item continues without a work lease
+    FULL = "full"  # there is no room, and the item is not recorded
     ANSWERED = "answered"  # the item was served before, with the value of the result
     FAILED = "failed"  # the item cannot be continued, and its value is not known
-    ELSEWHERE = "elsewhere"  # another gateway owns the item
+    ELSEWHERE = "elsewhere"  # another gateway, or another request of this one, owns the item
     CONFLICT = "other"  # the name stands for another request
-    LOST = "lost"  # the operation's fence is not the current one, or the sender does not own the item
+    LOST = "lost"  # the fence is not the current one, the sender is not the owner, or the request is stale
 
 
 class OperationResult(Message, frozen=True):
@@ -195,10 +197,10 @@
 
     Attributes:
         status: Whether the operation was carried out, or why not.
-        fence: The fencing number under which the sender owns the item.
+        fence: The fencing token under which the sender owns the item.
         left_ms: How long from now the item may be attempted.
-        server: The server where it may have run before; empty if none.
-        place: The group of servers where it may have run before; empty if none.
+        server: The server where it may have run before the sender became its owner; empty if none.
+        place: The group of servers, which deduplicate together, that `server` belongs to; empty if none.
         value: The value of an item that was served.
     """
 
@@ -211,7 +213,7 @@
 
 
 class TransferredWork(Message, frozen=True):
-    """An item of a lost or draining owner that this gateway is to continue under a new fence.
+    """An item that this gateway is to continue under a new fence, as its owner was lost or released it.
 
     `server` and `place` are where it may have run before; they are empty if it has not run.
     """
--- a/thistletrail/leasing/work_holder.py
+++ b/thistletrail/leasing/work_holder.py
@@ -1,4 +1,4 @@
-"""A gateway's side of work leases: the items that it owns, their fencing numbers, and the end of its lease.
+"""A gateway's side of work leases: the items that it owns, their fencing tokens, and the end of its lease.
 
 It does no I/O and reads no clock: callers pass the time in milliseconds, by a clock that also runs while the
 machine is suspended. A gateway calls `owns` before each write to a server and each answer to a client. Its
@@ -66,10 +66,10 @@
         self.incarnation = incarnation
         self.serial = 0
         self.until_ms = -1
-        self.fences: dict[str, int] = {}  # name of an owned item -> its fencing number
+        self.fences: dict[str, int] = {}  # name of an owned item -> its fencing token
         self.queue: list[WorkOperation] = []
         self.in_flight: InFlightRequest | None = None
-        self.accepted_fences: list[int] = []  # transferred items to acknowledge
+        self.accepted_fences: list[int] = []  # of transferred items that the next request acknowledges
         self.withdrawn: set[str] = set()  # names whose `BeginWork` was given up while in flight
         self.is_draining = False
 
@@ -80,7 +80,7 @@
         return now_ms < self.until_ms
 
     def owns(self, name: str, fence: int, now_ms: int) -> bool:
-        """Return whether an item may be sent, answered or completed now under this fencing number."""
+        """Return whether an item may be sent, answered or completed now under this fencing token."""
         return self.is_alive(now_ms) and self.fences.get(name) == fence
 
     def drop_expired(self, now_ms: int) -> list[str]:
@@ -162,24 +162,26 @@
             self.queue = [*self.in_flight.operations, *self.queue]
             self.in_flight = None
 
-    def on_rejected(self) -> list[BeginWork]:
-        """Handle the rejection of the request in flight: queue its operations again except `BeginWork`.
+    def on_not_persisted(self) -> list[BeginWork]:
+        """Handle that the lease service could not persist the request in flight.
+
+        Its operations are queued again, except `BeginWork`.
 
         Returns:
-            The `BeginWork` operations, whose items continue without a work lease.
+            The `BeginWork` operations, whose items are not recorded.
         """
         if self.in_flight is None:
             return []
         operations = self.in_flight.operations
         self.in_flight = None
-        begun = [operation for operation in operations if isinstance(operation, BeginWork)]
-        self.withdrawn -= {operation.name for operation in begun}
+        begins = [operation for operation in operations if isinstance(operation, BeginWork)]
+        self.withdrawn -= {operation.name for operation in begins}
         others = [operation for operation in operations if not isinstance(operation, BeginWork)]
         self.queue = [*others, *self.queue]
-        return begun
+        return begins
 
     def lease_end_ms(self, sent_ms: int, lease_ms: int) -> int:
-        """Return when to stop: both margins before the end of a lease that began at `sent_ms`."""
+        """Return when this gateway gives up a lease that began at `sent_ms`: both margins before its end."""
         return sent_ms + lease_ms - max(1, int(lease_ms * MARGIN_FRACTION)) - WRITE_MARGIN_MS
 
     def on_response(self, response: WorkResponse, now_ms: int) -> AppliedResponse:
--- a/thistletrail/leasing/work_membership.py
+++ b/thistletrail/leasing/work_membership.py
@@ -14,7 +14,8 @@
 class Member:
     """One incarnation of a gateway, with the end of its lease.
 
-    `unacknowledged` maps fencing numbers to the names of transferred items that it has not yet accepted.
+    `serial` is that of its latest request. `unacknowledged` maps fencing tokens to the names of transferred
+    items whose arrival it has not acknowledged yet.
     """
 
     until_ms: int
@@ -29,7 +30,10 @@
 
 
 class Membership:
-    """The holders with leases, and the latest incarnation of each gateway."""
+    """The holders with leases, which are the members, and the latest incarnation of each gateway.
+
+    A holder is the name of one incarnation of a gateway, as `holder_name` returns it.
+    """
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
@@ -61,7 +65,7 @@
         return member is not None and request.serial <= member.serial
 
     def renew(self, request: WorkRequest, until_ms: int) -> Member:
-        """Begin or renew the lease of a request's sender, and clear the items that it has accepted."""
+        """Begin or renew the lease of a request's sender, and note the items that it acknowledges."""
         holder = holder_name(request.gateway, request.incarnation)
         member = self.members.get(holder)
         if member is None:
@@ -75,7 +79,7 @@
         return member
 
     def lost_members(self, now_ms: int) -> set[str]:
-        """Return the members whose lease has ended or that were replaced."""
+        """Return the holders among the members whose lease has ended or that were replaced."""
         return {holder for holder in self.members if not self.is_alive(holder, now_ms)}
 
     def choose_taker(self, item: WorkItem, now_ms: int) -> str:
--- a/thistletrail/leasing/work_records.py
+++ b/thistletrail/leasing/work_records.py
@@ -1,4 +1,4 @@
-"""Journal records of work items: every change of the work state is one of these.
+"""Journal records of work items: each change of an item that a restart must restore is one of these.
 
 The stored names (`name=`, `tag=`) differ from the attributes and must stay as they are, so that a process can
 read the journal of an earlier revision. `place` is a group of servers that deduplicate requests together.
@@ -18,7 +18,7 @@
 
     SERVED = "served"  # completed with a value, which is stored
     UNKNOWN = "unknown"  # may have run, and must not run again
-    PARKED = "parked"  # given up after its owners died, and kept for an operator to inspect
+    PARKED = "parked"  # given up after several owners were lost, and kept for an operator to inspect
 
 
 class WorkBegan(Message, frozen=True, tag="began", tag_field="work"):
@@ -53,8 +53,8 @@
 class WorkOwned(Message, frozen=True, tag="owned", tag_field="work"):
     """An item has another owner, or none if `owner` is empty.
 
-    `request_id` is the owner's request for the item. `awaits_taker` means that the next gateway that can take
-    the item becomes its owner.
+    `request_id` is the owner's request for the item. `awaits_taker` means that the item is transferred
+    once a holder can take it over.
     """
 
     name: str
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -3,12 +3,13 @@
 It does no I/O and reads no clock: callers pass the time in milliseconds.
 
 A gateway journals an item here before it sends the item's first byte to a server. Each item has at most one
-owner at a time: an incarnation of a gateway, under a fencing number that only rises. An owner is lost when
+owner at a time: an incarnation of a gateway, under a fencing token that only rises. An owner is lost when
 its lease ends, or when a later incarnation of its gateway sends a request. Its items are then transferred to
-other holders under higher fencing numbers, if their results are still wanted and another run is allowed.
+other holders under higher fencing tokens, if their results are still wanted and another run is allowed.
 
-Every change is a record. A method here creates and applies it, and the caller journals it before any response
-is sent. `restore` and `finish_restore` rebuild the state from the records of a journal.
+Each change of an item that a restart must restore is a record. A method here creates and applies it, and the
+caller journals it before any response is sent. `restore` and `finish_restore` rebuild the state from the
+records of a journal. Leases, an extended `end_ms` and `declined_by` are changed without a record.
 """
 
 from __future__ import annotations
@@ -80,7 +81,7 @@
     membership_type = Membership  # overridden by a planted fault of the model checker
 
     def __init__(self, fence: int, lease_ms: int = WORK_LEASE_MS) -> None:
-        """Create a state without items; fencing numbers are greater than `fence`."""
+        """Create a state without items; fencing tokens are greater than `fence`."""
         self.lease_ms = lease_ms
         self.store = WorkStore(fence)
         self.membership = self.membership_type()
@@ -125,7 +126,11 @@
     # --- lost owners ---
 
     def transfer_lost_items(self, now_ms: int) -> list[WorkRecord]:
-        """Transfer items whose owner is lost, drop items that have ended; return the records to journal."""
+        """Transfer items with a lost owner, and drop those past their retention.
+
+        Returns:
+            The records to journal.
+        """
         self.records = []
         self.transfer_and_drop_items(now_ms)
         return self.records
@@ -135,7 +140,7 @@
         members = self.membership.members
         lost = self.membership.lost_members(now_ms)
         for item in list(self.store.items.values()):
-            # No item is dropped before its end, so for most the first comparison decides.
+            # `retain_until_ms` is never before `end_ms`, so for most items the first comparison decides.
             if now_ms >= item.end_ms and now_ms >= item.retain_until_ms:
                 self.apply_and_record(WorkDropped(name=item.name))
             elif item.owner and (item.owner in lost or item.owner not in members):
@@ -146,7 +151,7 @@
             del members[holder]
 
     def owner_had_accepted(self, item: WorkItem) -> bool:
-        """Return whether the lost owner had accepted the item, so that its death counts against the item."""
+        """Return whether the lost owner had acknowledged the item: only then does it count in `deaths`."""
         member = self.membership.members.get(item.owner)
         return member is None or item.fence not in member.unacknowledged
 
@@ -155,7 +160,10 @@
         return item.is_wanted(now_ms) and not self.membership.choose_taker(item, now_ms)
 
     def transfer(self, item: WorkItem, deaths: int, now_ms: int) -> None:
-        """Transfer an item that has lost its owner if it is still wanted; else record its outcome, if any."""
+        """Transfer an item that has lost its owner, or has none, to another holder if it is still wanted.
+
+        Otherwise records its outcome, if it must not be continued. `deaths` is the item's new count of them.
+        """
         outcome = item.outcome_after(deaths)
         wanted = outcome is None and item.is_wanted(now_ms)
         taker = self.membership.choose_taker(item, now_ms) if wanted else ""
@@ -185,7 +193,8 @@
     def handle(self, request: WorkRequest, now_ms: int) -> WorkDecision:
         """Renew a holder's lease, and carry out its operations.
 
-        A repeated or overtaken request, or one from a replaced incarnation, changes nothing.
+        A repeated or overtaken request, or one from a replaced incarnation, changes nothing: the result of
+        each of its operations is `LOST`.
 
         Raises:
             RequestRejectedError: The gateway's number is out of range.
@@ -208,7 +217,7 @@
         return WorkDecision(response, self.records)
 
     def unaccepted_transfers(self, member: Member, now_ms: int) -> list[TransferredWork]:
-        """Return transferred items that a holder has not accepted yet, up to the limit of one response."""
+        """Return transferred items that a holder has not acknowledged, up to the limit of one response."""
         unaccepted = []
         for fence, name in list(member.unacknowledged.items())[:MAX_TRANSFERRED_PER_RESPONSE]:
             item = self.store.items.get(name)
@@ -313,8 +322,9 @@
     def begin(self, holder: str, operation: BeginWork, now_ms: int) -> OperationResult:
         """Begin an item, unless there already is one by that name.
 
-        For an existing item the result is its stored outcome if it has ended, or `ELSEWHERE` if it has an
-        owner. An item without an owner is given to the holder if it may run again.
+        For an existing item the result is its stored outcome if it has ended. If it has an owner, the result
+        is `ELSEWHERE`, or the fence if the owner repeats the same request. An item without an owner is given
+        to the holder if it may run again; otherwise the result is `FAILED`.
         """
         item = self.store.items.get(operation.name)
         if item is None:
@@ -325,7 +335,7 @@
             return self.ended_result(item)
         end_ms = max(item.end_ms, now_ms + min(operation.left_ms, MAX_LEFT_MS))
         if item.owner:
-            # The same request again: its response was lost.
+            # The same request again, whose response was lost.
             if (item.owner, item.request_id) == (holder, operation.request_id):
                 return self.owned_result(item, item.run_before_owner, now_ms)
             item.end_ms = end_ms  # the repeated request extends the time for any later owner
--- a/thistletrail/leasing/work_store.py
+++ b/thistletrail/leasing/work_store.py
@@ -21,7 +21,7 @@
 MAX_ITEMS = 20_000  # in the fleet: 100 for each of 200 gateways, whose own request limit is higher
 MAX_STORED_BYTES = 64 << 20  # requests and values: a third of the memory of a gateway's machine
 MAX_ITEMS_PER_CUSTOMER = 400  # more than any plan has in flight within an idempotency window
-MAX_OWNER_DEATHS = 2  # an item whose owners died this often is parked, as it may have caused the deaths
+MAX_OWNER_DEATHS = 2  # an item that has lost this many owners is parked, as it may have caused the losses
 MAX_PARKED = 100  # items kept for an operator to inspect
 
 
@@ -48,18 +48,18 @@
         window_ms: How long servers remember a keyed item.
         request: What an owner needs to continue it; opaque to the lease service.
         owner: The holder that owns it; empty if none does.
-        fence: The fencing number of its owner.
+        fence: The fencing token of its owner.
         request_id: The owner's request for the item.
         last_run: Location of the last attempt that may have run; `NOWHERE` if none has.
         run_before_owner: The value of `last_run` when the owner got the item.
         first_run_ms: When the first attempt that may have run was made.
         attempt_number: Number of the owner's last attempt under its fence.
-        deaths: How many owners have died while they owned it.
-        awaits_taker: Whether the next gateway that can take it becomes its owner.
+        deaths: How many owners were lost after they had acknowledged it; a release is not counted.
+        awaits_taker: Whether it is transferred once a holder can take it over; until then it has no owner.
         outcome: How it has ended; None before.
         value: The value of an item that was served.
         ended_ms: When it ended; 0 before.
-        declined_by: The holders that released it for transfer.
+        declined_by: The holders that released it for transfer, and do not get it again; not journaled.
     """
 
     name: str
@@ -135,7 +135,7 @@
         return now_ms < self.end_ms and self.may_run_again(now_ms) and self.effect is not WorkEffect.SAFE
 
     def outcome_after(self, deaths: int) -> WorkOutcome | None:
-        """Return the final outcome after `deaths` owners died; None if another holder may continue."""
+        """Return the outcome of an item with this count of `deaths`; None if it may be continued."""
         if deaths >= MAX_OWNER_DEATHS:
             return WorkOutcome.PARKED
         if self.effect is WorkEffect.UNSAFE and self.may_have_run:
@@ -159,7 +159,7 @@
         )
 
     def attempted_record(self, location: Location, number: int, earlier_never_ran: bool) -> WorkAttempted:
-        """Return the record of an attempt, dated with the time of the first one."""
+        """Return the record of an attempt, dated with the time of the first attempt."""
         return WorkAttempted(
             name=self.name,
             server=location.server,
@@ -211,10 +211,10 @@
 
 
 class WorkStore:
-    """Work items by name, their totals for the limits, and the highest fencing number."""
+    """Work items by name, their totals for the limits, and the highest fencing token."""
 
     def __init__(self, fence: int) -> None:
-        """Create an empty store; fencing numbers are greater than `fence`."""
+        """Create an empty store; fencing tokens are greater than `fence`."""
         self.fence = fence
         self.items: dict[str, WorkItem] = {}
         self.total_bytes = 0
--- a/thistletrail/policy/request_lifecycle.py
+++ b/thistletrail/policy/request_lifecycle.py
@@ -125,9 +125,9 @@
     def enqueue_taken_over(self, request: PendingRequest) -> None:
         """Queue a request that another gateway admitted and charged to the customer's quota.
 
-        It may run only where servers would recognise a repeat, if it may have run before. An unsafe request
-        that may have run is failed. A request whose `ran_on_server` is not in the endpoint list is treated as
-        one that has not run: the host process must name a listed server, or fail the request itself.
+        If it may have run before, it may run only where servers would recognise a repeat, and an unsafe one
+        is ended with `RAN_ELSEWHERE`. A request whose `ran_on_server` is not in the endpoint list is treated
+        as one that has not run: the host process must name a listed server, or fail the request itself.
         """
         request.ceiling_granted_until_us = NEVER_US
         request.may_have_run_since_us = self.context.now_us
