--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -425,7 +425,7 @@
     assert not fleet.work.store.items
 
 
-def test_a_rejected_request_returns_its_begins_and_queues_the_rest_again() -> None:
+def test_a_request_that_is_not_persisted_returns_its_begins_and_queues_the_rest_again() -> None:
     holder = WorkHolder(5, 1)
     holder.enqueue(begin_work())
     holder.enqueue(CompleteWork(name="c/x", fence=1, value=b""))
--- a/thistletrail/gateway/takeover/client.py
+++ b/thistletrail/gateway/takeover/client.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RENEWAL_INTERVAL_S = WORK_LEASE_MS / 4000  # so that a lease outlasts lost renewals
+MAX_RENEWAL_INTERVAL_S = WORK_LEASE_MS / 4000  # four per lease, so that it outlasts lost ones
 CALL_TIMEOUT_S = WORK_LEASE_MS / 2000  # after it the lease service counts as unreachable
 FLUSH_POLL_INTERVAL_S = 0.01
 # Ranges of the factor of MAX_RENEWAL_INTERVAL_S. Jitter prevents gateways from calling all at once, above all
@@ -133,7 +133,7 @@
         self.address_index = (self.address_index + 1) % len(self.addresses)
 
     def enqueue(self, operation: WorkOperation) -> bool:
-        """Queue an operation and call `wake`; return False if the queue is full."""
+        """Queue an operation, and start the next call as `wake` does; return False if the queue is full."""
         if not self.holder.enqueue(operation):
             return False
         self.wakeup.set()
--- a/thistletrail/gateway/takeover/coordinator.py
+++ b/thistletrail/gateway/takeover/coordinator.py
@@ -284,9 +284,9 @@
     def on_record_timeout(self, item: WorkItem) -> None:
         """End the pending attempt without sending it, as it may not be recorded.
 
-        The policy then rejects the request, unless other attempts are in flight. The lease service counts as
-        unreachable until its next response. A `BeginWork` without a result is withdrawn: if it is recorded
-        after all, the work is released, so that the client's retry does not find it owned by another request.
+        The policy does not retry; it ends the request unless other attempts are in flight. The lease service
+        counts as unreachable until its next response. A `BeginWork` without a result is withdrawn: if it is
+        recorded after all, the work is released, so that a retry of the client does not find it owned.
         """
         self.client.is_unreachable = True
         self.table.withdraw_begin(item)
--- a/thistletrail/leasing/work_holder.py
+++ b/thistletrail/leasing/work_holder.py
@@ -70,7 +70,7 @@
         self.queue: list[WorkOperation] = []
         self.in_flight: InFlightRequest | None = None
         self.accepted_fences: list[int] = []  # of transferred items that the next request acknowledges
-        self.withdrawn: set[str] = set()  # names whose `BeginWork` was given up while in flight
+        self.withdrawn: set[str] = set()  # names whose `BeginWork` was withdrawn while in flight
         self.is_draining = False
 
     # --- ownership ---
--- a/thistletrail/leasing/work_records.py
+++ b/thistletrail/leasing/work_records.py
@@ -53,8 +53,8 @@
 class WorkOwned(Message, frozen=True, tag="owned", tag_field="work"):
     """An item has another owner, or none if `owner` is empty.
 
-    `request_id` is the owner's request for the item. `awaits_taker` means that the item is transferred
-    once a holder can take it over.
+    `request_id` is the owner's request for the item; empty if the item was transferred or has no owner.
+    `awaits_taker` means that the item is transferred once a holder can take it over.
     """
 
     name: str
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -151,7 +151,7 @@
             del members[holder]
 
     def owner_had_accepted(self, item: WorkItem) -> bool:
-        """Return whether the lost owner had acknowledged the item: only then does it count in `deaths`."""
+        """Return whether a lost owner counts in `deaths`: it has no unacknowledged transfer of the item."""
         member = self.membership.members.get(item.owner)
         return member is None or item.fence not in member.unacknowledged
 
@@ -162,7 +162,7 @@
     def transfer(self, item: WorkItem, deaths: int, now_ms: int) -> None:
         """Transfer an item that has lost its owner, or has none, to another holder if it is still wanted.
 
-        Otherwise records its outcome, if it must not be continued. `deaths` is the item's new count of them.
+        Otherwise records its outcome, if it must not be continued. `deaths` is its new count of lost owners.
         """
         outcome = item.outcome_after(deaths)
         wanted = outcome is None and item.is_wanted(now_ms)
--- a/thistletrail/leasing/work_store.py
+++ b/thistletrail/leasing/work_store.py
@@ -49,17 +49,17 @@
         request: What an owner needs to continue it; opaque to the lease service.
         owner: The holder that owns it; empty if none does.
         fence: The fencing token of its owner.
-        request_id: The owner's request for the item.
+        request_id: The owner's request for the item; empty if it was transferred or has no owner.
         last_run: Location of the last attempt that may have run; `NOWHERE` if none has.
         run_before_owner: The value of `last_run` when the owner got the item.
         first_run_ms: When the first attempt that may have run was made.
         attempt_number: Number of the owner's last attempt under its fence.
-        deaths: How many owners were lost after they had acknowledged it; a release is not counted.
+        deaths: How many owners were lost, without those that had not acknowledged its transfer.
         awaits_taker: Whether it is transferred once a holder can take it over; until then it has no owner.
         outcome: How it has ended; None before.
         value: The value of an item that was served.
         ended_ms: When it ended; 0 before.
-        declined_by: The holders that released it for transfer, and do not get it again; not journaled.
+        declined_by: The holders that released it for transfer; none is chosen as its taker. Not journaled.
     """
 
     name: str
