--- a/tests/test_simulation_kept.py
+++ b/tests/test_simulation_kept.py
@@ -10,7 +10,7 @@
 from thistletrail.benchmarks.process import ROOT
 from thistletrail.simulation import day as days
 from thistletrail.simulation.day import Day
-from thistletrail.simulation.kept import LEASE_US
+from thistletrail.simulation.kept import WORK_LEASE_US
 from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers, Trouble, dump
 
 FLEET = Scenario(
@@ -56,7 +56,7 @@
     without_faults = msgspec.structs.replace(FLEET, troubles=(), length_s=5)
     baseline = days.play(without_faults, 1).result()
     assert days.play(msgspec.structs.replace(without_faults, takeover=True), 1).result() == baseline
-    assert LEASE_US < 2_000_000  # otherwise a work item would have no time left after its takeover
+    assert WORK_LEASE_US < 2_000_000  # otherwise a work item would have no time left after its takeover
 
 
 def test_the_takeover_command_compares_runs_with_and_without_takeover(tmp_path: Path) -> None:
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -161,7 +161,7 @@
 
     def end(self, ask: Operation, served: ClientRequest | None, cause: str) -> None:
         super().end(ask, served, cause)
-        rule = self.run.scenario.classes[ask.kind]
+        rule = self.run.scenario.classes[ask.class_index]
         self.keys.pop(id(ask), None)
         self.program.open -= 1
         self.writer.note(
@@ -172,7 +172,7 @@
             ideal=ask.is_in_ideal_quota,
             tries=ask.requests,
             served=served.id if served else "",
-            in_time=bool(served) and now_us() <= ask.aim_us,
+            in_time=bool(served) and now_us() <= ask.objective_end_us,
             **{"class": rule.name, "plan": self.run.scenario.plans[ask.customer.plan].name},
         )
 
@@ -201,7 +201,7 @@
     def command(self, try_: ClientRequest, door: int) -> bytes:
         """The request as it is written, and noted."""
         ask, scenario = try_.operation, self.world.scenario
-        rule, customer = scenario.classes[ask.kind], ask.customer
+        rule, customer = scenario.classes[ask.class_index], ask.customer
         plan = scenario.plans[customer.plan].name
         left = max(0, (try_.end_us - now_us()) // 1000)
         key = self.clients.keys.setdefault(id(ask), try_.id) if rule.keyed else ""
--- a/thistletrail/simulation/books.py
+++ b/thistletrail/simulation/books.py
@@ -35,7 +35,7 @@
         self.offered: dict[tuple[int, int, int], float] = defaultdict(float)  # by second, class and plan
         self.earned: dict[tuple[int, int, int], float] = defaultdict(float)  # by second, class and plan
         self.in_time: Counter[int] = Counter()  # operations by second
-        self.results: Counter[str] = Counter()  # of requests: served, refused, failed, gone, unreached
+        self.results: Counter[str] = Counter()  # requests by result: served, refused, failed, gone, unreached
         self.refused: Counter[tuple[int, str]] = Counter()  # by second and cause
         self.units_sent = self.units_beyond = 0.0
         self.over: Counter[tuple[int, str]] = Counter()  # units beyond quota by second and cause
@@ -44,7 +44,7 @@
         self.late_fail = 0.0
         self.messages: Counter[tuple[int, str]] = Counter()  # by second and fate
         self.peer_bytes = 0
-        self.outcomes: dict[str, int] = {}  # of attempts
+        self.outcomes: dict[str, int] = {}  # attempts by result
         self.violations: list[tuple[int, str, str]] = []  # second, rule and place
         self.violation_counts: Counter[str] = Counter()  # by rule
         self.log_lines: list[tuple[int, int, str]] = []  # second, gateway and text
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -66,27 +66,30 @@
     """What a client wants: its first request and the retries."""
 
     __slots__ = (
-        "aim_us",
         "cause",
+        "class_index",
         "customer",
         "end_us",
         "first_us",
         "is_in_ideal_quota",
-        "kind",
+        "objective_end_us",
         "requests",
         "work_us",
         "worth",
         "zones",
     )
 
-    def __init__(self, customer: Customer, kind: int, work_us: float, worth: float, now_us: int) -> None:
-        self.customer, self.kind, self.work_us, self.worth = customer, kind, work_us, worth
+    def __init__(
+        self, customer: Customer, class_index: int, work_us: float, worth: float, now_us: int
+    ) -> None:
+        self.customer, self.class_index = customer, class_index
+        self.work_us, self.worth = work_us, worth
         self.first_us = now_us
-        self.requests = 0  # sent so far
+        self.requests = 0  # number sent so far
         self.is_in_ideal_quota = False  # as one gateway that saw all requests would decide
-        self.zones: frozenset[int] = frozenset()  # in which it has run
+        self.zones: frozenset[int] = frozenset()  # the zones in which it has run
         self.cause = "a slow answer"  # why the last request that was not served was not
-        self.aim_us = self.end_us = now_us
+        self.objective_end_us = self.end_us = now_us
 
 
 class ClientRequest:
@@ -112,22 +115,26 @@
         self.run, self.spec, self.stream = run, spec, stream
         self.serial = itertools.count(1)
         self.down: set[int] = set()  # gateways that the load balancer knows to be down
-        self.try_share = [stream.span(spec.try_share) for _ in run.scenario.classes]
+        self.timeout_shares = [stream.span(spec.try_share) for _ in run.scenario.classes]
         self.backoff = spec.backoff or stream.pick(("none", "fixed", "exp"))
-        self.backoff_us, self.honour = stream.span(spec.backoff_ms) * MS, stream.span(spec.honour)
-        self.elsewhere = stream.span(run.scenario.demand.elsewhere)
-        self.aims = [round(rule.aim_ms * run.scenario.stretch * MS) for rule in run.scenario.classes]
-        self.deadlines = [
-            round(rule.deadline_ms * run.scenario.stretch * MS) for rule in run.scenario.classes
+        self.backoff_us, self.retry_after_share = stream.span(spec.backoff_ms) * MS, stream.span(spec.honour)
+        self.other_gateway_share = stream.span(run.scenario.demand.elsewhere)
+        self.objectives_us = [
+            round(request_class.aim_ms * run.scenario.stretch * MS) for request_class in run.scenario.classes
+        ]
+        self.deadlines_us = [
+            round(request_class.deadline_ms * run.scenario.stretch * MS)
+            for request_class in run.scenario.classes
         ]
 
     # --- requests ---
 
-    def start_operation(self, customer: Customer, kind: int, work_us: float) -> None:
+    def start_operation(self, customer: Customer, class_index: int, work_us: float) -> None:
         run, now_us = self.run, self.run.clock.now
-        worth = run.scenario.classes[kind].worth * run.plans[customer.plan].price
-        operation = Operation(customer, kind, work_us, worth, now_us)
-        operation.aim_us, operation.end_us = now_us + self.aims[kind], now_us + self.deadlines[kind]
+        worth = run.scenario.classes[class_index].worth * run.plans[customer.plan].price
+        operation = Operation(customer, class_index, work_us, worth, now_us)
+        operation.objective_end_us = now_us + self.objectives_us[class_index]
+        operation.end_us = now_us + self.deadlines_us[class_index]
         operation.is_in_ideal_quota = customer.account.ideal.take(1.0, now_us)
         run.books.operations += 1
         self.send_request(operation, None)
@@ -141,7 +148,7 @@
         if (
             previous is not None
             and previous.number not in self.down
-            and not self.stream.chance(self.elsewhere)
+            and not self.stream.chance(self.other_gateway_share)
         ):
             return previous
         for _ in range(4):
@@ -156,7 +163,7 @@
         run, now_us = self.run, self.run.clock.now
         operation.requests += 1
         gateway = self.pick_gateway(operation.customer, previous)
-        timeout_us = self.deadlines[operation.kind] * self.try_share[operation.kind]
+        timeout_us = self.deadlines_us[operation.class_index] * self.timeout_shares[operation.class_index]
         end_us = min(operation.end_us, now_us + round(timeout_us))
         request = ClientRequest(f"{next(self.serial):x}", operation, gateway, end_us)
         run.books.requests += 1
@@ -258,7 +265,7 @@
             return
         if cause not in LATE_CAUSES or operation.requests == 1:
             operation.cause = cause
-        request_class = run.scenario.classes[operation.kind]
+        request_class = run.scenario.classes[operation.class_index]
         delay_us = self.retry_delay_us(operation, retry_after_us)
         may_retry = not request_class.keyed or result in ("refused", "unreached")
         if may_retry and operation.requests <= self.spec.retries and now_us + delay_us < operation.end_us:
@@ -270,7 +277,7 @@
 
     def retry_delay_us(self, operation: Operation, retry_after_us: int) -> float:
         """Return how long to wait before a retry: as advised, for a share of clients, or by their backoff."""
-        if retry_after_us and self.stream.chance(self.honour):
+        if retry_after_us and self.stream.chance(self.retry_after_share):
             return min(retry_after_us, self.spec.max_retry_after_ms * MS)
         if self.backoff == "none":
             return 1 * MS
@@ -283,26 +290,26 @@
         """
         run, now_us = self.run, self.run.clock.now
         run.kept.forget(operation)
-        plan, request_class = run.plans[operation.customer.plan], run.scenario.classes[operation.kind]
+        plan, request_class = run.plans[operation.customer.plan], run.scenario.classes[operation.class_index]
         offered = operation.worth * (1.0 if operation.is_in_ideal_quota else plan.over_worth)
         earned, late_fail = 0.0, 0.0
         if served is None:
-            late_fail = operation.worth if now_us > operation.aim_us else 0.0
+            late_fail = operation.worth if now_us > operation.objective_end_us else 0.0
         else:
             earned = operation.worth * (1.0 if served.is_in_quota else plan.over_worth)
-            if now_us > operation.aim_us:
+            if now_us > operation.objective_end_us:
                 earned, cause = earned * request_class.late_worth, f"{LATE} after {operation.cause}"
             elif not served.is_in_quota:
                 cause = OVER
             else:
                 cause = SERVED if operation.is_in_ideal_quota else GAINED
         second = (operation.first_us - run.start_us) // S
-        in_time = served is not None and now_us <= operation.aim_us
+        in_time = served is not None and now_us <= operation.objective_end_us
         run.books.in_time[second] += in_time
         if operation.is_in_ideal_quota:
             run.books.points.append((operation.first_us - run.start_us, operation.worth, in_time))
         run.books.end_operation(
-            (second, operation.kind, operation.customer.plan), offered, earned, cause, late_fail
+            (second, operation.class_index, operation.customer.plan), offered, earned, cause, late_fail
         )
 
 
@@ -330,14 +337,19 @@
         self.run, scenario = run, run.scenario
         self.spec, self.stream, self.work = scenario.demand, run.streams["demand"], run.streams["asks"]
         stream = self.stream
-        self.means = [self.work.span(rule.work_ms) * scenario.stretch * MS for rule in scenario.classes]
-        self.cvs = [self.work.span(rule.cv) for rule in scenario.classes]
-        total_share = sum(rule.share for rule in scenario.classes)
+        # By class: mean and coefficient of variation of the work.
+        self.means = [
+            self.work.span(request_class.work_ms) * scenario.stretch * MS
+            for request_class in scenario.classes
+        ]
+        self.cvs = [self.work.span(request_class.cv) for request_class in scenario.classes]
+        total_share = sum(request_class.share for request_class in scenario.classes)
         self.cumulative_shares = list(
-            itertools.accumulate(rule.share / total_share for rule in scenario.classes)
+            itertools.accumulate(request_class.share / total_share for request_class in scenario.classes)
         )
         self.mean_work_us = sum(
-            rule.share / total_share * mean for rule, mean in zip(scenario.classes, self.means, strict=True)
+            request_class.share / total_share * mean
+            for request_class, mean in zip(scenario.classes, self.means, strict=True)
         )
         self.customers: list[Customer] = []
         self.names = itertools.count(1)
@@ -437,9 +449,9 @@
 
     def start_operation(self, customer: Customer) -> None:
         """Draw the class and the work of an operation, and start it."""
-        kind = min(bisect(self.cumulative_shares, self.work.uniform()), len(self.means) - 1)
-        work_us = max(500.0, self.work.lognormal(self.means[kind], self.cvs[kind]))
-        self.run.clients.start_operation(customer, kind, work_us)
+        class_index = min(bisect(self.cumulative_shares, self.work.uniform()), len(self.means) - 1)
+        work_us = max(500.0, self.work.lognormal(self.means[class_index], self.cvs[class_index]))
+        self.run.clients.start_operation(customer, class_index, work_us)
 
     def set_load_factor(self, factor: float) -> None:
         """Multiply the usual rates of all customers by a factor from now on."""
--- a/thistletrail/simulation/day.py
+++ b/thistletrail/simulation/day.py
@@ -95,8 +95,8 @@
         scenario, clients = self.scenario, self.clients
         classes = tuple(
             RequestClass(
-                latency_objective_us=clients.aims[n],
-                deadline_us=clients.deadlines[n],
+                latency_objective_us=clients.objectives_us[n],
+                deadline_us=clients.deadlines_us[n],
                 value=rule.worth,
                 late_value=rule.late_worth,
                 effect=Effect.IDEMPOTENT_BY_KEY if rule.keyed else Effect.IDEMPOTENT,
@@ -157,7 +157,7 @@
         self.demand.begin(capacity)
         FaultInjector(self).begin()
         self.clock.after(S, self.tick)
-        self.clock.run(self.end_us + max(self.clients.deadlines) + round(TAIL_S * S))
+        self.clock.run(self.end_us + max(self.clients.deadlines_us) + round(TAIL_S * S))
         self.check_falls()
         for customer in self.demand.customers:
             for store in (customer.account.quota, customer.account.ceiling):
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -302,7 +302,7 @@
         self.handle(
             RequestArrived(
                 request.id,
-                operation.kind,
+                operation.class_index,
                 customer.plan,
                 customer.name,
                 left_us,
@@ -310,7 +310,7 @@
                 customer.size,
                 customer.first,
                 False,
-                self.run.scenario.classes[operation.kind].keyed,
+                self.run.scenario.classes[operation.class_index].keyed,
             )
         )
 
@@ -334,7 +334,7 @@
         self.handle(
             RequestArrived(
                 request.id,
-                operation.kind,
+                operation.class_index,
                 customer.plan,
                 customer.name,
                 max(0, end_us - now_us),
@@ -404,7 +404,7 @@
         if state is None or state.is_answered:
             self.run.books.record_violation("a second answer", f"door {self.number}, request {request_id}")
             return
-        request_class = self.run.scenario.classes[state.request.operation.kind]
+        request_class = self.run.scenario.classes[state.request.operation.class_index]
         if result == "refused" and request_class.keyed and state.attempts_started > state.attempts_not_run:
             self.run.books.record_violation(
                 "refused though it may have run", f"door {self.number}, request {request_id}"
@@ -463,7 +463,7 @@
             run.books.record_violation("sent to a server that drains or is gone", where)
         if len(state.in_flight) > 0:
             run.books.record_violation("two attempts out at once", where)
-        request_class = run.scenario.classes[state.request.operation.kind]
+        request_class = run.scenario.classes[state.request.operation.class_index]
         if (
             request_class.keyed
             and number > state.attempts_not_run
@@ -517,7 +517,7 @@
         operation = state.request.operation
         if (
             result != "full"
-            and self.run.scenario.classes[operation.kind].keyed
+            and self.run.scenario.classes[operation.class_index].keyed
             and server.zone not in operation.zones
         ):
             self.run.books.zones += bool(operation.zones)
--- a/thistletrail/simulation/kept.py
+++ b/thistletrail/simulation/kept.py
@@ -18,7 +18,7 @@
     from thistletrail.simulation.doors import OpenRequest
     from thistletrail.simulation.servers import ScanServer
 
-LEASE_US = S  # of a work item
+WORK_LEASE_US = S
 REASSIGN_INTERVAL_US = 50 * MS  # while no gateway is running
 MAX_DEATHS = 2
 
@@ -54,7 +54,11 @@
         request = state.request
         operation, servers = request.operation, [attempt.server for attempt in state.in_flight.values()]
         server = state.first_server or next(iter(servers), None)
-        if not self.is_enabled or not self.run.scenario.classes[operation.kind].keyed or server is None:
+        if (
+            not self.is_enabled
+            or not self.run.scenario.classes[operation.class_index].keyed
+            or server is None
+        ):
             return
         item = self.items.get(operation)
         if item is None:
@@ -63,11 +67,11 @@
         item.deaths += 1
         item.end_us = max(item.end_us, state.end_us)
         self.counts["lost"] += 1
-        self.run.clock.after(LEASE_US, self.assign, item)
+        self.run.clock.after(WORK_LEASE_US, self.assign, item)
 
     def end_us(self, item: WorkItem) -> int:
         """Return until when an item may be worked on: its deadline, or the end of its window."""
-        request_class = self.run.scenario.classes[item.operation.kind]
+        request_class = self.run.scenario.classes[item.operation.class_index]
         window_us = round(request_class.window_ms * self.run.scenario.stretch * MS)
         return min(item.end_us, item.first_us + window_us)
 
@@ -108,7 +112,7 @@
     def answer(self, item: WorkItem, request: ClientRequest, result: str) -> None:
         request.is_charged, request.is_in_quota = True, item.is_in_quota
         self.counts[f"told {result}"] += 1
-        retry_after_us = LEASE_US if result == "refused" else 0
+        retry_after_us = WORK_LEASE_US if result == "refused" else 0
         self.run.clients.answered(request, result, retry_after_us, None, request.gateway)
 
     def handle_retry(self, request: ClientRequest) -> bool:
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -68,11 +68,12 @@
         self.leases, self.gateway, self.clock = leases, gateway, leases.run.clock
         self.holder = BudgetHolder(gateway.number, gateway.epoch, leases.run.scenario.doors)
         self.keys: dict[str, BudgetKey] = {}
-        self.granted_fences: dict[str, int] = {}  # by budget: of the grant that the gateway has last
-        self.serial = 0  # of the renewal that is due; an early renewal replaces it
+        self.granted_fences: dict[str, int] = {}  # by budget: the fence of the latest grant
+        # The serial number of the renewal that is due. An early renewal replaces it.
+        self.serial = 0
         # When the last renewal was sent, and how long to wait after it before an early one for units.
         self.renewed_us = self.backoff_us = 0
-        self.needed_units = 0  # that the last renewal asked for
+        self.needed_units = 0  # the units that the last renewal asked for
 
     def check_demand(self, epoch: int) -> None:
         """Renew early if the gateway demands a budget without a lease or if requests wait for units."""
--- a/thistletrail/simulation/servers.py
+++ b/thistletrail/simulation/servers.py
@@ -126,10 +126,13 @@
         self.running: list[tuple[float, int, Work]] = []
         self.virtual_us, self.virtual_updated_us, self.rate = 0.0, clock.now, 0.0
         self.serial = itertools.count()
-        self.step_serial = 0  # of the newest scheduled step: earlier ones are void
+        # The serial number of the newest scheduled step. Earlier steps are void.
+        self.step_serial = 0
         # Work received while warming up, drained by time: the rule on servers that warm up limits it.
         self.warm_up_level_us, self.warm_up_updated_us = 0.0, clock.now
-        self.work_by_gateway: dict[int, float] = {}  # while it warms up: who has caused a collapse
+        self.work_by_gateway: dict[
+            int, float
+        ] = {}  # work received while warming up, to tell who has caused a collapse
         self.worked_us = 0.0  # work done
         self.useful_us = 0.0  # work done for answers that served a client
 
--- a/thistletrail/simulation/service.py
+++ b/thistletrail/simulation/service.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-SPAN_US, SHARE = 2_000_000, 0.95  # what the operators ask for: 95% of the worth for 2 s
+SPAN_US, SHARE = 2_000_000, 0.95  # the operators ask for 95% of the worth for 2 s
 STEP_US = 100_000  # the resolution
 SECOND_US = 1_000_000
 
--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/troubles.py
@@ -132,7 +132,7 @@
 
     def terminate(self, gateways: list[Gateway]) -> None:
         """Start a graceful shutdown of gateways."""
-        longest_s = max(self.run.clients.deadlines) / S
+        longest_s = max(self.run.clients.deadlines_us) / S
         left_s = max(MIN_DRAIN_S, longest_s) + DRAIN_EXTRA_S
         for gateway in gateways:
             if gateway.is_alive:
