--- a/thistletrail/simulation/day.py
+++ b/thistletrail/simulation/day.py
@@ -104,8 +104,8 @@
         scenario, clients = self.scenario, self.clients
         classes = tuple(
             RequestClass(
-                latency_objective_us=clients.aims[index],
-                deadline_us=clients.deadlines[index],
+                latency_objective_us=clients.objectives_us[index],
+                deadline_us=clients.deadlines_us[index],
                 value=rule.worth,
                 late_value=rule.late_worth,
                 effect=Effect.IDEMPOTENT_BY_KEY if rule.keyed else Effect.IDEMPOTENT,
@@ -166,7 +166,7 @@
         self.demand.begin(capacity)
         FaultInjector(self).begin()
         self.clock.after(S, self.next_second)
-        self.clock.run(self.end_us + max(self.clients.deadlines) + round(TAIL_S * S))
+        self.clock.run(self.end_us + max(self.clients.deadlines_us) + round(TAIL_S * S))
         self.check_overloaded_cold_servers()
         for customer in self.demand.customers:
             for bucket in (customer.account.quota, customer.account.ceiling):
