--- a/thistletrail/gateway/backends.py
+++ b/thistletrail/gateway/backends.py
@@ -80,16 +80,17 @@
         self.on_ended = on_ended
         self.started_us = now_us()
         self.is_over = False
-        self.is_written = False  # the last byte was handed to the kernel: it may have run
+        self.is_written = False  # its last byte was handed to the kernel, so the request may have run
         self.end_us = 0  # when it times out
         self.written_us = 0  # when its first bytes were written; 0 before that
-        # It may not be written from this time on: servers no longer recognize the repeat and would run it
-        # anew.
+        # From this time on it may not be written: servers would no longer recognize a repeated request, and
+        # would run it again.
         self.write_by_us = NEVER
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.pool: Pool | None = None
-        self.may_write: Callable[[], bool] | None = None  # asked just before the write; None: it may
+        # Called just before the write, which it may forbid; None if the write needs no permission.
+        self.may_write: Callable[[], bool] | None = None
 
     def finish(
         self, result: AttemptResult, value: bytes | None = None, report: LoadReport | None = None
@@ -136,13 +137,13 @@
         asyncio.get_running_loop().call_soon(self.on_ended, self, result, None, None)
 
     def cancel_unless_written(self) -> None:
-        """End an attempt that has not reached the server completely: its client has disconnected."""
+        """End the attempt, as its client has disconnected, unless it has reached the server completely."""
         if not self.is_written:
             self.give_up(AttemptResult.NOT_SENT)
 
 
 def outcome_of(answer: Answer) -> tuple[AttemptResult, bytes | None, LoadReport | None]:
-    """The attempt's result, value and load report by a server's answer."""
+    """The result, value and load report that a server's answer gives an attempt."""
     load_report = parse_load_report(answer.report)
     if answer.error is None:
         return AttemptResult.SUCCESS, answer.value, load_report
@@ -154,7 +155,7 @@
 
 
 def parse_load_report(text: bytes | None) -> LoadReport | None:
-    """A load report `name=value,...`; None where there is none or it is malformed."""
+    """A load report `name=value,...`; None if there is none or it is malformed."""
     if not text or b"=" not in text:
         return None
     try:
@@ -229,8 +230,8 @@
         self.pool = pool
         self.last_received_us = 0
         self.partial_answer_bytes = 0  # its part of the sum over all connections
-        self.idle_since_us: int | None = None  # None: it has had no request
-        self.idle_class = 0  # when its present or last command was written
+        self.idle_since_us: int | None = None  # None until it is idle for the first time
+        self.idle_class = 0  # its class when its present or last command was written
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.reader = AnswerReader()
@@ -289,7 +290,12 @@
             return
         if answer is None:
             if not self.count_partial_answer(len(self.reader.buffer)):
-                self.fail_malformed(attempt, ProtocolError("too much of answers is not whole"))
+                owner = self.pool.owner
+                size_error = ProtocolError(
+                    f"expected at most {owner.max_partial_answer_bytes} bytes of incomplete answers on all "
+                    f"connections, found {owner.partial_answer_bytes}"
+                )
+                self.fail_malformed(attempt, size_error)
             return
         self.count_partial_answer(0)
         self.attempt = attempt.connection = None
@@ -304,7 +310,7 @@
             attempt.finish(AttemptResult.CONNECT_FAILED)
 
     def count_partial_answer(self, size_bytes: int) -> bool:
-        """Count this connection's incomplete answer; whether those of all connections are within bounds."""
+        """Count this connection's incomplete answer, and return whether those of all are within bounds."""
         owner = self.pool.owner
         owner.partial_answer_bytes += size_bytes - self.partial_answer_bytes
         self.partial_answer_bytes = size_bytes
@@ -368,7 +374,7 @@
         self.waiting: list[Attempt] = []  # attempts that wait for a connection, the oldest first
         self.connecting = 0  # connections that are being set up
         self.last_received_us = 0
-        self.is_accepting = True  # whether the server takes new attempts
+        self.is_accepting = True  # the server takes new attempts
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or on the next one that is set up."""
@@ -384,11 +390,12 @@
         self.connecting += 1
         connection = self.owner.connection_class(self)
         self.owner.costs.handshakes += 1
-        self.connections.add(connection)  # at once: connections that are being set up count for the bound
+        # Added at once, as connections that are being set up count towards the bound.
+        self.connections.add(connection)
         self.owner.spawn(self.connect(connection))
 
     def take_idle(self) -> Connection | None:
-        """The last used of the idle connections that may be reused; None where there is none.
+        """Take the last used of the idle connections that may be reused; None if there is none.
 
         Such a connection has been idle for REUSE_DELAY_US, is within the reuse limit, and has no unread
         bytes. Unexpected bytes behind an answer would pass for the answer to the next command.
@@ -457,7 +464,7 @@
         self.connections.discard(connection)
 
     def close_idle_if_silent(self, since_us: int) -> None:
-        """Close all idle connections if nothing has come from the server since: the machine may be down.
+        """Close all idle connections if the server has sent nothing since `since_us`: it may be down.
 
         Connections to a machine that is down stay open and silent, and are reset when it is back. The next
         request on one would end as a reset, and one of an unsafe class cannot be retried.
@@ -466,16 +473,16 @@
             self.close_idle()
 
     def close_silent_idle(self, since_us: int) -> None:
-        """Close the idle connections on which nothing has come since.
+        """Close the idle connections on which nothing has arrived since `since_us`.
 
-        After a reset another machine may have taken over the address.
+        After a reset, another machine may have taken over the address.
         """
         for connection in [connection for connection in self.idle if connection.last_received_us < since_us]:
             self.idle.remove(connection)
             connection.close()
 
     def close_idle(self, before_us: int | None = None) -> None:
-        """Close the connections that have been idle since before that time; None: all idle ones."""
+        """Close the connections that have been idle since before `before_us`; None closes all idle ones."""
         while self.idle and (before_us is None or self.idle[0].idle_since_us < before_us):
             self.idle.pop(0).close()
 
@@ -512,9 +519,8 @@
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.max_connections = max_connections
         self.pools: dict[str, Pool] = {}
-        self.retired_pools: list[
-            Pool
-        ] = []  # for servers that moved or left the list, while connections are open
+        # The pools of servers that moved or left the list, while they have open connections.
+        self.retired_pools: list[Pool] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.reuse_limit = ReuseLimit()
         self.next_decay_us = 0
@@ -567,7 +573,7 @@
         return sum(len(pool.connections) for pool in (*self.pools.values(), *self.retired_pools))
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; if need be, closes the one that is idle longest."""
+        """Close the longest idle connection if the bound is reached; whether one more may be opened then."""
         if self.connection_count() < self.max_connections:
             return True
         with_idle = [pool for pool in self.pools.values() if pool.idle]
@@ -578,7 +584,7 @@
         return True
 
     def sweep(self) -> None:
-        """Close connections whose idle timeout has passed, and remove pools without any; periodic."""
+        """Periodically close connections whose idle timeout has passed, and remove unused retired pools."""
         now = now_us()
         if now >= self.next_decay_us:
             self.reuse_limit.decay()
--- a/thistletrail/gateway/clients.py
+++ b/thistletrail/gateway/clients.py
@@ -42,7 +42,7 @@
 UNREAD_ANSWERS_TIMEOUT_US = 2_000_000  # how long a client may leave answers unread
 # How long a client may read its last answer: closing a socket with unread input would discard the answer.
 LINGER_TIMEOUT_US = 400_000
-IDLE_TIMEOUT_US = 15_000_000  # between requests
+IDLE_TIMEOUT_US = 15_000_000  # how long a client may be idle between requests
 MIN_IDLE_US = 2_100_000  # how long a client may be idle even when its connection slot is needed
 SWEEP_INTERVAL_S = 0.2
 MAX_ACCEPTS_PER_TURN = 16  # existing connections are served in between
@@ -90,7 +90,7 @@
 
 
 def parse_integer(text: str, field_name: str, min_value: int, max_value: int) -> int:
-    """The integer that a field gives in decimal digits; a CommandError where it is out of bounds."""
+    """The value of a decimal integer field; raises CommandError if it is malformed or out of bounds."""
     is_integer = len(text) <= MAX_INTEGER_DIGITS and text.isascii() and text.isdigit()
     number = int(text) if is_integer else -1
     if not min_value <= number <= max_value:
@@ -99,7 +99,10 @@
 
 
 def read_fields(argument: bytes) -> dict[str, str]:
-    """The values by name in a list `name=value,...`; a CommandError where a name comes twice."""
+    """The values by name in a list `name=value,...`; raises CommandError if it is malformed.
+
+    A name that comes twice is an error as well.
+    """
     if not argument.isascii():
         raise CommandError("invalid fields")
     values = {}
@@ -115,6 +118,12 @@
     return values
 
 
+def split_at_wait(fields: bytes, wait: str) -> tuple[bytes, bytes]:
+    """The parts of the fields before and after `wait`, the value of `d`."""
+    wait_start = fields.find(b"d=") if fields.startswith(b"d=") else fields.find(b",d=") + 1
+    return fields[: wait_start + 2], fields[wait_start + 2 + len(wait) :]
+
+
 class CommandParser:
     """Validates commands against the settings: invalid ones reach neither the policy nor a server."""
 
@@ -134,9 +143,9 @@
         ]
 
     def parse(self, arguments: list[bytes], is_own_customer: bool = True) -> Command:
-        """The command; an invalid one is a CommandError.
+        """The command that the arguments form; raises CommandError if they are invalid.
 
-        Where `is_own_customer` is False, this gateway need not be among those that serve the customer.
+        If `is_own_customer` is False, this gateway need not be among those that serve the customer.
         """
         is_write = arguments[0] == b"SVC.SUBMIT"
         if not is_write and arguments[0] != b"SVC.QUERY":
@@ -167,10 +176,7 @@
             is_retry=values.get("r") == "1",
             is_write=is_write,
         )
-        fields = arguments[3]
-        wait_start = fields.find(b"d=") if fields.startswith(b"d=") else fields.find(b",d=") + 1
-        before_wait = fields[: wait_start + 2]
-        after_wait = fields[wait_start + 2 + len(values["d"]) :]
+        before_wait, after_wait = split_at_wait(arguments[3], values["d"])
         size_bytes = sum(map(len, arguments))
         return Command(
             request_id, class_index, build_arrival, wait_us, arguments, before_wait, after_wait, size_bytes
@@ -212,7 +218,7 @@
     def parse_gateway_set(self, values: dict[str, str], is_own_customer: bool) -> tuple[int, int]:
         """How many gateways serve the customer, and the index of the first.
 
-        Where `is_own_customer` is True, this gateway has to be one of them.
+        If `is_own_customer` is True, this gateway has to be one of them.
         """
         gateway_count = self.settings.gateway_count
         size = parse_integer(values.get("spread", "1"), "spread", 1, gateway_count)
@@ -232,8 +238,8 @@
         """`data` is the answer in RESP; None while it is not known."""
         self.connection = connection
         self.data = data
-        self.id: str | None = None  # the request's id; None where the command is not a request
-        # Set only where the answer waits behind others: the end of the request's deadline, and a function
+        self.id: str | None = None  # the request's id; None if the command is not a request
+        # Set only if the answer waits behind others: the end of the request's deadline, and a function
         # for the deadline with the time spent by stage.
         self.end_us = 0
         self.budget: Callable[[], Deadline] | None = None
@@ -244,7 +250,7 @@
         return bool(replies) and replies[0] is not self
 
     def send(self, data: bytes) -> None:
-        """Answer, in RESP, once all earlier answers are sent; only the first call counts."""
+        """Send the answer `data`, in RESP, after all earlier answers; only the first call has an effect."""
         if self.data is None:
             self.data = data
             self.connection.flush()
@@ -325,8 +331,8 @@
         self.is_reading = True
         self.is_write_paused = False  # the client does not read its answers
         self.is_processing = False
-        self.has_valid_command = False  # has sent at least one valid command
-        self.has_requested = False  # has sent at least one request
+        self.has_valid_command = False  # the client has sent at least one valid command
+        self.has_requested = False  # the client has sent at least one request
         self.consecutive_errors = 0
         self.has_more_commands = False  # complete commands may be left in the reader
         self.is_processing_scheduled = False
@@ -549,7 +555,7 @@
         self.clients.on_closed(self)
 
     def close_if_idle(self) -> None:
-        """Close the connection between requests, unless part of a command has come.
+        """Close the connection if it is between requests and no part of a command has arrived.
 
         At first only the sending direction is closed, and nothing more is read. A command that crosses this
         is then not half consumed. Closing the socket over unread bytes would reset the connection, and could
@@ -646,7 +652,7 @@
     # --- accepting connections ---
 
     def listen(self, address: Address) -> Address:
-        """Accept connections from now on; the address that the listener is bound to.
+        """Accept connections from now on, and return the address that the listener is bound to.
 
         This does not use the loop's `create_server`, which accepts all pending connections at once: a burst
         would exceed any bound on descriptors.
@@ -667,7 +673,7 @@
                 return
 
     def accept_one(self) -> bool:
-        """Accept a pending connection, or reject it; whether to go on with the next."""
+        """Accept or reject a pending connection, and return whether to go on with the next."""
         try:
             accepted, _ = self.listener.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -686,7 +692,7 @@
         self.costs.accepted += 1
         self.sockets += 1
         self.spawn(self.attach(accepted))
-        # The loop has not closed the evicted socket yet: until then there is one more than the bound.
+        # The loop has not closed the evicted socket yet: until then one more is open than the bound allows.
         return not is_full
 
     def resume_accepting(self) -> None:
@@ -707,7 +713,10 @@
                 self.sockets -= 1
 
     def make_room(self) -> bool:
-        """Close the first connection by EVICTION_ORDER that has no unread bytes; whether there was one."""
+        """Close the first connection by EVICTION_ORDER that may be closed, and return whether there was one.
+
+        A connection that has unread bytes is closed only if it is closing anyway.
+        """
         now = now_us()
         for state, min_time_us in EVICTION_ORDER:
             for connection in islice(self.eviction_candidates[state], MAX_EVICTION_CANDIDATES):
@@ -747,7 +756,7 @@
     # --- periodic checks ---
 
     def sweep(self) -> None:
-        """End the connections whose timeouts have passed, and those beyond the byte limit; periodic."""
+        """Periodically end the connections whose timeouts have passed, and those beyond the byte limit."""
         now = now_us()
         for connection in list(self.connections):
             if connection.has_disconnected():
@@ -793,7 +802,7 @@
         self.close_idle()
 
     async def wait_closed(self, timeout_s: float) -> bool:
-        """Wait until all connections are closed; False where some are left or were waiting in the backlog."""
+        """Wait until all connections are closed; False if some are left or were waiting in the backlog."""
         if self.sockets:
             self.all_closed.clear()
             with contextlib.suppress(TimeoutError):
--- a/thistletrail/gateway/discovery_client.py
+++ b/thistletrail/gateway/discovery_client.py
@@ -29,7 +29,7 @@
 # address may be a follower that lags, or a service with an older copy of its data. After that the older list
 # is accepted, as no newer one exists.
 STALE_LIST_GRACE_S = 10.0
-NEVER_RECEIVED_S = -1.0  # age of the list before discovery has sent one
+NEVER_RECEIVED_S = -1.0  # reported as the list's age until the first list is received
 LIST_PATH = "/catalog/members"
 
 
--- a/thistletrail/gateway/snapshot_file.py
+++ b/thistletrail/gateway/snapshot_file.py
@@ -29,7 +29,7 @@
     gateway_name: str
     settings_digest: str  # digest of the settings under which it was collected
     written_at_ms: int  # Unix time at which it was collected
-    start_id: int  # of the start that wrote it; stored, but not used when a snapshot is restored
+    start_id: int  # identifies the start that wrote it; stored, but not used on a restore
     policy: PolicySnapshot
     endpoint_list: dict[str, Any]  # in discovery's format
 
--- a/thistletrail/gateway/snapshot_store.py
+++ b/thistletrail/gateway/snapshot_store.py
@@ -71,7 +71,8 @@
         self.rng = random.Random(config.settings.seed)
         self.start_id = self.rng.getrandbits(32)  # not the incarnation number that the policy announces
         self.start_history = StartHistory(folder / START_TIMES_NAME)
-        self.stored_snapshot = self._read()  # of the previous process; None if there is no usable one
+        # The snapshot that the previous process wrote; None if there is no usable one.
+        self.stored_snapshot = self._read()
 
     def unix_ms(self) -> int:
         """The system's time in milliseconds since 1970, with the configured offset."""
--- a/thistletrail/gateway/start_history.py
+++ b/thistletrail/gateway/start_history.py
@@ -31,7 +31,7 @@
         self.start_times_s = self._read()  # Unix times, the latest last
 
     def add(self, now_s: float) -> None:
-        """Add a start, and remove those that are too far from it in time to cause a backoff."""
+        """Add a start, and remove those that are too long before or after it to cause a backoff."""
         retention_s = CRASH_WINDOW_S + MAX_BACKOFF_S
         recent = [start_s for start_s in self.start_times_s if abs(now_s - start_s) < retention_s]
         self.start_times_s = [*recent, now_s]
--- a/thistletrail/leasing/fair_division.py
+++ b/thistletrail/leasing/fair_division.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping, Sequence
 
-TOLERANCE_DIVISOR = 4  # a share that is at most a quarter too large is kept
+TOLERANCE_DIVISOR = 4  # a share that is at most a quarter too large stays as it is
 STEP_DIVISOR = 4  # a share grows by at most a quarter of the total per step, so that shares converge
 
 
@@ -69,8 +69,8 @@
 def bounded_step(current: int, target: int, total: int) -> int:
     """Return the next share on the way from `current` to `target`: down at once, up by bounded steps.
 
-    A share that is slightly too large is kept: while a share shrinks, the larger one stays reserved until the
-    holder has acknowledged the smaller one.
+    A share that is slightly too large is not reduced: while a share shrinks, the larger one stays reserved
+    until the holder has acknowledged the smaller one.
     """
     if 0 <= current - target <= current // TOLERANCE_DIVISOR:
         return current
--- a/thistletrail/leasing/journal.py
+++ b/thistletrail/leasing/journal.py
@@ -176,7 +176,7 @@
         return LeasingStates(budgets, work)
 
     def restore_grant(self, budgets: BudgetState, config: Config, stored: StoredGrant, now: int) -> None:
-        """Restore a grant that has not ended; one of another boot is kept for the longest lease from now."""
+        """Restore a grant that has not ended; one of another boot lasts for the longest lease from now."""
         until_ms = stored.until_ms if stored.boot == self.boot_id else now + MAX_LEASE_MS
         grant = IssuedGrant(stored.fence, stored.share, until_ms, stored.units)
         limits = config.limits_of(stored.budget)
--- a/thistletrail/leasing/leadership.py
+++ b/thistletrail/leasing/leadership.py
@@ -39,7 +39,7 @@
 LOCK_NAME = "lock"
 LOG_NAME = "log"
 SNAPSHOT_NAME = "snapshot"
-# Files that revisions without terms kept in the data folder itself.
+# Files that revisions without terms stored in the data folder itself.
 FILES_WITHOUT_TERM = (LOG_NAME, SNAPSHOT_NAME, "snapshot.new", LOCK_NAME)
 
 
@@ -142,7 +142,7 @@
             raise FolderLockedError(f"another lease service has the folder {folder}") from None
         claim.replace(self.path / LOCK_NAME)  # already locked when it becomes visible to others
         sync_directory(folder)
-        # Kept open so that the file system does not reuse the inode number for another folder.
+        # Stays open so that the file system does not reuse the inode number for another folder.
         self.folder_file = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
     def is_current(self) -> bool:
--- a/thistletrail/leasing/model_checking/work_properties.py
+++ b/thistletrail/leasing/model_checking/work_properties.py
@@ -56,5 +56,5 @@
     for name in world.answered_items:
         item = world.service.store.items.get(name)
         if item is None or item.outcome != WorkOutcome.SERVED:
-            return f"the {name} item was answered, and its outcome is not kept"
+            return f"the {name} item was answered, and its outcome is not persisted"
     return ""
--- a/thistletrail/leasing/work_records.py
+++ b/thistletrail/leasing/work_records.py
@@ -18,7 +18,7 @@
 
     SERVED = "served"  # completed with a value, which is stored
     UNKNOWN = "unknown"  # may have run, and must not run again
-    PARKED = "parked"  # given up after its owners died, and kept for an operator to inspect
+    PARKED = "parked"  # given up after its owners died, and retained for an operator to inspect
 
 
 class WorkBegan(Message, frozen=True, tag="began", tag_field="work"):
--- a/thistletrail/leasing/work_state.py
+++ b/thistletrail/leasing/work_state.py
@@ -396,7 +396,7 @@
         return self.owned_result(self.store.items[operation.name], NOWHERE, now_ms)
 
     def make_room(self, size: int) -> bool:
-        """Evict the oldest ended items until another item of `size` bytes fits; unfinished items are kept.
+        """Evict the oldest ended items until another item of `size` bytes fits; unfinished items stay.
 
         Returns:
             Whether it fits.
--- a/thistletrail/leasing/work_store.py
+++ b/thistletrail/leasing/work_store.py
@@ -22,7 +22,7 @@
 MAX_STORED_BYTES = 64 << 20  # requests and values: a third of the memory of a gateway's machine
 MAX_ITEMS_PER_CUSTOMER = 400  # more than any plan has in flight within an idempotency window
 MAX_OWNER_DEATHS = 2  # an item whose owners died this often is parked, as it may have caused the deaths
-MAX_PARKED = 100  # items kept for an operator to inspect
+MAX_PARKED = 100  # items retained for an operator to inspect
 
 
 class Location(Struct, frozen=True):
--- a/thistletrail/policy/events.py
+++ b/thistletrail/policy/events.py
@@ -229,7 +229,7 @@
         spent: in a report, units spent since the last one; in an answer, units granted of the requested ones
             from the owner's share of the ceiling.
         requested: units for which the sender awaits an answer.
-        level: units that the whole set has left; a negative number is owed.
+        level: units that the whole set has left; negative if its quota is overspent.
     """
 
     customer: int
@@ -309,7 +309,7 @@
         set_first: index of the first gateway that shares the quota.
         set_size: number of gateways that share it.
         local_level: level of this gateway's share of the quota.
-        set_level: level of the quota over the whole set; a negative number is owed.
+        set_level: level of the quota over the whole set; negative if it is overspent.
         ceiling_level: level of this gateway's share of the ceiling.
         grants_level: at the quota owner, level of the share of the ceiling that it grants from.
     """
--- a/thistletrail/policy/observer.py
+++ b/thistletrail/policy/observer.py
@@ -30,7 +30,7 @@
 
     LATE_RETRY = auto()  # a retry of little value, while its customer's quota is scarce
     QUOTA = auto()
-    EXPIRED = auto()  # too late to be answered in time; see WaitReason
+    EXPIRED = auto()  # too late for its latency objective or its deadline; see WaitReason
     ATTEMPTS_FAILED = auto()
     RAN_ELSEWHERE = auto()  # taken over and unsafe, and it may have run already
 
--- a/thistletrail/policy/quota.py
+++ b/thistletrail/policy/quota.py
@@ -43,9 +43,9 @@
 class CustomerQuota:
     """A customer's buckets at this gateway, and this gateway's view of the totals over the customer's set.
 
-    `set_level` is the level of the quota over all gateways of the set, in units; a negative level is owed. At
-    the quota owner it includes all reported spending. `local_bucket` is the share that this gateway spends
-    without an answer of the quota owner.
+    `set_level` is the level of the quota over all gateways of the set, in units; it is negative if the quota
+    is overspent. At the quota owner it includes all reported spending. `local_bucket` is the share that this
+    gateway spends without an answer of the quota owner.
     """
 
     __slots__ = (
@@ -178,7 +178,7 @@
     def admission_chance(self, units: float) -> float:
         """The probability with which a request of that many units is admitted: available quota over demand.
 
-        The available quota is the set's level (negative where units are owed), less a reserve, plus the
+        The available quota is the set's level (negative if the quota is overspent), less a reserve, plus the
         refill of one DEMAND_TIME_CONSTANT_US. The chance is 1.0 for a plan without a quota, and 0.0 where the
         limit on requests in flight is reached. With a leased quota it is 1.0 or 0.0, as its level suffices.
         """
@@ -186,7 +186,7 @@
             return 0.0
         if budget := self.leased.get(BudgetKind.QUOTA):
             return float(budget.level >= units)
-        # The more a request beyond the quota costs, the more of the request's units are held back.
+        # The more a request beyond the quota costs, the more of the quota stays in reserve.
         reserve = units * self.plan.over_quota_cost
         refill = self.plan.rate * DEMAND_TIME_CONSTANT_US / MICROSECONDS_PER_SECOND
         quota = self.set_level - reserve + refill
--- a/thistletrail/policy/request_expiry.py
+++ b/thistletrail/policy/request_expiry.py
@@ -1,4 +1,4 @@
-"""Expiry of requests that can no longer be answered in time, and the Retry-After that their clients get."""
+"""Expiry of requests that are too late for their latency objective or deadline, and their Retry-After."""
 
 import random
 
@@ -17,15 +17,15 @@
 # queued one. With a smaller margin, queued requests would all be sent just too late.
 NEEDED_LATENCIES_ON_ARRIVAL = 0.5
 NEEDED_LATENCIES_IN_QUEUE = 2.0
-# Retry-After of an expired request, as a divisor of its latency objective: soon enough for the retry to be
-# answered in time.
+# Retry-After of an expired request, as a divisor of its latency objective: soon enough for the retry to
+# meet the objective.
 RETRY_AFTER_DIVISOR = 5
 # Width of the jitter on that Retry-After while the fleet recovers from restarts, as a fraction of it.
 RECOVERY_RETRY_AFTER_SPREAD = 1.0
 
 
 class RequestExpiry:
-    """Rejects or fails requests that can no longer be answered in time."""
+    """Rejects or fails requests that are too late for their latency objective or their deadline."""
 
     def __init__(
         self,
@@ -58,7 +58,8 @@
 
         The request needs `needed_latencies` mean latencies of its class, but no more than half its latency
         objective, after the `queue_ahead_us` that it takes to send those queued ahead of it. If the queue is
-        too long, it is rejected at once, while the client can still retry at another gateway in time.
+        too long, the request is rejected at once, while a retry at another gateway can still meet the
+        objective.
         """
         self.observer.on_expiry_check(request, self.wait_reason)
         if not request.is_finished and self.is_too_late(request, needed_latencies, queue_ahead_us):
--- a/thistletrail/policy/server_selection.py
+++ b/thistletrail/policy/server_selection.py
@@ -82,7 +82,8 @@
         ] or permitted
         warm_up_cutoff_us = self.slow_start.warm_up_cutoff_us()
         may_receive_attempt = self.slow_start.may_receive_attempt
-        # A cold server may look least loaded to all gateways: each skips it in proportion to how cold it is.
+        # A server that is warming up may look least loaded to all gateways, so each gateway skips it,
+        # and does so less often the warmer it gets.
         return [
             server
             for server in healthy
--- a/thistletrail/policy/settings.py
+++ b/thistletrail/policy/settings.py
@@ -61,7 +61,7 @@
         value_factor: factor on the value of a request class.
         over_quota_value: fraction of its value that a request beyond the quota has.
         over_quota_cost: cost of sending a request beyond the quota to a server, as a fraction of its value.
-            It is also the fraction of a request's units that its quota decision holds back as a reserve.
+            It is also the reserve of the quota decision, as a fraction of the request's units.
         ceiling_rate: rate of the ceiling, in units per second.
         ceiling_burst: burst of the ceiling, in units.
         ceiling_slack: units by which the ceiling may be exceeded without being violated; not used by the
--- a/thistletrail/registry/journal.py
+++ b/thistletrail/registry/journal.py
@@ -137,7 +137,9 @@
         try:
             snapshot = decode_snapshot(read_single_record(self._snapshot_path))
         except ValueError as error:
-            raise CorruptFileError(f"{self._snapshot_path}: {error}") from error
+            raise CorruptFileError(
+                f"{self._snapshot_path} is not a snapshot of the registry: {error}"
+            ) from error
         return Store.restore(snapshot, now_ms, log.warning)
 
     def _replay(self, store: Store) -> None:
