--- a/tests/test_simulation_experiment.py
+++ b/tests/test_simulation_experiment.py
@@ -1,6 +1,8 @@
 """The simulation's commands, paired comparisons, sweeps, reports and the search."""
 
 import os
+import re
+import shutil
 import signal
 import subprocess
 import sys
@@ -159,6 +161,20 @@
         pass
 
 
+def test_a_policy_that_names_its_enum_members_otherwise_makes_the_same_run(tiny: str, tmp_path: Path) -> None:
+    """Older revisions of the policy have the same values under other names, and `compare` runs them here."""
+    policy = tmp_path / "thistletrail" / "policy"
+    shutil.copytree(ROOT / "thistletrail" / "policy", policy, ignore=shutil.ignore_patterns("__pycache__"))
+    for path in policy.glob("*.py"):
+        path.write_text(re.sub(r"\b(SUCCESS|SERVING)\b", r"OLD_\1", path.read_text()))
+    assert "OLD_SUCCESS" in (policy / "events.py").read_text()
+    assert "OLD_SERVING" in (policy / "events.py").read_text()
+    experiment.link_missing_packages(tmp_path)
+    sides = [PlannedRun("run", tree, tiny, 1) for tree in (SourceTree(tmp_path), THIS_TREE)]
+    older, newer = Runner(1).make_all(sides, lambda total: None)
+    assert older == newer
+
+
 def test_a_run_uses_the_policy_of_its_source_tree(tiny: str, tmp_path: Path) -> None:
     """A tree whose policy cannot be imported makes the run fail with the error of that policy."""
     (tmp_path / "thistletrail" / "policy").mkdir(parents=True)
--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/catalog.py
@@ -13,6 +13,9 @@
     from thistletrail.simulation.day import SimulationRun
     from thistletrail.simulation.doors import Gateway
 
+# By value: `compare` runs older revisions of the policy here, in which the member has another name.
+SERVING = ServerState("up")
+
 
 class EndpointList:
     """The servers that the registry knows. Each change has a new version and reaches the gateways later."""
@@ -32,7 +35,7 @@
     def begin(self) -> None:
         """List the servers of the start, which all gateways know."""
         for server in self.run.servers.values():
-            self.entries[server.name] = self.entry(server, ServerState.SERVING)
+            self.entries[server.name] = self.entry(server, SERVING)
         self.initial_entries = tuple(self.entries.values())
 
     def cached_list(self, is_restart: bool) -> EndpointUpdate:
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -38,12 +38,12 @@
     PeerMessageReceived,
     PolicySnapshot,
     RequestArrived,
-    ServerState,
     ShutdownStarted,
     SnapshotFound,
     TimerFired,
 )
 from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
+from thistletrail.simulation.catalog import SERVING
 from thistletrail.simulation.clients import ClientRequest
 from thistletrail.simulation.clock import MS, S
 from thistletrail.simulation.servers import ScanServer, Work
@@ -66,8 +66,11 @@
 # The protocol page allows this much on each time limit.
 TIME_LIMIT_SLACK_US = 50 * MS
 
+# By value: `compare` runs older revisions of the policy here, in which the member has another name.
+SUCCESS = AttemptResult("ok")
+
 RESULTS = {
-    "served": AttemptResult.SUCCESS,
+    "served": SUCCESS,
     "error": AttemptResult.ERROR,
     "full": AttemptResult.AT_CAPACITY,
     "lost": AttemptResult.RESET,
@@ -259,7 +262,7 @@
         listed = {entry.name for entry in update.servers}
         for entry in update.servers:
             self.listed_servers.add(entry.name)
-            if entry.state is ServerState.SERVING:
+            if entry.state is SERVING:
                 self.leaving_since_us.pop(entry.name, None)
                 self.start_known_us[entry.name] = now_us
             else:
@@ -567,14 +570,14 @@
         attempt.is_over = True
         run, request = self.run, state.request
         self.release_connection(
-            attempt, keep=result in (AttemptResult.SUCCESS, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
+            attempt, keep=result in (SUCCESS, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
         )
         state.in_flight.pop(attempt.number, None)
         state.attempts_not_run += result in (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
         if state.attempts_started == state.attempts_not_run:
             state.first_server = None
         run.books.outcomes[result.value] = run.books.outcomes.get(result.value, 0) + 1
-        is_served = result is AttemptResult.SUCCESS and not state.is_answered
+        is_served = result is SUCCESS and not state.is_answered
         is_request_over = is_served or state.is_answered
         if is_served:
             state.is_answered = True
--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/troubles.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, get_args
 
 from thistletrail.policy.events import ServerState
+from thistletrail.simulation.catalog import SERVING
 from thistletrail.simulation.clock import MS, S
 from thistletrail.simulation.scenario import FaultKind, ScenarioFault
 from thistletrail.simulation.servers import ScanServer
@@ -166,7 +167,7 @@
         self.replacement_count += 1
         name = f"{server.name}r{self.replacement_count}"
         new_server = self.run.add_server(name, (server.zone, server.cell), cold=True)
-        self.run.catalog.report(new_server, ServerState.SERVING, self.run.scenario.net.list_add_s)
+        self.run.catalog.report(new_server, SERVING, self.run.scenario.net.list_add_s)
         self.drain_server(server)
 
     def drain_server(self, server: ScanServer) -> None:
@@ -212,7 +213,7 @@
             if not server.is_alive:
                 self.run.unresponsive_servers.discard(server.name)
                 server.start()
-                self.run.catalog.report(server, ServerState.SERVING, self.run.scenario.net.list_add_s)
+                self.run.catalog.report(server, SERVING, self.run.scenario.net.list_add_s)
 
     def zone_cut(self, fault: ScenarioFault) -> None:
         """Isolate a zone for a while."""
