--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,28 +11,36 @@
 
 from thistletrail.benchmarks.process import ROOT, Tree
 from thistletrail.fault_injection.checks import Seen, check
-from thistletrail.fault_injection.deaths import EFFECTS, LEASE_MS, POINTS, Death, Deaths, deaths, table
+from thistletrail.fault_injection.deaths import (
+    EFFECTS,
+    LEASE_MS,
+    POINTS,
+    CrashFleet,
+    InjectedCrash,
+    inject_crashes,
+    table,
+)
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
 WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 
 FLEET_COUNT = 3
-GATEWAYS_PER_FLEET = 3  # `deaths` kills only the first of three gateways, repeatedly
+GATEWAYS_PER_FLEET = 3  # `inject_crashes` kills only the first of three gateways, repeatedly
 
 
 @pytest.fixture(scope="module")
-def recorded_deaths(tmp_path_factory: pytest.TempPathFactory) -> list[Death]:
-    """One death of a gateway at each point and for each effect, distributed over several fleets.
+def injected_crashes(tmp_path_factory: pytest.TempPathFactory) -> list[InjectedCrash]:
+    """One crash of a gateway at each point and for each effect, distributed over several fleets.
 
     A gateway that takes over work is never killed: work that has lost two owners is given up
     (docs/takeover.md), and its client does not get the outcome.
     """
 
-    async def run_fleets() -> list[list[Death]]:
+    async def run_fleets() -> list[list[InjectedCrash]]:
         return await asyncio.gather(
             *(
-                deaths(
+                inject_crashes(
                     WORKING_TREE,
                     tmp_path_factory.mktemp("deaths"),
                     POINTS[fleet_index::FLEET_COUNT],
@@ -45,27 +53,35 @@
             )
         )
 
-    return [death for fleet_deaths in asyncio.run(run_fleets()) for death in fleet_deaths]
+    return [crash for fleet_crashes in asyncio.run(run_fleets()) for crash in fleet_crashes]
 
 
 @pytest.mark.parametrize("point", POINTS)
-def test_work_runs_at_most_once_if_its_gateway_is_killed(recorded_deaths: list[Death], point: str) -> None:
-    by_effect = {death.effect: death for death in recorded_deaths if death.point == point}
+def test_work_runs_at_most_once_if_its_gateway_is_killed(
+    injected_crashes: list[InjectedCrash], point: str
+) -> None:
+    by_effect = {crash.effect: crash for crash in injected_crashes if crash.point == point}
     assert set(by_effect) == set(EFFECTS)
-    for death in by_effect.values():
-        assert death.reached and not death.wrong, death
-    assert by_effect["keyed"].last == "served" and len(by_effect["keyed"].ran) == 1
-    assert len(by_effect["unsafe"].ran) == int(point in POINTS[3:])
-
-
-def test_death_with_a_violation_describes_it() -> None:
-    ran_twice = Death(POINTS[3], "unsafe", "k", 0, reached=True, ran=[0, 0])
-    ran_in_two_zones = Death(POINTS[3], "keyed", "k", 0, reached=True, ran=[0, 1], last="served")
-    lost_outcome = Death(POINTS[5], "keyed", "k", 0, reached=True, ran=[0], last="failed")
-    assert "2 times" in ran_twice.wrong
-    assert "2 zones" in ran_in_two_zones.wrong
-    assert "was kept" in lost_outcome.wrong
-    assert not Death(POINTS[3], "keyed", "k", 0, reached=True, ran=[0], last="served").wrong
+    for crash in by_effect.values():
+        assert crash.reached and not crash.violation, crash
+    assert by_effect["keyed"].final_outcome == "served" and len(by_effect["keyed"].execution_zones) == 1
+    assert len(by_effect["unsafe"].execution_zones) == int(point in POINTS[3:])
+
+
+def test_crash_with_a_violation_describes_it() -> None:
+    ran_twice = InjectedCrash(POINTS[3], "unsafe", "k", 0, reached=True, execution_zones=[0, 0])
+    ran_in_two_zones = InjectedCrash(
+        POINTS[3], "keyed", "k", 0, reached=True, execution_zones=[0, 1], final_outcome="served"
+    )
+    lost_outcome = InjectedCrash(
+        POINTS[5], "keyed", "k", 0, reached=True, execution_zones=[0], final_outcome="failed"
+    )
+    assert "2 times" in ran_twice.violation
+    assert "2 zones" in ran_in_two_zones.violation
+    assert "was kept" in lost_outcome.violation
+    assert not InjectedCrash(
+        POINTS[3], "keyed", "k", 0, reached=True, execution_zones=[0], final_outcome="served"
+    ).violation
     assert "| after the write | keyed | 1 | 0 | 0 | 1 | 1 | 1 |" in table([ran_in_two_zones])
 
 
@@ -77,9 +93,11 @@
 POLL_INTERVAL_S = 0.02
 
 
-def run_fleet(folder: Path, scenario: Callable[[Deaths], Awaitable[None]], gateway_count: int = 4) -> Deaths:
+def run_fleet(
+    folder: Path, scenario: Callable[[CrashFleet], Awaitable[None]], gateway_count: int = 4
+) -> CrashFleet:
     """Start gateways and a lease service, run `scenario` with them, and return the stopped fleet."""
-    fleet = Deaths(WORKING_TREE, folder, 1, gateway_count, True)
+    fleet = CrashFleet(WORKING_TREE, folder, 1, gateway_count, True)
 
     async def run() -> None:
         async with fleet.running():
@@ -97,168 +115,174 @@
 
 
 def test_gateway_paused_past_its_lease_fails_its_request_and_sends_no_further_attempt(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
-        fleet.held.add("k")
+    async def scenario(fleet: CrashFleet) -> None:
+        fleet.held_keys.add("k")
         first_task = asyncio.create_task(
-            fleet.ask(0, fleet.submit("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S)
+            fleet.send(0, fleet.encode("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S)
         )
-        await wait_until(lambda: fleet.came["k"])
-        fleet.doors[0].process.send_signal(signal.SIGSTOP)
-        fleet.held.clear()
-        assert await fleet.ask(1, fleet.submit("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
-        fleet.doors[0].process.send_signal(signal.SIGCONT)
+        await wait_until(lambda: fleet.attempts["k"])
+        fleet.gateways[0].process.send_signal(signal.SIGSTOP)
+        fleet.held_keys.clear()
+        assert await fleet.send(1, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
+        fleet.gateways[0].process.send_signal(signal.SIGCONT)
         assert await first_task == "failed"
 
     fleet = run_fleet(tmp_path, scenario)
-    assert fleet.ran["k"] == fleet.ran["k"][:1] and fleet.said(0, "no longer this gateway's")
-    assert {zone for _, zone in fleet.came["k"]} == set(fleet.ran["k"])
-    assert 0 not in [gateway for gateway, _ in fleet.came["k"][1:]]
+    assert fleet.execution_zones["k"] == fleet.execution_zones["k"][:1] and fleet.count_in_log(
+        0, "no longer this gateway's"
+    )
+    assert {zone for _, zone in fleet.attempts["k"]} == set(fleet.execution_zones["k"])
+    assert 0 not in [gateway for gateway, _ in fleet.attempts["k"][1:]]
 
 
 def test_request_that_kills_its_gateways_fails_after_the_second_one(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
-        fleet.poison.add("k")
-        assert await fleet.ask(0, fleet.submit("keyed", "k", "a1", BODY, 4000), ANSWER_TIMEOUT_S) == "closed"
-        await wait_until(lambda: len(fleet.came["k"]) == 2)
+    async def scenario(fleet: CrashFleet) -> None:
+        fleet.fatal_keys.add("k")
+        assert await fleet.send(0, fleet.encode("keyed", "k", "a1", BODY, 4000), ANSWER_TIMEOUT_S) == "closed"
+        await wait_until(lambda: len(fleet.attempts["k"]) == 2)
         await asyncio.sleep(1.5 * LEASE_MS / 1000)
-        alive = next(n for n, gateway in enumerate(fleet.doors) if gateway.process.returncode is None)
-        assert await fleet.ask(alive, fleet.submit("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "failed"
+        alive = next(n for n, gateway in enumerate(fleet.gateways) if gateway.process.returncode is None)
+        assert await fleet.send(alive, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "failed"
 
     fleet = run_fleet(tmp_path, scenario)
-    assert len(fleet.came["k"]) == 2 and not fleet.ran["k"]
+    assert len(fleet.attempts["k"]) == 2 and not fleet.execution_zones["k"]
 
 
 def test_gateway_cut_off_from_the_lease_service_fails_its_request_and_another_serves_it(
     tmp_path: Path,
 ) -> None:
-    async def scenario(fleet: Deaths) -> None:
-        fleet.held.add("k")
+    async def scenario(fleet: CrashFleet) -> None:
+        fleet.held_keys.add("k")
         first_task = asyncio.create_task(
-            fleet.ask(0, fleet.submit("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S)
+            fleet.send(0, fleet.encode("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S)
         )
-        await wait_until(lambda: fleet.came["k"])
-        fleet.cut.add(0)
-        fleet.held.clear()
-        assert await fleet.ask(1, fleet.submit("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
+        await wait_until(lambda: fleet.attempts["k"])
+        fleet.cut_off_gateways.add(0)
+        fleet.held_keys.clear()
+        assert await fleet.send(1, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
         assert await first_task == "failed"
         # The cut-off gateway serves new requests, which are not recorded.
-        assert await fleet.ask(0, fleet.submit("keyed", "other", "a3", BODY), ANSWER_TIMEOUT_S) == "served"
+        assert await fleet.send(0, fleet.encode("keyed", "other", "a3", BODY), ANSWER_TIMEOUT_S) == "served"
 
     fleet = run_fleet(tmp_path, scenario)
-    assert len(fleet.ran["k"]) == 1 and len({zone for _, zone in fleet.came["k"]}) == 1
+    assert len(fleet.execution_zones["k"]) == 1 and len({zone for _, zone in fleet.attempts["k"]}) == 1
 
 
 def test_same_key_at_several_gateways_runs_once_and_all_clients_get_the_outcome(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
+    async def scenario(fleet: CrashFleet) -> None:
         requests = [
-            fleet.ask(gateway, fleet.submit("keyed", "k", f"a{gateway}", BODY), ANSWER_TIMEOUT_S)
+            fleet.send(gateway, fleet.encode("keyed", "k", f"a{gateway}", BODY), ANSWER_TIMEOUT_S)
             for gateway in range(4)
         ]
         assert await asyncio.gather(*requests) == ["served"] * 4
         requests_at_one_gateway = [
-            fleet.ask(0, fleet.submit("keyed", "j", f"b{n}", BODY), ANSWER_TIMEOUT_S) for n in range(2)
+            fleet.send(0, fleet.encode("keyed", "j", f"b{n}", BODY), ANSWER_TIMEOUT_S) for n in range(2)
         ]
         assert await asyncio.gather(*requests_at_one_gateway) == ["served"] * 2
-        conflicting_request = fleet.submit("keyed", "k", "c1", b"another body")
-        assert await fleet.ask(2, conflicting_request, ANSWER_TIMEOUT_S) == "failed"
+        conflicting_request = fleet.encode("keyed", "k", "c1", b"another body")
+        assert await fleet.send(2, conflicting_request, ANSWER_TIMEOUT_S) == "failed"
 
     fleet = run_fleet(tmp_path, scenario)
-    assert len(fleet.came["k"]) == 1 and len(fleet.came["j"]) == 1
+    assert len(fleet.attempts["k"]) == 1 and len(fleet.attempts["j"]) == 1
 
 
 def test_requests_are_served_without_the_lease_service_and_its_journal_is_restored(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
-        assert await fleet.ask(0, fleet.submit("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S) == "served"
-        fleet.steward.kill()
-        await fleet.steward.process.wait()
+    async def scenario(fleet: CrashFleet) -> None:
+        assert await fleet.send(0, fleet.encode("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S) == "served"
+        fleet.lease_service.kill()
+        await fleet.lease_service.process.wait()
+        await wait_until(
+            lambda: all(
+                fleet.count_in_log(gateway, "no answer from the lease service") for gateway in range(4)
+            )
+        )
+        assert await fleet.send(1, fleet.encode("keyed", "j", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
+        counts_before = [fleet.count_in_log(gateway) for gateway in range(4)]
+        await fleet.start_lease_service()
         await wait_until(
-            lambda: all(fleet.said(gateway, "no answer from the lease service") for gateway in range(4))
+            lambda: all(fleet.count_in_log(gateway) > counts_before[gateway] for gateway in range(4))
         )
-        assert await fleet.ask(1, fleet.submit("keyed", "j", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
-        counts_before = [fleet.said(gateway) for gateway in range(4)]
-        await fleet.start_steward()
-        await wait_until(lambda: all(fleet.said(gateway) > counts_before[gateway] for gateway in range(4)))
-        assert await fleet.ask(2, fleet.submit("keyed", "k", "a3", BODY), ANSWER_TIMEOUT_S) == "served"
+        assert await fleet.send(2, fleet.encode("keyed", "k", "a3", BODY), ANSWER_TIMEOUT_S) == "served"
 
     fleet = run_fleet(tmp_path, scenario)
-    assert len(fleet.came["k"]) == 1 and len(fleet.came["j"]) == 1
+    assert len(fleet.attempts["k"]) == 1 and len(fleet.attempts["j"]) == 1
 
 
 def test_requests_are_served_once_after_all_gateways_are_killed_and_restarted(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
+    async def scenario(fleet: CrashFleet) -> None:
         keys = [f"k{n}" for n in range(CONCURRENT_REQUESTS)]
-        fleet.held.update(keys)
+        fleet.held_keys.update(keys)
         requests = [
-            fleet.ask(n % 4, fleet.submit("keyed", key, f"a{key}", BODY, 4000), ANSWER_TIMEOUT_S)
+            fleet.send(n % 4, fleet.encode("keyed", key, f"a{key}", BODY, 4000), ANSWER_TIMEOUT_S)
             for n, key in enumerate(keys)
         ]
         first_tasks = [asyncio.create_task(request) for request in requests]
-        await wait_until(lambda: all(fleet.came[key] for key in keys))
-        for gateway in fleet.doors:
+        await wait_until(lambda: all(fleet.attempts[key] for key in keys))
+        for gateway in fleet.gateways:
             gateway.kill()
         assert await asyncio.gather(*first_tasks) == ["closed"] * CONCURRENT_REQUESTS
-        fleet.held.clear()
-        await asyncio.gather(*(fleet.start_door(gateway) for gateway in range(4)))
+        fleet.held_keys.clear()
+        await asyncio.gather(*(fleet.start_gateway(gateway) for gateway in range(4)))
         retries = [
-            fleet.ask(n % 3, fleet.submit("keyed", key, f"b{key}", BODY), ANSWER_TIMEOUT_S)
+            fleet.send(n % 3, fleet.encode("keyed", key, f"b{key}", BODY), ANSWER_TIMEOUT_S)
             for n, key in enumerate(keys)
         ]
         assert set(await asyncio.gather(*retries)) == {"served"}
 
     fleet = run_fleet(tmp_path, scenario)
-    assert all(len(fleet.ran[f"k{n}"]) == 1 for n in range(CONCURRENT_REQUESTS))
-    assert all(len({zone for _, zone in fleet.came[f"k{n}"]}) == 1 for n in range(CONCURRENT_REQUESTS))
+    assert all(len(fleet.execution_zones[f"k{n}"]) == 1 for n in range(CONCURRENT_REQUESTS))
+    assert all(len({zone for _, zone in fleet.attempts[f"k{n}"]}) == 1 for n in range(CONCURRENT_REQUESTS))
 
 
 def test_drain_releases_a_request_that_outlasts_it_to_another_gateway(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
-        fleet.held.add("k")
+    async def scenario(fleet: CrashFleet) -> None:
+        fleet.held_keys.add("k")
         first_task = asyncio.create_task(
-            fleet.ask(0, fleet.submit("keyed", "k", "a1", BODY, 8000), ANSWER_TIMEOUT_S)
+            fleet.send(0, fleet.encode("keyed", "k", "a1", BODY, 8000), ANSWER_TIMEOUT_S)
         )
-        await wait_until(lambda: fleet.came["k"])
-        fleet.doors[0].process.send_signal(signal.SIGTERM)
+        await wait_until(lambda: fleet.attempts["k"])
+        fleet.gateways[0].process.send_signal(signal.SIGTERM)
         assert await first_task == "refused"
-        fleet.held.clear()
-        assert await fleet.ask(1, fleet.submit("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
-        assert await fleet.doors[0].process.wait() == 0
+        fleet.held_keys.clear()
+        assert await fleet.send(1, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
+        assert await fleet.gateways[0].process.wait() == 0
 
     fleet = run_fleet(tmp_path, scenario)
-    assert len(fleet.ran["k"]) == 1 and fleet.said(0, "released 1")
+    assert len(fleet.execution_zones["k"]) == 1 and fleet.count_in_log(0, "released 1")
 
 
 def test_requests_are_served_unrecorded_while_the_lease_service_cannot_write(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
-        pid = fleet.steward.process.pid
+    async def scenario(fleet: CrashFleet) -> None:
+        pid = fleet.lease_service.process.pid
         _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, hard_limit))
-        assert await fleet.ask(0, fleet.submit("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S) == "served"
-        assert fleet.said(0, "the lease service does not record work")
+        assert await fleet.send(0, fleet.encode("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S) == "served"
+        assert fleet.count_in_log(0, "the lease service does not record work")
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard_limit, hard_limit))
-        assert await fleet.ask(0, fleet.submit("keyed", "j", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
-        assert await fleet.ask(1, fleet.submit("keyed", "j", "a3", BODY), ANSWER_TIMEOUT_S) == "served"
+        assert await fleet.send(0, fleet.encode("keyed", "j", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
+        assert await fleet.send(1, fleet.encode("keyed", "j", "a3", BODY), ANSWER_TIMEOUT_S) == "served"
 
     fleet = run_fleet(tmp_path, scenario)
     # "j" was recorded again, so its second request was answered with the recorded outcome.
-    assert len(fleet.came["k"]) == 1 and len(fleet.came["j"]) == 1
+    assert len(fleet.attempts["k"]) == 1 and len(fleet.attempts["j"]) == 1
 
 
 def test_retry_of_a_disconnected_client_runs_in_the_zone_of_the_first_attempt(tmp_path: Path) -> None:
-    async def scenario(fleet: Deaths) -> None:
+    async def scenario(fleet: CrashFleet) -> None:
         for number in range(4):
             key = f"k{number}"
-            fleet.held.add(key)
+            fleet.held_keys.add(key)
             first_task = asyncio.create_task(
-                fleet.ask(0, fleet.submit("keyed", key, f"a{key}", BODY), ANSWER_TIMEOUT_S)
+                fleet.send(0, fleet.encode("keyed", key, f"a{key}", BODY), ANSWER_TIMEOUT_S)
             )
-            await wait_until(lambda key=key: fleet.came[key])
+            await wait_until(lambda key=key: fleet.attempts[key])
             first_task.cancel()  # its connection closes while another client sends the same key
-            fleet.held.clear()
-            retry = fleet.submit("keyed", key, f"b{key}", BODY)
-            assert await fleet.ask(1 + number % 3, retry, ANSWER_TIMEOUT_S) == "served"
+            fleet.held_keys.clear()
+            retry = fleet.encode("keyed", key, f"b{key}", BODY)
+            assert await fleet.send(1 + number % 3, retry, ANSWER_TIMEOUT_S) == "served"
 
     fleet = run_fleet(tmp_path, scenario)
-    assert all(len({zone for _, zone in fleet.came[f"k{n}"]}) == 1 for n in range(4))
+    assert all(len({zone for _, zone in fleet.attempts[f"k{n}"]}) == 1 for n in range(4))
 
 
 @pytest.fixture(scope="module")
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -14,7 +14,7 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import ROOT, prepare, revision
 from thistletrail.command_line import HELP, Group, end_on_signals
-from thistletrail.fault_injection.deaths import EFFECTS, POINTS, deaths, table
+from thistletrail.fault_injection.deaths import EFFECTS, POINTS, inject_crashes, table
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.leases import divided
 from thistletrail.fault_injection.plan import as_scenario, known, load
@@ -297,14 +297,14 @@
     for seed in range(first, first + seeds):
         with TemporaryDirectory(prefix="deaths-") as folder:
             found += asyncio.run(
-                deaths(tree, Path(folder), wanted, EFFECTS, count, seed, doors, not without, say)
+                inject_crashes(tree, Path(folder), wanted, EFFECTS, count, seed, doors, not without, say)
             )
         say(f"seed {seed}: {len(found)} deaths so far")
     click.echo(table(found))
-    for death in found:
-        if death.wrong:
-            click.echo(f"broken: {death.point}: {death.wrong}")
-    if not without and any(death.wrong for death in found):
+    for crash in found:
+        if crash.violation:
+            click.echo(f"broken: {crash.point}: {crash.violation}")
+    if not without and any(crash.violation for crash in found):
         sys.exit(EXIT_RULE_BROKEN)
 
 
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -1,8 +1,9 @@
-"""Deaths at chosen points of a piece of work: is it run once, and does its client get its outcome?
+"""Crash injection: kills gateways at chosen points of a work item and checks runs and outcomes.
 
-Front doors and the steward are real processes. Between a door and the steward, and in the place of scan
-servers and clients, stands this program: it sees how far a piece of work has come, and kills the door there.
-Then its client asks another door again, under the same key, until it knows the outcome.
+The gateways and the lease service are real processes. This program relays between each gateway and the lease
+service, and plays the scan servers and the clients, so it sees the progress of each work item and kills its
+gateway at the chosen point. The client then retries at other gateways with the same idempotency key until it
+gets the outcome.
 """
 
 from __future__ import annotations
@@ -38,165 +39,178 @@
 )
 EFFECTS = ("keyed", "unsafe")
 ZONES = 2
-TIME_MS = 3000  # `d` of a request
-WORK_S = 0.02  # that a scan server takes
-PATIENCE_S = 6.0  # of a client that comes again: past the lease, and as long as an answer is kept
-WAIT_S = 0.05  # between its tries
-LOOK_S = 0.02  # between looks at a log
-RECORDED_TEXT = "work is recorded by the lease service"  # logged when a gateway has its first answer from it
-DYING_S = 2.0  # for the point to be reached: else it is not
-WINDOW_MS = 8000
+REQUEST_DEADLINE_MS = 3000
+SERVICE_TIME_S = 0.02  # of a scan server
+# Longer than a work lease, and shorter than the idempotency window for which an outcome is stored.
+CLIENT_RETRY_TIMEOUT_S = 6.0
+CLIENT_RETRY_INTERVAL_S = 0.05
+LOG_POLL_INTERVAL_S = 0.02
+RECORDED_TEXT = "work is recorded by the lease service"  # logged on a gateway's first answer from it
+FIRST_ATTEMPT_TIMEOUT_S = 2.0  # a crash whose point is not reached by then is not injected
+IDEMPOTENCY_WINDOW_MS = 8000
 LEASE_MS = 1000
-SMALL, LARGE = 256, 64 << 10  # bytes of a body; one in the middle of which a write can be cut
+SMALL_BODY_BYTES = 256
+LARGE_BODY_BYTES = 64 << 10  # large enough for a crash in the middle of its write
 CLASSES = {"keyed": "submit-record", "unsafe": "send-once"}
 
 
 @dataclass
-class Death:
-    """One piece of work whose door was killed."""
+class InjectedCrash:
+    """The crash of a gateway at one point of a work item, and what became of the work item."""
 
     point: str
     effect: str
     key: str
-    door: int
-    reached: bool = False  # the point: else the work ended without it
-    ran: list[int] = field(default_factory=list)  # zones of its executions
-    first: str = ""  # how it ended at its first client
-    last: str = ""  # what its client got in the end
-    tries: int = 0
+    gateway: int
+    reached: bool = False  # False: the work item ended before the point
+    execution_zones: list[int] = field(default_factory=list)  # the zone of each execution
+    first_outcome: str = ""  # outcome of the first request
+    final_outcome: str = ""  # outcome that the client got in the end
+    retries: int = 0  # requests sent after the first
 
     @property
-    def wrong(self) -> str:
-        """What must not be, in one sentence."""
-        if self.effect == "unsafe" and len(self.ran) > 1:
-            return f"{self.key} may not be repeated, and ran {len(self.ran)} times"
-        if len(set(self.ran)) > 1:
-            return f"{self.key} ran in {len(set(self.ran))} zones"
-        kept = self.point in POINTS[5:] and self.effect == "keyed"
-        if kept and (self.last != "served" or len(self.ran) > 1):
-            return f"{self.key}: its outcome was kept, and its client got '{self.last}'"
+    def violation(self) -> str:
+        """The violated rule in one sentence; empty if no rule was violated."""
+        if self.effect == "unsafe" and len(self.execution_zones) > 1:
+            return f"{self.key} may not be repeated, and ran {len(self.execution_zones)} times"
+        if len(set(self.execution_zones)) > 1:
+            return f"{self.key} ran in {len(set(self.execution_zones))} zones"
+        outcome_is_stored = self.point in POINTS[5:] and self.effect == "keyed"
+        if outcome_is_stored and (self.final_outcome != "served" or len(self.execution_zones) > 1):
+            return f"{self.key}: its outcome was kept, and its client got '{self.final_outcome}'"
         return ""
 
 
-class Scan(asyncio.Protocol):
-    """A door's connection to one of the scan servers, which drop what they know in their zone."""
+class ScanServerConnection(asyncio.Protocol):
+    """A gateway's connection to one of the scan servers.
 
-    def __init__(self, fleet: Deaths, door: int, zone: int) -> None:
-        self.fleet, self.door, self.zone = fleet, door, zone
-        self.reader, self.ended = CommandReader(), False
+    The scan servers of a zone share the keys that they have executed and do not execute a key twice.
+    """
+
+    def __init__(self, fleet: CrashFleet, gateway: int, zone: int) -> None:
+        self.fleet, self.gateway, self.zone = fleet, gateway, zone
+        self.reader, self.is_aborted = CommandReader(), False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        if death := self.fleet.writing(data):
-            self.fleet.strike(death)
-            self.ended = True
+        if crash := self.fleet.crash_in_write(data):
+            self.fleet.crash(crash)
+            self.is_aborted = True
             self.transport.abort()
-        if self.ended:
+        if self.is_aborted:
             return
         with contextlib.suppress(ProtocolError):
-            while (words := self.reader.next()) is not None:
-                self.take(words)
+            while (arguments := self.reader.next()) is not None:
+                self.execute(arguments)
 
-    def take(self, words: list[bytes]) -> None:
-        if words[0] == b"PING":
+    def execute(self, arguments: list[bytes]) -> None:
+        if arguments[0] == b"PING":
             self.transport.write(b"+PONG\r\n")
             return
-        key = self.fleet.key_of(words)
-        self.fleet.came[key].append((self.door, self.zone))
-        if key in self.fleet.poison:
-            self.fleet.doors[self.door].kill()
+        key = self.fleet.work_key(arguments)
+        self.fleet.attempts[key].append((self.gateway, self.zone))
+        if key in self.fleet.fatal_keys:
+            self.fleet.gateways[self.gateway].kill()
             return
         loop = asyncio.get_running_loop()
-        if (self.zone, key) not in self.fleet.known:  # else its zone remembers it, and drops the repeat
-            self.fleet.known.add((self.zone, key))
-            self.fleet.ran[key].append(self.zone)
-        death = self.fleet.dying.get(key)
-        if death is not None and death.point == "after the write":
-            self.fleet.strike(death)
-        elif key not in self.fleet.held:
-            loop.call_later(WORK_S, self.answer)
+        if (self.zone, key) not in self.fleet.executed:  # the zone ignores a duplicate
+            self.fleet.executed.add((self.zone, key))
+            self.fleet.execution_zones[key].append(self.zone)
+        crash = self.fleet.pending_crashes.get(key)
+        if crash is not None and crash.point == "after the write":
+            self.fleet.crash(crash)
+        elif key not in self.fleet.held_keys:
+            loop.call_later(SERVICE_TIME_S, self.answer)
 
     def answer(self) -> None:
         if not self.transport.is_closing():
             self.transport.write(b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
 
 
-class Wire:
-    """A door's way to the steward, chunk by chunk."""
+class LeaseServiceRelay:
+    """Relays the connections of one gateway to the lease service, chunk by chunk."""
 
-    def __init__(self, fleet: Deaths, door: int) -> None:
-        self.fleet, self.door, self.asked = fleet, door, b""
+    def __init__(self, fleet: CrashFleet, gateway: int) -> None:
+        self.fleet, self.gateway, self.request = fleet, gateway, b""
 
-    async def join(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.door in self.fleet.cut:
+    async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.gateway in self.fleet.cut_off_gateways:
             writer.close()
             return
         try:
-            there, back = await asyncio.open_connection(*self.fleet.steward.address)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *self.fleet.lease_service.address
+            )
         except OSError:
             writer.close()
             return
         self.fleet.tasks += [
-            asyncio.ensure_future(self.pipe(reader, back, self.ask)),
-            asyncio.ensure_future(self.pipe(there, writer, self.tell)),
+            asyncio.ensure_future(self.relay(reader, upstream_writer, self.inspect_request)),
+            asyncio.ensure_future(self.relay(upstream_reader, writer, self.inspect_answer)),
         ]
 
-    async def pipe(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, passes: Callable[[bytes], bool]
+    async def relay(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        should_forward: Callable[[bytes], bool],
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(1 << 20):
-                if not passes(data):
+                if not should_forward(data):
                     break
                 writer.write(data)
                 await writer.drain()
         writer.close()
 
-    def ask(self, data: bytes) -> bool:
-        """What the door says: whether it may pass."""
-        if self.door in self.fleet.cut:
+    def inspect_request(self, data: bytes) -> bool:
+        """Inspect a chunk from the gateway; return whether to forward it."""
+        if self.gateway in self.fleet.cut_off_gateways:
             return False
-        self.asked += data
-        return not self.strikes({"before the intent": b"begin", "before it is kept": b"done"})
+        self.request += data
+        return not self.crash_if_due({"before the intent": b"begin", "before it is kept": b"done"})
 
-    def tell(self, data: bytes) -> bool:
-        """What the steward answers to it."""
-        if self.strikes({"after the intent": b"begin", "after it is kept": b"done"}):
+    def inspect_answer(self, data: bytes) -> bool:
+        """Inspect a chunk from the lease service; return whether to forward it."""
+        if self.crash_if_due({"after the intent": b"begin", "after it is kept": b"done"}):
             return False
-        self.asked = b""
+        self.request = b""
         return True
 
-    def strikes(self, ops: dict[str, bytes]) -> bool:
-        """Whether a death is due here: by its point, the op that the ask which is out has to hold."""
-        for death in self.fleet.at(self.door):
-            op = ops.get(death.point)
-            if op and self.names(death, op):
-                self.fleet.strike(death)
+    def crash_if_due(self, ops: dict[str, bytes]) -> bool:
+        """Inject the crash that is due, if any, and return whether one was.
+
+        `ops` gives for each point the operation that the outstanding request must contain.
+        """
+        for crash in self.fleet.crashes_pending_at(self.gateway):
+            op = ops.get(crash.point)
+            if op and self.is_outstanding(crash, op):
+                self.fleet.crash(crash)
                 return True
         return False
 
-    def names(self, death: Death, op: bytes) -> bool:
-        """Whether the ask that is out holds an op of a piece of work."""
-        return op in self.asked and death.key.encode() in self.asked
+    def is_outstanding(self, crash: InjectedCrash, op: bytes) -> bool:
+        """Whether the outstanding request contains the operation for the work item."""
+        return op in self.request and crash.key.encode() in self.request
 
 
-class Deaths:
-    """The fleet, and the deaths that its doors die."""
+class CrashFleet:
+    """A fleet of gateways with a lease service, and the crashes injected into it."""
 
-    def __init__(self, tree: Tree, folder: Path, seed: int, doors: int, takeover: bool) -> None:
+    def __init__(self, tree: Tree, folder: Path, seed: int, gateway_count: int, takeover: bool) -> None:
         self.tree, self.folder, self.random, self.takeover = tree, folder, random.Random(seed), takeover
-        self.dying: dict[str, Death] = {}  # by key
-        self.ran: dict[str, list[int]] = defaultdict(list)
-        self.known: set[tuple[int, str]] = set()
-        self.came: dict[str, list[tuple[int, int]]] = defaultdict(list)  # by key: doors and zones of attempts
-        self.held: set[str] = set()  # keys that scan servers do not answer
-        self.poison: set[str] = set()  # keys that kill whichever door sends them
-        self.cut: set[int] = set()  # doors that do not reach the steward
+        self.pending_crashes: dict[str, InjectedCrash] = {}  # by key
+        self.execution_zones: dict[str, list[int]] = defaultdict(list)
+        self.executed: set[tuple[int, str]] = set()
+        self.attempts: dict[str, list[tuple[int, int]]] = defaultdict(list)  # by key: (gateway, zone)
+        self.held_keys: set[str] = set()  # the scan servers do not answer these
+        self.fatal_keys: set[str] = set()  # each gateway that sends one of these is killed
+        self.cut_off_gateways: set[int] = set()  # from the lease service
         self.tasks: list[asyncio.Future[None]] = []
-        self.doors: list[Process | None] = [None] * doors
+        self.gateways: list[Process | None] = [None] * gateway_count
         self.configs: list[dict[str, Any]] = []
         self.serial, self.seed = 0, seed
         self.servers: list[asyncio.Server] = []
@@ -209,7 +223,7 @@
             await self.start()
             yield
         finally:
-            for process in [*self.doors, getattr(self, "steward", None)]:
+            for process in [*self.gateways, getattr(self, "lease_service", None)]:
                 if process is not None:
                     process.kill()
                     await process.process.wait()
@@ -224,27 +238,29 @@
         budgets, secret = self.folder / "budgets.toml", self.folder / "secret"
         budgets.write_text(f"budgets = []\nwork_lease_ms = {LEASE_MS}\n")
         secret.write_text(f"{self.random.getrandbits(256):064x}")
-        await self.start_steward()
-        for number in range(len(self.doors)):
+        await self.start_lease_service()
+        for number in range(len(self.gateways)):
             scans = []
             for scan in range(2 * ZONES):
                 server = await loop.create_server(
-                    lambda door=number, zone=scan % ZONES: Scan(self, door, zone), HOST, 0
+                    lambda gateway=number, zone=scan % ZONES: ScanServerConnection(self, gateway, zone),
+                    HOST,
+                    0,
                 )
                 self.servers.append(server)
                 scans.append(server.sockets[0].getsockname())
-            wire = Wire(self, number)
-            server = await asyncio.start_server(wire.join, HOST, 0)
+            relay = LeaseServiceRelay(self, number)
+            server = await asyncio.start_server(relay.accept, HOST, 0)
             self.servers.append(server)
             self.configs.append(self.config(number, scans, server.sockets[0].getsockname(), secret))
-        await asyncio.gather(*(self.start_door(number) for number in range(len(self.doors))))
+        await asyncio.gather(*(self.start_gateway(number) for number in range(len(self.gateways))))
 
-    async def start_steward(self) -> None:
-        """With what it has kept, if it was there before."""
-        self.steward = await start_steward(self.folder)
+    async def start_lease_service(self) -> None:
+        """Start the lease service; after a restart it restores its stored state."""
+        self.lease_service = await start_steward(self.folder)
 
-    def config(self, number: int, scans: list[Address], wire: Address, secret: Path) -> dict[str, Any]:
-        """What a door is told: all of its fleet, and a list that nobody renews."""
+    def config(self, number: int, scans: list[Address], relay: Address, secret: Path) -> dict[str, Any]:
+        """The configuration of a gateway: the whole fleet is known, and discovery is unreachable."""
         instances = [
             {
                 "instanceId": f"s-{n}",
@@ -258,7 +274,11 @@
             }
             for n, address in enumerate(scans)
         ]
-        told = {"addresses": text(wire), "secret_file": str(secret), "classes": list(CLASSES.values())}
+        work_lease_settings = {
+            "addresses": text(relay),
+            "secret_file": str(secret),
+            "classes": list(CLASSES.values()),
+        }
         classes = [
             {
                 "name": "submit-record",
@@ -268,7 +288,7 @@
                 "late-worth": 0.5,
                 "idempotency": "idempotency_key",
                 "group": "zone",
-                "window-us": WINDOW_MS * 1000,
+                "window-us": IDEMPOTENCY_WINDOW_MS * 1000,
             },
             {
                 "name": "send-once",
@@ -277,21 +297,21 @@
                 "points": 9,
                 "late-worth": 0.5,
                 "idempotency": "non_idempotent",
-                "window-us": WINDOW_MS * 1000,
+                "window-us": IDEMPOTENCY_WINDOW_MS * 1000,
             },
         ]
-        listen, nobody = text((HOST, free_port())), text((HOST, free_port()))
+        listen, unused_address = text((HOST, free_port())), text((HOST, free_port()))
         return {
             "name": f"door-{number}",
             "listen": listen,
-            "discovery": nobody,
+            "discovery": unused_address,
             "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peers": [],
             "known": {"generation": 1, "reset": True, "instances": instances},
             "settings": {
                 "me": number,
-                "balancers": len(self.doors),
+                "balancers": len(self.gateways),
                 "zone": number % ZONES,
                 "zones": [f"zone-{n}" for n in range(ZONES)],
                 "kinds": ["m1"],
@@ -304,166 +324,182 @@
                     "may-cancel": True,
                 },
             },
-            **({"work_leases" if self.tree.has_lease_keys else "takeover": told} if self.takeover else {}),
+            **(
+                {"work_leases" if self.tree.has_lease_keys else "takeover": work_lease_settings}
+                if self.takeover
+                else {}
+            ),
         }
 
-    async def start_door(self, number: int) -> None:
+    async def start_gateway(self, number: int) -> None:
         folder = self.folder / f"door-{number}"
         folder.mkdir(exist_ok=True)
-        known = self.said(number)
-        process = self.doors[number] = await start_door(self.tree, self.configs[number], folder)
+        lines_before = self.count_in_log(number)
+        process = self.gateways[number] = await start_door(self.tree, self.configs[number], folder)
         await process.ready()
-        while self.takeover and number not in self.cut and self.said(number) == known:
+        while (
+            self.takeover
+            and number not in self.cut_off_gateways
+            and self.count_in_log(number) == lines_before
+        ):
             if process.process.returncode is not None:
-                raise BenchError(f"door {number} has ended: {process.last_line()}")
-            await asyncio.sleep(LOOK_S)
+                raise BenchError(f"gateway {number} has exited: {process.last_line()}")
+            await asyncio.sleep(LOG_POLL_INTERVAL_S)
 
-    def said(self, number: int, text: str = RECORDED_TEXT) -> int:
-        """How often a door's log says so: that it has been heard of by the steward, unless another text is
-        asked for."""
+    def count_in_log(self, number: int, log_text: str = RECORDED_TEXT) -> int:
+        """Count the occurrences of a text in a gateway's log."""
         log = self.folder / f"door-{number}" / "log"
-        return log.read_text(errors="replace").count(text) if log.exists() else 0
+        return log.read_text(errors="replace").count(log_text) if log.exists() else 0
 
-    async def counts(self) -> dict[str, int]:
-        """What the steward says of all work so far."""
+    async def work_counts(self) -> dict[str, int]:
+        """The lease service's counts of work items so far."""
         secret = (self.folder / "secret").read_bytes()
-        url = f"http://{text(self.steward.address)}/status"
+        url = f"http://{text(self.lease_service.address)}/status"
         async with (
             ClientSession() as session,
             session.get(url, headers={SIGNATURE_HEADER: sign(secret, b"/status")}) as answer,
         ):
             return (await answer.json())["work"]
 
-    # --- deaths ---
+    # --- crashes ---
 
-    def at(self, door: int) -> list[Death]:
-        return [death for death in self.dying.values() if death.door == door]
+    def crashes_pending_at(self, gateway: int) -> list[InjectedCrash]:
+        return [crash for crash in self.pending_crashes.values() if crash.gateway == gateway]
 
-    def strike(self, death: Death) -> None:
-        """The point is reached: its door dies."""
-        if self.dying.pop(death.key, None) is not None:
-            death.reached = True
-            self.doors[death.door].kill()
+    def crash(self, crash: InjectedCrash) -> None:
+        """Kill the gateway of a pending crash, whose point has been reached."""
+        if self.pending_crashes.pop(crash.key, None) is not None:
+            crash.reached = True
+            self.gateways[crash.gateway].kill()
 
-    def writing(self, data: bytes) -> Death | None:
-        """The death in the middle of whose write these bytes are."""
+    def crash_in_write(self, data: bytes) -> InjectedCrash | None:
+        """The pending crash "in the write" whose request these bytes belong to, or None."""
         return next(
             (
-                death
-                for death in self.dying.values()
-                if death.point == "in the write" and death.key.encode() in data
+                crash
+                for crash in self.pending_crashes.values()
+                if crash.point == "in the write" and crash.key.encode() in data
             ),
             None,
         )
 
-    def key_of(self, words: list[bytes]) -> str:
-        """What a piece of work goes by: its key, or the id of what has none."""
-        fields = dict(part.partition("=")[::2] for part in words[3].decode().split(","))
-        return fields.get("k") or words[2].decode()
+    def work_key(self, arguments: list[bytes]) -> str:
+        """The idempotency key of a request, or its id if it has none."""
+        fields = dict(part.partition("=")[::2] for part in arguments[3].decode().split(","))
+        return fields.get("k") or arguments[2].decode()
 
-    def command(self, death: Death, name: str) -> bytes:
-        size = LARGE if death.point == "in the write" else SMALL
-        return self.submit(death.effect, death.key if death.effect == "keyed" else "", name, b"b" * size)
+    def request_for(self, crash: InjectedCrash, name: str) -> bytes:
+        size = LARGE_BODY_BYTES if crash.point == "in the write" else SMALL_BODY_BYTES
+        return self.encode(crash.effect, crash.key if crash.effect == "keyed" else "", name, b"b" * size)
 
-    def submit(self, effect: str, key: str, name: str, body: bytes, time_ms: int = TIME_MS) -> bytes:
-        """A request as a client writes it."""
-        fields = f"c={CLASSES[effect]},t=standard,d={time_ms},units=1,spread={len(self.doors)},first=0"
+    def encode(
+        self, effect: str, key: str, name: str, body: bytes, deadline_ms: int = REQUEST_DEADLINE_MS
+    ) -> bytes:
+        """Encode a SVC.SUBMIT command."""
+        fields = f"c={CLASSES[effect]},t=standard,d={deadline_ms},units=1,spread={len(self.gateways)},first=0"
         fields += f",k={key}" if key else ""
         return encode([b"SVC.SUBMIT", b"%016x" % 7, name.encode(), fields.encode(), body])
 
-    async def ask(self, door: int, command: bytes, wait_s: float) -> str:
+    async def send(self, gateway: int, command: bytes, timeout_s: float) -> str:
         try:
-            caller = await Caller.open(self.doors[door].address)
+            caller = await Caller.open(self.gateways[gateway].address)
         except OSError:
             return "unreached"
         try:
-            return await asyncio.wait_for(caller.ask([command])[0], wait_s)
+            return await asyncio.wait_for(caller.ask([command])[0], timeout_s)
         except TimeoutError:
             return "unanswered"
         finally:
             caller.close()
 
-    async def die(self, point: str, effect: str, door: int) -> Death:
-        """One piece of work, the death of its door, its client's way to the outcome, the door's return."""
+    async def inject_crash(self, point: str, effect: str, gateway: int) -> InjectedCrash:
+        """Send a work item, crash its gateway at the point, retry for the outcome, restart the gateway."""
         self.serial += 1
-        death = Death(point, effect, f"{self.seed:04x}{self.serial:012x}", door)
-        self.dying[death.key] = death
-        death.first = await self.ask(door, self.command(death, death.key), DYING_S)
-        if point == "after the client has it" and death.first == "served":
-            self.strike(death)
-        self.dying.pop(death.key, None)
+        crash = InjectedCrash(point, effect, f"{self.seed:04x}{self.serial:012x}", gateway)
+        self.pending_crashes[crash.key] = crash
+        crash.first_outcome = await self.send(
+            gateway, self.request_for(crash, crash.key), FIRST_ATTEMPT_TIMEOUT_S
+        )
+        if point == "after the client has it" and crash.first_outcome == "served":
+            self.crash(crash)
+        self.pending_crashes.pop(crash.key, None)
         loop = asyncio.get_running_loop()
-        end = loop.time() + PATIENCE_S
-        if effect == "unsafe":  # it has no key to ask again by: what becomes of it is seen where it runs
+        end = loop.time() + CLIENT_RETRY_TIMEOUT_S
+        if effect == "unsafe":  # without a key it cannot be retried; its executions are counted
             await asyncio.sleep(2 * LEASE_MS / 1000)
-            death.last = death.first
-        while effect == "keyed" and death.last != "served" and loop.time() < end:
-            death.tries += 1
-            others = [number for number in range(len(self.doors)) if number != door]
-            name = f"{death.key}t{death.tries}"
-            death.last = await self.ask(self.random.choice(others), self.command(death, name), PATIENCE_S)
-            await asyncio.sleep(WAIT_S)
-        if death.reached:
-            await self.doors[door].process.wait()
-            await self.start_door(door)
-        death.ran = self.ran[death.key]
-        return death
-
-
-async def deaths(
+            crash.final_outcome = crash.first_outcome
+        while effect == "keyed" and crash.final_outcome != "served" and loop.time() < end:
+            crash.retries += 1
+            others = [number for number in range(len(self.gateways)) if number != gateway]
+            name = f"{crash.key}t{crash.retries}"
+            crash.final_outcome = await self.send(
+                self.random.choice(others), self.request_for(crash, name), CLIENT_RETRY_TIMEOUT_S
+            )
+            await asyncio.sleep(CLIENT_RETRY_INTERVAL_S)
+        if crash.reached:
+            await self.gateways[gateway].process.wait()
+            await self.start_gateway(gateway)
+        crash.execution_zones = self.execution_zones[crash.key]
+        return crash
+
+
+async def inject_crashes(
     tree: Tree,
     folder: Path,
     points: tuple[str, ...],
     effects: tuple[str, ...],
     count: int,
     seed: int,
-    doors: int,
+    gateway_count: int,
     takeover: bool = True,
     say: Callable[[str], None] = lambda text: None,
-) -> list[Death]:
-    """So many deaths at each point, of each kind of class; half of the doors die, the others stay."""
-    fleet = Deaths(tree, folder, seed, doors, takeover)
-    todo = [(point, effect) for _ in range(count) for point in points for effect in effects]
-    found: list[Death] = []
-
-    async def work(door: int) -> None:
-        while todo:
-            found.append(await fleet.die(*todo.pop(), door))
-            if len(found) % 50 == 0:
-                say(f"{len(found)} deaths")
+) -> list[InjectedCrash]:
+    """Inject `count` crashes at each point for each effect.
+
+    Only the first half of the gateways is crashed. Raises FaultInjectionError if a process does not start.
+    """
+    fleet = CrashFleet(tree, folder, seed, gateway_count, takeover)
+    remaining = [(point, effect) for _ in range(count) for point in points for effect in effects]
+    crashes: list[InjectedCrash] = []
+
+    async def crash_repeatedly(gateway: int) -> None:
+        while remaining:
+            crashes.append(await fleet.inject_crash(*remaining.pop(), gateway))
+            if len(crashes) % 50 == 0:
+                say(f"{len(crashes)} injected crashes")
 
     try:
         async with fleet.running():
             async with asyncio.TaskGroup() as group:
-                for door in range(max(1, doors // 2)):
-                    group.create_task(work(door))
+                for gateway in range(max(1, gateway_count // 2)):
+                    group.create_task(crash_repeatedly(gateway))
             if takeover:
-                counts = await fleet.counts()
+                counts = await fleet.work_counts()
                 say(", ".join(f"{name} {counts[name]}" for name in ("kept", "handed", "served", "parked")))
     except (BenchError, ExceptionGroup) as error:
         inner = error.exceptions[0] if isinstance(error, ExceptionGroup) else error
         if isinstance(inner, BenchError):
             raise FaultInjectionError(str(inner)) from error
         raise
-    return found
+    return crashes
 
 
-def table(found: list[Death]) -> str:
-    """By point and kind of class: how many died there, what ran how often, and what clients got."""
+def table(crashes: list[InjectedCrash]) -> str:
+    """A Markdown table by point and effect: crashes, executions and outcomes."""
     lines = [
         "| point | class | deaths | ran once | never | more often | ended well | wrong |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for point in POINTS:
         for effect in EFFECTS:
-            these = [death for death in found if (death.point, death.effect) == (point, effect)]
-            if not these:
+            matching = [crash for crash in crashes if (crash.point, crash.effect) == (point, effect)]
+            if not matching:
                 continue
-            ran = [len(death.ran) for death in these]
+            run_counts = [len(crash.execution_zones) for crash in matching]
             lines.append(
-                f"| {point} | {effect} | {sum(death.reached for death in these)} | {ran.count(1)} "
-                f"| {ran.count(0)} | {sum(n > 1 for n in ran)} "
-                f"| {sum(death.last == 'served' for death in these)} "
-                f"| {sum(bool(death.wrong) for death in these)} |"
+                f"| {point} | {effect} | {sum(crash.reached for crash in matching)} | {run_counts.count(1)} "
+                f"| {run_counts.count(0)} | {sum(n > 1 for n in run_counts)} "
+                f"| {sum(crash.final_outcome == 'served' for crash in matching)} "
+                f"| {sum(bool(crash.violation) for crash in matching)} |"
             )
     return "\n".join(lines)
