--- a/thistletrail/fault_injection/__init__.py
+++ b/thistletrail/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Several real processes of the program, with relays and faults between them, and what the histories show."""
+"""Fault injection: real processes with relays between them, injected faults, and checks of the histories."""
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -1,8 +1,8 @@
-"""The clients of a run, as a process of their own: the model's customers and clients, in real time.
+"""The load generator: a process that runs the simulation's customers and clients in real time.
 
-Started with the path of its configuration. It prints a line once its load is drawn, and begins at the moment
-that the order `go` names (microseconds of the monotonic clock); it ends with its last request. The front that
-spreads requests over the doors is in it: a door that has died is noticed late, and taken in again once it
+Its argument is the path of its configuration. It prints a line once its load is drawn, starts at the time of
+the order `go` (microseconds of the monotonic clock), and exits after its last request. It contains the load
+balancer in front of the gateways, which detects a dead gateway after a delay and uses it again once it
 answers PING.
 """
 
@@ -15,7 +15,7 @@
 
 from thistletrail.benchmarks.callers import BODY, PING, Caller
 from thistletrail.fault_injection.history import Writer
-from thistletrail.fault_injection.program import Order, Told, orders, start
+from thistletrail.fault_injection.program import Order, ProcessConfig, orders, start
 from thistletrail.fault_injection.realtime import RealClock, now_us, watch_lag
 from thistletrail.fault_injection.world import Asked, World, load_of
 from thistletrail.gateway.resp import encode
@@ -25,22 +25,24 @@
 if TYPE_CHECKING:
     from thistletrail.fault_injection.relay import Address
 
-LOOK_S = 0.05  # between tries to reach a door that is down
-PONG_S = 0.5  # for its answer
-WAITS = "refused"  # how an answer that refuses begins, before the time that it says
+POLL_INTERVAL_S = 0.05  # between probes of a gateway that is down
+PONG_TIMEOUT_S = 0.5
+REFUSED = "refused"  # the outcome of a refused request; the retry delay in ms may follow it
 
 
-class Line(Caller):
-    """One connection to a door. A refusal comes with its time; an answer that nobody asked for is told."""
+class GatewayConnection(Caller):
+    """One connection to a gateway. A refusal's outcome has the retry delay; unrequested data is recorded."""
 
     def __init__(self, program: Program) -> None:
         super().__init__()
         self.program = program
 
     def word(self, mark: str, rest: bytes) -> str:
-        word = super().word(mark, rest)
-        wait = rest.removeprefix(b"BUSY").strip()
-        return f"{WAITS} {int(wait)}" if word == WAITS and wait.isdigit() else word
+        outcome = super().word(mark, rest)
+        retry_after_ms = rest.removeprefix(b"BUSY").strip()
+        return (
+            f"{REFUSED} {int(retry_after_ms)}" if outcome == REFUSED and retry_after_ms.isdigit() else outcome
+        )
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
@@ -49,210 +51,217 @@
             self.close()
 
 
-class Door:
-    """A front door as clients reach it."""
+class Gateway:
+    """A gateway as seen by the clients, with its connection pool."""
 
     def __init__(self, program: Program, number: int, address: Address) -> None:
         self.program, self.number, self.address = program, number, address
-        self.free: list[Line] = []
-        self.busy: dict[str, Line] = {}
-        self.looking = False
+        self.idle_connections: list[GatewayConnection] = []
+        self.busy_connections: dict[str, GatewayConnection] = {}
+        self.is_probing = False
 
-    def receive_request(self, try_: ClientRequest) -> None:
-        self.program.spawn(self.serve(try_))
+    def receive_request(self, request: ClientRequest) -> None:
+        self.program.spawn(self.serve(request))
 
-    async def serve(self, try_: ClientRequest) -> None:
+    async def serve(self, request: ClientRequest) -> None:
         program = self.program
         try:
-            while self.free and not self.free[-1].usable():
-                self.free.pop()
-            if self.free:
-                line = self.free.pop()
+            while self.idle_connections and not self.idle_connections[-1].usable():
+                self.idle_connections.pop()
+            if self.idle_connections:
+                connection = self.idle_connections.pop()
             else:
-                _, line = await program.loop.create_connection(lambda: Line(program), *self.address)
+                _, connection = await program.loop.create_connection(
+                    lambda: GatewayConnection(program), *self.address
+                )
         except OSError:
-            self.missed()
-            program.clients.unreached(try_)
+            self.start_probing()
+            program.clients.unreached(request)
             return
-        if try_.is_over:
-            self.free.append(line)
+        if request.is_over:
+            self.idle_connections.append(connection)
             return
-        self.busy[try_.id] = line
-        word = await line.ask([program.command(try_, self.number)])[0]
-        self.busy.pop(try_.id, None)
-        how, _, wait = word.partition(" ")
+        self.busy_connections[request.id] = connection
+        outcome = await connection.ask([program.command(request, self.number)])[0]
+        self.busy_connections.pop(request.id, None)
+        how, _, retry_after_ms = outcome.partition(" ")
         if how == "closed":
-            if not try_.is_over:
-                self.missed()
-                program.clients.gateway_died(try_)
+            if not request.is_over:
+                self.start_probing()
+                program.clients.gateway_died(request)
             return
-        if line.usable():
-            self.free.append(line)
-        if not try_.is_over:
-            program.clients.answered(try_, how, int(wait or 0) * 1000, None, self)
+        if connection.usable():
+            self.idle_connections.append(connection)
+        if not request.is_over:
+            program.clients.answered(request, how, int(retry_after_ms or 0) * 1000, None, self)
         else:
-            program.writer.note("late", id=try_.id, how=how)
-
-    def client_gone(self, try_: ClientRequest) -> bool:
-        """Its client gives up: whether an answer was still owed. It keeps the connection for as long as a
-        late answer is no broken rule, to see whether one comes."""
-        line = self.busy.get(try_.id)
-        if line is not None:
-            grace_s = self.program.told.plan.limits.answer_ms / 1000
-            self.program.loop.call_later(grace_s, self.lost, try_, line)
-        return line is not None
-
-    def lost(self, try_: ClientRequest, line: Line) -> None:
-        if self.busy.pop(try_.id, None) is not None:
-            self.program.writer.note("lost", id=try_.id)
-            line.close()
-
-    def missed(self) -> None:
-        """It could not be reached. The front takes it out after a time, and in again when it answers."""
-        if not self.looking:
-            self.looking = True
-            self.program.spawn(self.look())
-
-    async def look(self) -> None:
+            program.writer.note("late", id=request.id, how=how)
+
+    def client_gone(self, request: ClientRequest) -> bool:
+        """Handle a client's time-out; return whether an answer was still outstanding.
+
+        The connection stays open for the grace period `limits.answer_ms`, to record a late answer.
+        """
+        connection = self.busy_connections.get(request.id)
+        if connection is not None:
+            grace_s = self.program.config.plan.limits.answer_ms / 1000
+            self.program.loop.call_later(grace_s, self.close_unanswered, request, connection)
+        return connection is not None
+
+    def close_unanswered(self, request: ClientRequest, connection: GatewayConnection) -> None:
+        if self.busy_connections.pop(request.id, None) is not None:
+            self.program.writer.note("lost", id=request.id)
+            connection.close()
+
+    def start_probing(self) -> None:
+        """Start probing after a failed connection, unless a probe is running."""
+        if not self.is_probing:
+            self.is_probing = True
+            self.program.spawn(self.probe())
+
+    async def probe(self) -> None:
+        """Send PING until the gateway answers; it counts as down from the detection delay until then."""
         program = self.program
-        notice = program.clients.notice()
-        began = now_us()
+        detection_delay_us = program.clients.draw_detection_delay_us()
+        began_us = now_us()
         try:
             while True:
-                if now_us() - began > notice:
+                if now_us() - began_us > detection_delay_us:
                     program.clients.down.add(self.number)
                 try:
-                    async with asyncio.timeout(PONG_S):
-                        _, line = await program.loop.create_connection(lambda: Line(program), *self.address)
-                        word = await line.ask([PING])[0]
-                        line.close()
-                    if word == "pong":
+                    async with asyncio.timeout(PONG_TIMEOUT_S):
+                        _, connection = await program.loop.create_connection(
+                            lambda: GatewayConnection(program), *self.address
+                        )
+                        outcome = await connection.ask([PING])[0]
+                        connection.close()
+                    if outcome == "pong":
                         program.writer.note("pong", door=self.number)
                         return
                 except (OSError, TimeoutError):
                     pass
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
-            self.looking = False
+            self.is_probing = False
             program.clients.down.discard(self.number)
 
 
-class Live(Clients):
-    """The model's clients, whose tries go over sockets and are noted."""
+class LiveClients(Clients):
+    """The simulation's clients, whose requests go over sockets and are recorded."""
 
     def __init__(self, program: Program, world: World) -> None:
         super().__init__(world, world.scenario.clients, world.streams["clients"])  # type: ignore[arg-type]
         self.program, self.writer = program, program.writer
-        self.serial = itertools.count((16 + program.told.number) << 56)  # ids of 16 digits, nobody else's
-        self.keys: dict[int, str] = {}  # by ask that is open
+        self.serial = itertools.count((16 + program.config.number) << 56)  # unique ids of 16 hex digits
+        self.keys: dict[int, str] = {}  # idempotency key by id() of the open operation
 
-    def notice(self) -> float:
-        """After how many microseconds the front sees that a door is down."""
+    def draw_detection_delay_us(self) -> float:
+        """Draw the delay in microseconds after which the load balancer detects a gateway that is down."""
         return self.stream.span(self.spec.notice_s) * S
 
     def start_operation(self, customer: Customer, kind: int, work_us: float) -> None:
-        self.program.open += 1
+        self.program.open_operations += 1
         super().start_operation(customer, kind, work_us)
 
-    def receive(self, try_: ClientRequest, how: str, cause: str, retry_after_us: int) -> None:
-        if not try_.is_over:
-            self.writer.note("end", id=try_.id, how=how, wait_us=retry_after_us)
-        super().receive(try_, how, cause, retry_after_us)
+    def receive(self, request: ClientRequest, how: str, cause: str, retry_after_us: int) -> None:
+        if not request.is_over:
+            self.writer.note("end", id=request.id, how=how, wait_us=retry_after_us)
+        super().receive(request, how, cause, retry_after_us)
 
-    def end(self, ask: Operation, served: ClientRequest | None, cause: str) -> None:
-        super().end(ask, served, cause)
-        rule = self.run.scenario.classes[ask.kind]
-        self.keys.pop(id(ask), None)
-        self.program.open -= 1
+    def end(self, operation: Operation, served: ClientRequest | None, cause: str) -> None:
+        super().end(operation, served, cause)
+        rule = self.run.scenario.classes[operation.kind]
+        self.keys.pop(id(operation), None)
+        self.program.open_operations -= 1
         self.writer.note(
             "ask",
-            first_us=ask.first_us,
-            customer=ask.customer.name,
-            worth=ask.worth,
-            ideal=ask.is_in_ideal_quota,
-            tries=ask.requests,
+            first_us=operation.first_us,
+            customer=operation.customer.name,
+            worth=operation.worth,
+            ideal=operation.is_in_ideal_quota,
+            tries=operation.requests,
             served=served.id if served else "",
-            in_time=bool(served) and now_us() <= ask.aim_us,
-            **{"class": rule.name, "plan": self.run.scenario.plans[ask.customer.plan].name},
+            in_time=bool(served) and now_us() <= operation.aim_us,
+            **{"class": rule.name, "plan": self.run.scenario.plans[operation.customer.plan].name},
         )
 
 
 class Program:
-    """The process: its world, its doors, and the load that it plays."""
+    """The process: its world, its gateways and its load."""
 
-    def __init__(self, told: Told) -> None:
-        self.told, self.loop = told, asyncio.get_running_loop()
-        self.writer = Writer(Path(told.history))
-        self.world = World(told.plan.fleet, told.seed, RealClock(self.loop))
+    def __init__(self, config: ProcessConfig) -> None:
+        self.config, self.loop = config, asyncio.get_running_loop()
+        self.writer = Writer(Path(config.history))
+        self.world = World(config.plan.fleet, config.seed, RealClock(self.loop))
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open = 0  # asks that have not ended
-        self.world.clients = self.clients = Live(self, self.world)
+        self.open_operations = 0  # operations that have not ended
+        self.world.clients = self.clients = LiveClients(self, self.world)
         self.world.doors = [
-            Door(self, number, (host, int(port)))
-            for number, address in enumerate(told.doors)
+            Gateway(self, number, (host, int(port)))
+            for number, address in enumerate(config.doors)
             for host, _, port in [address.rpartition(":")]
         ]
-        self.began = asyncio.Event()
+        self.has_started = asyncio.Event()
 
     def spawn(self, job: object) -> None:
         self.tasks.add(task := self.loop.create_task(job))
         task.add_done_callback(self.tasks.discard)
 
-    def command(self, try_: ClientRequest, door: int) -> bytes:
-        """The request as it is written, and noted."""
-        ask, scenario = try_.operation, self.world.scenario
-        rule, customer = scenario.classes[ask.kind], ask.customer
+    def command(self, request: ClientRequest, gateway: int) -> bytes:
+        """Record a request and return its encoded command."""
+        operation, scenario = request.operation, self.world.scenario
+        rule, customer = scenario.classes[operation.kind], operation.customer
         plan = scenario.plans[customer.plan].name
-        left = max(0, (try_.end_us - now_us()) // 1000)
-        key = self.clients.keys.setdefault(id(ask), try_.id) if rule.keyed else ""
+        left_ms = max(0, (request.end_us - now_us()) // 1000)
+        key = self.clients.keys.setdefault(id(operation), request.id) if rule.keyed else ""
         self.writer.note(
             "try",
-            id=try_.id,
-            door=door,
+            id=request.id,
+            door=gateway,
             customer=customer.name,
             key=key,
-            left_ms=left,
-            number=ask.requests,
+            left_ms=left_ms,
+            number=operation.requests,
             **{"class": rule.name, "plan": plan},
         )
         fields = (
-            f"c={rule.name},t={plan},d={left},units=1,spread={customer.size},first={customer.first}"
+            f"c={rule.name},t={plan},d={left_ms},units=1,spread={customer.size},first={customer.first}"
         ).encode()
-        words = [customer.name.encode(), try_.id.encode()]
+        arguments = [customer.name.encode(), request.id.encode()]
         if rule.keyed:
-            return encode([b"SVC.SUBMIT", *words, fields + b",k=" + key.encode(), BODY])
-        return encode([b"SVC.QUERY", *words, fields])
+            return encode([b"SVC.SUBMIT", *arguments, fields + b",k=" + key.encode(), BODY])
+        return encode([b"SVC.QUERY", *arguments, fields])
 
     async def run(self) -> None:
-        load = load_of(self.told.plan, self.told.seed, self.told.number)
-        print(f"clients {self.told.number} have {len(load)} entries", flush=True)
-        listening = self.loop.create_task(orders(self.order))
+        load = load_of(self.config.plan, self.config.seed, self.config.number)
+        print(f"clients {self.config.number} have {len(load)} entries", flush=True)
+        order_reader = self.loop.create_task(orders(self.handle_order))
         self.spawn(watch_lag(self.writer.note))
-        await self.began.wait()
+        await self.has_started.wait()
         await self.play(load)
-        listening.cancel()
+        order_reader.cancel()
 
-    def order(self, order: Order) -> None:
+    def handle_order(self, order: Order) -> None:
         if "go" in order:
             self.world.start_us = order["go"]
-            self.began.set()
+            self.has_started.set()
 
     async def play(self, load: list[Asked]) -> None:
-        """The load at its times, and until the last of it has ended."""
+        """Start each operation at its time, and return when the last one has ended."""
         start_us = self.world.start_us
-        for asked in load:
-            if (left := start_us + asked.at_us - now_us()) > 0:
-                await asyncio.sleep(left / 1e6)
-            if asked.cumulative is not None:
-                asked.customer.cumulative = asked.cumulative
+        for entry in load:
+            if (left_us := start_us + entry.at_us - now_us()) > 0:
+                await asyncio.sleep(left_us / 1e6)
+            if entry.cumulative is not None:
+                entry.customer.cumulative = entry.cumulative
             else:
-                self.clients.start_operation(asked.customer, asked.kind, asked.work_us)
-        while self.open or any(door.busy for door in self.world.doors):
-            await asyncio.sleep(LOOK_S)
+                self.clients.start_operation(entry.customer, entry.kind, entry.work_us)
+        while self.open_operations or any(gateway.busy_connections for gateway in self.world.doors):
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def main(told: Told) -> None:
-    await Program(told).run()
+async def main(config: ProcessConfig) -> None:
+    await Program(config).run()
 
 
 if __name__ == "__main__":
--- a/thistletrail/fault_injection/errors.py
+++ b/thistletrail/fault_injection/errors.py
@@ -1,5 +1,5 @@
-"""What ends a command of fault injection with one plain line."""
+"""The error that ends a command of fault injection."""
 
 
 class FaultInjectionError(Exception):
-    """Bad input, or processes that cannot be started; the text is one plain line."""
+    """Invalid input, or a process that cannot be started; the message is a single line."""
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -26,7 +26,7 @@
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.leases import Renewals
 from thistletrail.fault_injection.plan import Fault, Plan
-from thistletrail.fault_injection.program import Told
+from thistletrail.fault_injection.program import ProcessConfig
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
 from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
 from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
@@ -343,7 +343,7 @@
 
     async def start_own(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
         """One of fault injection's own programs."""
-        told = Told(
+        told = ProcessConfig(
             plan=self.plan,
             seed=self.seed,
             number=member.number,
--- a/thistletrail/fault_injection/program.py
+++ b/thistletrail/fault_injection/program.py
@@ -1,4 +1,4 @@
-"""What the programs of fault injection share: a configuration, a line once they serve, orders on stdin."""
+"""Shared by the stub scan server and the load generator: configuration file, orders on stdin, main loop."""
 
 from __future__ import annotations
 
@@ -17,8 +17,11 @@
 Order = dict[str, Any]
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration of a stand-in scan server or of clients, as `Fleet` writes it."""
+class ProcessConfig(msgspec.Struct, frozen=True, kw_only=True):
+    """The configuration of a stub scan server or a load generator, as `Fleet` writes it.
+
+    The fields' names are the keys of the configuration file.
+    """
 
     plan: Plan
     seed: int
@@ -27,33 +30,33 @@
     name: str = ""
     cold: bool = False
     clock_s: float = 0.0
-    service: str = ""  # the list service, at the relay to it
-    doors: tuple[str, ...] = ()  # front doors, at the relays to them
+    service: str = ""  # address of the relay to the registry
+    doors: tuple[str, ...] = ()  # addresses of the relays to the gateways
 
 
-async def orders(take: Callable[[Order], Awaitable[None] | None]) -> None:
-    """Hand on each JSON line of standard input until it ends, as it does when the parent process has gone."""
+async def orders(handle: Callable[[Order], Awaitable[None] | None]) -> None:
+    """Pass each JSON line of standard input to `handle` until the input ends (when the parent exits)."""
     reader = asyncio.StreamReader(limit=1 << 20)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        done = take(msgspec.json.decode(line))
-        if done is not None:
-            await done
+        result = handle(msgspec.json.decode(line))
+        if result is not None:
+            await result
 
 
-def start(program: Callable[[Told], Awaitable[None]]) -> None:
-    """Run a program by the configuration file that its command line names, until it ends or SIGTERM."""
-    told = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Told)
+def start(program: Callable[[ProcessConfig], Awaitable[None]]) -> None:
+    """Run a program with the configuration file named on the command line, until it ends or gets SIGTERM."""
+    config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ProcessConfig)
 
-    async def act() -> None:
+    async def run_until_terminated() -> None:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
-        loop.add_signal_handler(signal.SIGINT, lambda: None)  # Ctrl-C is for the parent, which ends all
+        loop.add_signal_handler(signal.SIGINT, lambda: None)  # on Ctrl-C the parent ends all processes
         try:
-            await program(told)
+            await program(config)
         except asyncio.CancelledError:
             return
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(act())
+        runner.run(run_until_terminated())
--- a/thistletrail/fault_injection/realtime.py
+++ b/thistletrail/fault_injection/realtime.py
@@ -1,4 +1,4 @@
-"""The system's monotonic clock with the calls of the model's: what is modelled there runs in real time."""
+"""The system's monotonic clock behind the interface of the simulation's clock."""
 
 import asyncio
 import time
@@ -6,24 +6,28 @@
 
 
 def now_us() -> int:
-    """Microseconds of the monotonic clock, the same in all processes of the machine."""
+    """Microseconds of the monotonic clock, which all processes of the machine share."""
     return time.monotonic_ns() // 1000
 
 
-LOOK_US, LATE_US = 50_000, 100_000  # between looks at the own loop; by which one is told of as late
+LAG_CHECK_INTERVAL_US = 50_000
+MIN_RECORDED_LAG_US = 100_000
 
 
-async def watch_lag(note: Callable[..., None]) -> None:
-    """Note when the own loop was late: what passed it then says nothing of who is watched."""
+async def watch_lag(record: Callable[..., None]) -> None:
+    """Record when this process's event loop lagged.
+
+    What a lagging process observed then is no evidence against the processes under test.
+    """
     while True:
-        due = now_us() + LOOK_US
-        await asyncio.sleep(LOOK_US / 1e6)
-        if (late := now_us() - due) > LATE_US:
-            note("stalled", us=late)
+        due_us = now_us() + LAG_CHECK_INTERVAL_US
+        await asyncio.sleep(LAG_CHECK_INTERVAL_US / 1e6)
+        if (lag_us := now_us() - due_us) > MIN_RECORDED_LAG_US:
+            record("stalled", us=lag_us)
 
 
 class RealClock:
-    """`simulation.clock.Clock` on an event loop: `now` goes on by itself."""
+    """`simulation.clock.Clock` on an event loop, where time passes by itself."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
