--- a/tests/test_fault_injection_checks.py
+++ b/tests/test_fault_injection_checks.py
@@ -6,7 +6,7 @@
 import pytest
 
 from thistletrail.fault_injection.checks import CHECKS, Seen, check
-from thistletrail.fault_injection.figures import busiest, figures
+from thistletrail.fault_injection.figures import compute_figures, max_per_second
 from thistletrail.fault_injection.history import Record, merge, of_log, read
 from thistletrail.fault_injection.plan import Plan
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
@@ -238,13 +238,13 @@
     extra = [{"at": S, "kind": "open", "link": "doors-servers", "sides": ["doors-0", "servers-0"]}] * 3
     seen = Seen(merge([CALM, KILLED, extra]), PLAN, 1)
     calm = Seen(CALM, PLAN, 1)
-    figured = figures(seen, calm)
+    figured = compute_figures(seen, calm)
     assert figured.served == 1.0 and figured.connections == 3 and figured.connections_calm == 0
     assert figured.full_s == 0.0 and figured.full_after_pong_s == 0.0 and figured.lost == 0.0
     assert figured.beyond == 0 and figured.retries == 0.0 and figured.pushed_over == 0
-    alone = figures(calm)
+    alone = compute_figures(calm)
     assert alone.full_s is None and alone.worst_second is None
-    assert busiest([0, 1, 950_000, 1_100_000], [1, 1, 5, 9]) == 14
+    assert max_per_second([0, 1, 950_000, 1_100_000], [1, 1, 5, 9]) == 14
 
 
 def test_histories_are_read_to_the_last_whole_line(tmp_path: object) -> None:
--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -19,7 +19,7 @@
     parse,
     verify,
 )
-from thistletrail.fault_injection.soak import drawn, shrink, smaller
+from thistletrail.fault_injection.soak import draw_plan, shrink, smaller_plans
 from thistletrail.fault_injection.world import World, load_of
 from thistletrail.gateway.config import flatten
 from thistletrail.policy.settings_codec import SettingValues, read_settings
@@ -77,7 +77,7 @@
 
 def test_random_plans_are_plans_and_get_smaller() -> None:
     for seed in range(60):
-        found = drawn(random.Random(seed), "soak")
+        found = draw_plan(random.Random(seed), "soak")
         try:
             verify(found, "soak")
         except FaultInjectionError:
@@ -86,7 +86,7 @@
     big = Plan(
         name="p", fleet=SMALL, faults=tuple(Fault(kind=kind) for kind in ("kill", "cut", "pause")), clients=2
     )
-    assert sum(len(less.faults) < 3 for less in smaller(big)) == 3 and big not in smaller(big)
+    assert sum(len(less.faults) < 3 for less in smaller_plans(big)) == 3 and big not in smaller_plans(big)
     small = shrink(big, lambda less: any(fault.kind == "cut" for fault in less.faults))
     assert [fault.kind for fault in small.faults] == ["cut"]
     assert small.fleet.doors == 2 and small.clients == 1 and small.fleet.servers.count == 1
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -49,7 +49,7 @@
     "thistletrail/benchmarks/holders.py": 1,
     "thistletrail/benchmarks/leases.py": 5,
     "thistletrail/benchmarks/work.py": 13,
-    "thistletrail/fault_injection/__main__.py": 6,
+    "thistletrail/fault_injection/__main__.py": 5,
     "thistletrail/fault_injection/deaths.py": 2,
     "thistletrail/fault_injection/fleet.py": 24,
     "thistletrail/fault_injection/history.py": 1,
@@ -58,7 +58,7 @@
     "thistletrail/fault_injection/plans/leases.toml": 3,
     "thistletrail/fault_injection/plans/quotas.toml": 3,
     "thistletrail/fault_injection/plans/stewards.toml": 11,
-    "thistletrail/fault_injection/soak.py": 11,
+    "thistletrail/fault_injection/soak.py": 8,
     "thistletrail/fault_injection/world.py": 1,
     "thistletrail/simulation/__main__.py": 1,
 }
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -1,4 +1,4 @@
-"""The commands of fault injection: run, pairs, back, compare, deaths, soak, report and list."""
+"""The commands of fault injection: run, pairs, back, compare, soak, budgets, deaths, report and list."""
 
 from __future__ import annotations
 
@@ -18,12 +18,20 @@
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.leases import divided
 from thistletrail.fault_injection.plan import as_scenario, known, load
-from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
+from thistletrail.fault_injection.runs import (
+    Run,
+    figure_table,
+    format_table,
+    format_value,
+    load_run,
+    run,
+    store_run,
+)
 from thistletrail.simulation import day as days
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import EXIT_RULE_BROKEN
 
-MOST_SEED = 2**53
+MAX_SEED = 2**53
 
 
 class FaultInjectionGroup(Group):
@@ -31,19 +39,19 @@
 
 
 def say(text: str) -> None:
-    """Progress, on standard error."""
+    """Print progress to standard error."""
     click.echo(text, err=True)
 
 
 @click.group("fault_injection", cls=FaultInjectionGroup, context_settings=HELP)
 def cli() -> None:
-    """Several real processes on loopback, relays and faults between them, and checked histories."""
+    """Play plans of faults with real processes on loopback, and check the recorded histories."""
     end_on_signals()
 
 
 SEED = click.option(
     "--seed",
-    type=click.IntRange(0, MOST_SEED),
+    type=click.IntRange(0, MAX_SEED),
     default=1,
     show_default=True,
     help="Of load and faults; real processes are not the same twice.",
@@ -51,7 +59,7 @@
 SEEDS = click.option(
     "--seeds", type=click.IntRange(1, 100), default=3, show_default=True, help="As many, from --first on."
 )
-FIRST = click.option("--first", type=click.IntRange(0, MOST_SEED), default=1, show_default=True)
+FIRST = click.option("--first", type=click.IntRange(0, MAX_SEED), default=1, show_default=True)
 OUT = click.option(
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
@@ -59,14 +67,15 @@
 )
 
 
-def told(found: Run) -> None:
-    """A run's violations, on standard output."""
-    for one in found.violations:
-        click.echo(f"broken: {one.rule}: {one.text}")
+def print_violations(result: Run) -> None:
+    """Print a run's violations to standard output."""
+    for violation in result.violations:
+        click.echo(f"broken: {violation.rule}: {violation.text}")
 
 
-def violated(runs: list[Run]) -> None:
-    if any(found.violations for found in runs):
+def exit_on_violations(runs: list[Run]) -> None:
+    """Exit with `EXIT_RULE_BROKEN` if a rule was broken in one of the runs."""
+    if any(result.violations for result in runs):
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -87,13 +96,13 @@
 )
 @OUT
 def run_(plan: str, seed: int, twin: bool, tree: Path, out: Path | None) -> None:
-    """Play PLAN (a name or a .toml file) with real processes. Exit code 3 where a rule was broken."""
-    found = run(load(plan), seed, prepare(tree), say, twin)
+    """Play PLAN (a name or a .toml file) with real processes. The exit code is 3 if a rule was broken."""
+    result = run(load(plan), seed, prepare(tree), say, twin)
     if out is not None:
-        keep(found, out)
-    click.echo(show(rows([("value", [found.figures.as_json()])])))
-    told(found)
-    violated([found])
+        store_run(result, out)
+    click.echo(format_table(figure_table([("value", [result.figures.as_json()])])))
+    print_violations(result)
+    exit_on_violations([result])
 
 
 @cli.command()
@@ -103,29 +112,33 @@
 @FIRST
 @OUT
 def pairs(rev: str, plan: str, seeds: int, first: int, out: Path | None) -> None:
-    """The front doors of REV against this tree's, on the same plan and seeds, in turns; medians."""
-    wanted = load(plan)
+    """Compare the gateways of REV with this tree's, in turns on the same plan and seeds; prints medians."""
+    loaded_plan = load(plan)
     sides: dict[str, list[Run]] = {rev: [], "this tree": []}
     with revision(rev) as theirs:
         trees = {rev: theirs, "this tree": prepare(ROOT)}
         for number in range(seeds):
             order = list(trees) if number % 2 else list(reversed(trees))
             for side in order:
-                found = run(wanted, first + number, trees[side], lambda text: None)
-                sides[side].append(found)
+                result = run(loaded_plan, first + number, trees[side], lambda text: None)
+                sides[side].append(result)
                 say(
-                    f"{side}, seed {first + number}: full service {found.figures.full_s}, "
-                    f"{len(found.violations)} broken"
+                    f"{side}, seed {first + number}: full service {result.figures.full_s}, "
+                    f"{len(result.violations)} broken"
                 )
                 if out is not None:
-                    keep(found, out / f"{side.replace(' ', '-')}-{first + number}")
+                    store_run(result, out / f"{side.replace(' ', '-')}-{first + number}")
     click.echo(
-        show(rows([(side, [found.figures.as_json() for found in runs]) for side, runs in sides.items()]))
+        format_table(
+            figure_table(
+                [(side, [result.figures.as_json() for result in runs]) for side, runs in sides.items()]
+            )
+        )
     )
     for runs in sides.values():
-        for found in runs:
-            told(found)
-    violated(sides["this tree"])
+        for result in runs:
+            print_violations(result)
+    exit_on_violations(sides["this tree"])
 
 
 @cli.command()
@@ -147,38 +160,38 @@
 def back(
     plan: str, parts: str, states: str, against: str | None, seeds: int, first: int, jobs: int, out: Path
 ) -> None:
-    """The way back after restarts of several shares of PLAN's doors: a table of medians."""
-    from thistletrail.fault_injection.back import STATES, cases, measure, table
+    """Measure the recovery after restarts of several shares of PLAN's gateways; prints a table of medians."""
+    from thistletrail.fault_injection.back import STATES, list_cases, measure, table
 
-    wanted = load(plan)
-    shares = [share(word) for word in parts.split(",")]
-    names = [word.strip() for word in states.split(",")]
-    if unknown := [name for name in names if name not in STATES]:
+    loaded_plan = load(plan)
+    shares = [parse_share(text) for text in parts.split(",")]
+    state_names = [name.strip() for name in states.split(",")]
+    if unknown := [name for name in state_names if name not in STATES]:
         raise FaultInjectionError(f"unknown state '{unknown[0]}'; known are {', '.join(STATES)}")
     with contextlib.ExitStack() as stack:
         ours = {"this tree": prepare(ROOT).root}
-        numbers = range(first, first + seeds)
-        plays = cases(ours, shares, names, numbers)
+        seed_range = range(first, first + seeds)
+        cases = list_cases(ours, shares, state_names, seed_range)
         if against is not None:
             theirs = stack.enter_context(revision(against)).root
-            plays += cases({against: theirs}, shares, ["none"], numbers)
-            plays.sort(key=lambda case: case.seed)  # in turns, seed by seed
-        results = measure(wanted, plays, jobs, out, say)
-    click.echo(show(table(results)))
-    for one in results:
-        for violation in one.violations:
-            click.echo(f"broken: {one.case.name}: {violation}")
+            cases += list_cases({against: theirs}, shares, ["none"], seed_range)
+            cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
+        results = measure(loaded_plan, cases, jobs, out, say)
+    click.echo(format_table(table(results)))
+    for result in results:
+        for violation in result.violations:
+            click.echo(f"broken: {result.case.name}: {violation}")
 
 
-def share(text: str) -> float:
-    """A share of the doors, above nothing."""
+def parse_share(text: str) -> float:
+    """Parse a share of the gateways: above 0, at most 1; FaultInjectionError for any other text."""
     try:
-        found = float(text)
+        share = float(text)
     except ValueError:
-        found = 0.0
-    if not 0 < found <= 1:
+        share = 0.0
+    if not 0 < share <= 1:
         raise FaultInjectionError(f"'{text}' is no share above 0 and up to 1")
-    return found
+    return share
 
 
 @cli.command()
@@ -186,44 +199,46 @@
 @SEEDS
 @FIRST
 def compare(plan: str, seeds: int, first: int) -> None:
-    """PLAN with real processes and in the model, on the same seeds: medians of both, side by side."""
-    wanted = load(plan)
-    scenario, missing = as_scenario(wanted)
+    """Play PLAN with real processes and in the simulation, on the same seeds; prints the medians of both."""
+    loaded_plan = load(plan)
+    scenario, missing = as_scenario(loaded_plan)
     if missing:
-        raise FaultInjectionError(f"{wanted.name}: the model has no {', nor '.join(dict.fromkeys(missing))}")
-    tree, real, modelled = prepare(ROOT), [], []
+        raise FaultInjectionError(
+            f"{loaded_plan.name}: the model has no {', nor '.join(dict.fromkeys(missing))}"
+        )
+    tree, real, simulated = prepare(ROOT), [], []
     for seed in range(first, first + seeds):
-        found = run(wanted, seed, tree, say)
-        told(found)
-        real.append(found.figures.as_json())
-        modelled.append(in_model(scenario, seed))
-        say(f"seed {seed}: full service {real[-1]['full_s']}, in the model {modelled[-1]['full_s']}")
-    click.echo(show(rows([("fault injection", real), ("model", modelled)])))
+        result = run(loaded_plan, seed, tree, say)
+        print_violations(result)
+        real.append(result.figures.as_json())
+        simulated.append(simulated_figures(scenario, seed))
+        say(f"seed {seed}: full service {real[-1]['full_s']}, in the model {simulated[-1]['full_s']}")
+    click.echo(format_table(figure_table([("fault injection", real), ("model", simulated)])))
 
 
-def in_model(scenario: Any, seed: int) -> dict[str, object]:  # noqa: ANN401 - a Scenario
-    """The figures of one play of the model, by the names of fault injection's where both have them."""
+def simulated_figures(scenario: Any, seed: int) -> dict[str, object]:  # noqa: ANN401 - a Scenario
+    """The figures of one simulated run, under the names of `Figures` where both have them."""
     day = days.play(scenario, seed)
     result = day.result()
     points = day.books.points
     offered = sum(worth for _, worth, _ in points) or 1.0
-    found: dict[str, object] = {
+    figures: dict[str, object] = {
         "served": sum(worth for _, worth, in_time in points if in_time) / offered,
         "retries": result["tries"] / max(1, result["asks"]) - 1,
         **{how: result["ends"].get(how, 0) for how in ("refused", "failed", "gone")},
     }
     if scenario.troubles:
-        way = day.recovery(days.play(days.without_faults(scenario), seed))
-        found |= {
-            "full_s": way["full_s"],
-            "full_after_pong_s": way["full_after_back_s"],
-            "worst_second": way["worst_second"],
-            "lost": way["lost"],
-            "connections": way["opened"],
-            "connections_calm": way["opened_calm"],
-            "pushed_over": way["fallen"],
+        recovery = day.recovery(days.play(days.without_faults(scenario), seed))
+        figures |= {
+            "full_s": recovery["full_s"],
+            "full_after_pong_s": recovery["full_after_back_s"],
+            "worst_second": recovery["worst_second"],
+            "lost": recovery["lost"],
+            "connections": recovery["opened"],
+            "connections_calm": recovery["opened_calm"],
+            "pushed_over": recovery["fallen"],
         }
-    return found
+    return figures
 
 
 @cli.command()
@@ -238,14 +253,14 @@
     help="Where a plan that breaks a rule is kept.",
 )
 def soak(minutes: float, count: int | None, seed: int, out: Path) -> None:
-    """Play random plans; one that breaks a rule is made small and kept as a .toml file."""
-    from thistletrail.fault_injection.soak import soak as play
+    """Play random plans; one that breaks a rule is shrunk and stored as a .toml file."""
+    from thistletrail.fault_injection.soak import soak as run_soak
 
-    found = play(seed, minutes, prepare(ROOT), out, say, count)
-    click.echo(f"{found.played} plans played, {len(found.kept)} kept")
-    for path in found.kept:
+    result = run_soak(seed, minutes, prepare(ROOT), out, say, count)
+    click.echo(f"{result.played} plans played, {len(result.stored)} kept")
+    for path in result.stored:
         click.echo(str(path))
-    if found.kept:
+    if result.stored:
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -254,23 +269,27 @@
 @SEEDS
 @FIRST
 def budgets_(plan: str, seeds: int, first: int) -> None:
-    """PLAN, in which stewards divide budgets: what doors may believe in, at most, and how soon the part of a
-    door that has died is in use elsewhere. A line for each seed."""
-    wanted = load(plan)
-    if not wanted.steward:
-        raise FaultInjectionError(f"{wanted.name}: no steward divides anything in it")
-    tree, wrong = prepare(ROOT), False
+    """Play PLAN, in which lease services divide budgets.
+
+    For each seed it prints the largest part of a budget that gateways may believe they hold, and the time
+    until the part of a killed gateway is in use at others.
+    """
+    loaded_plan = load(plan)
+    if not loaded_plan.steward:
+        raise FaultInjectionError(f"{loaded_plan.name}: no steward divides anything in it")
+    tree, has_violations = prepare(ROOT), False
     click.echo("seed  most held  regained s  not regained  renewals  stewards  served  broken")
     for seed in range(first, first + seeds):
-        found = run(wanted, seed, tree, say, twin=False)
-        told(found)
-        count, one = len(found.violations), divided(found.seen)
-        wrong = wrong or bool(count)
+        result = run(loaded_plan, seed, tree, say, with_baseline=False)
+        print_violations(result)
+        count, leases = len(result.violations), divided(result.history)
+        regained = format_value(leases.regained_s)
+        has_violations = has_violations or bool(count)
         click.echo(
-            f"{seed:4}  {one.most_held:9.3f}  {text(one.regained_s):>10}  {one.unregained:12}  "
-            f"{one.renewals:8}  {one.stewards:8}  {found.figures.served:6.3f}  {count:6}"
+            f"{seed:4}  {leases.most_held:9.3f}  {regained:>10}  {leases.unregained:12}  "
+            f"{leases.renewals:8}  {leases.stewards:8}  {result.figures.served:6.3f}  {count:6}"
         )
-    if wrong:
+    if has_violations:
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -289,22 +308,24 @@
 @click.option("--doors", type=click.IntRange(2, 48), default=6, show_default=True)
 @click.option("--without", is_flag=True, help="Nothing is kept: what the same deaths cost without it.")
 def deaths_(count: int, points: str, seeds: int, first: int, doors: int, without: bool) -> None:
-    """Kill doors at chosen points of a piece of work: is it run once, and does its client get its outcome?"""
-    wanted = tuple(points.split(","))
-    if strange := set(wanted) - set(POINTS):
-        raise FaultInjectionError(f"there is no point '{min(strange)}' (one of: {', '.join(POINTS)})")
-    tree, found = prepare(ROOT), []
+    """Kill gateways at chosen points of a work item; check that it runs once and its outcome is delivered."""
+    chosen_points = tuple(points.split(","))
+    if unknown := set(chosen_points) - set(POINTS):
+        raise FaultInjectionError(f"there is no point '{min(unknown)}' (one of: {', '.join(POINTS)})")
+    tree, crashes = prepare(ROOT), []
     for seed in range(first, first + seeds):
         with TemporaryDirectory(prefix="deaths-") as folder:
-            found += asyncio.run(
-                inject_crashes(tree, Path(folder), wanted, EFFECTS, count, seed, doors, not without, say)
+            crashes += asyncio.run(
+                inject_crashes(
+                    tree, Path(folder), chosen_points, EFFECTS, count, seed, doors, not without, say
+                )
             )
-        say(f"seed {seed}: {len(found)} deaths so far")
-    click.echo(table(found))
-    for crash in found:
+        say(f"seed {seed}: {len(crashes)} deaths so far")
+    click.echo(table(crashes))
+    for crash in crashes:
         if crash.violation:
             click.echo(f"broken: {crash.point}: {crash.violation}")
-    if not without and any(crash.violation for crash in found):
+    if not without and any(crash.violation for crash in crashes):
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -316,16 +337,16 @@
     "--out", type=click.Path(dir_okay=False, path_type=Path), default=Path("report.html"), show_default=True
 )
 def report(runs: tuple[Path, ...], out: Path) -> None:
-    """One HTML file with plots of the runs kept in these folders."""
-    from thistletrail.fault_injection.report import write
+    """Write one HTML file with plots of the runs stored in these folders."""
+    from thistletrail.fault_injection.report import write_report
 
-    write([(folder.name, kept(folder)) for folder in runs], out)
+    write_report([(folder.name, load_run(folder)) for folder in runs], out)
     click.echo(f"{out} is written")
 
 
 @cli.command("list")
 def list_() -> None:
-    """The plans that come with fault injection."""
+    """List the plans that come with fault injection."""
     for name in known():
         plan = load(name)
         kinds = ", ".join(dict.fromkeys(fault.kind for fault in plan.faults)) or "no fault"
--- a/thistletrail/fault_injection/back.py
+++ b/thistletrail/fault_injection/back.py
@@ -1,7 +1,7 @@
-"""The way back measured: restarts of several shares of the doors, with and without state, of several trees.
+"""The restart scenario: restarts of several shares of the gateways, with and without state, of several trees.
 
-Each play is a process of its own (`python -m thistletrail.fault_injection run`), so that several go on side
-by side; a calm twin is played once for each tree and seed.
+Each run is a process of its own (`python -m thistletrail.fault_injection run`), so that several run in
+parallel. The baseline run without faults is played once for each tree, state and seed.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 from thistletrail.benchmarks.process import ROOT
 from thistletrail.fault_injection.errors import FaultInjectionError
-from thistletrail.fault_injection.figures import Figures, figures
+from thistletrail.fault_injection.figures import Figures, compute_figures
 from thistletrail.fault_injection.plan import Plan, dump
-from thistletrail.fault_injection.runs import Run, kept, median, text
+from thistletrail.fault_injection.runs import Run, format_value, load_run, median
 from thistletrail.simulation.experiment import Runner
 
 STATES = {"none": ("none", False), "kept": ("kept", True), "stale": ("stale", True)}
-END_S = 20.0  # for a play to end all its processes after SIGTERM
+TERMINATION_TIMEOUT_S = 20.0  # for a run to end all its processes after SIGTERM
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One play: which doors' tree, what share of the doors, what state they come back with."""
+    """One run: the gateways' source tree, the share that restarts, and their state after the restart."""
 
     side: str
     tree: Path
-    part: float  # 0: the calm twin
+    part: float  # share of the gateways; 0: the baseline run without faults
     state: str
     seed: int
 
@@ -43,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What became of a case: its figures against its twin, and the rules that it broke."""
+    """The result of a case: its figures compared with its baseline run, and its violations."""
 
     case: Case
     figures: Figures
     violations: list[str]
 
 
-def cases(
+def list_cases(
     sides: dict[str, Path], parts: Iterable[float], states: Iterable[str], seeds: Iterable[int]
 ) -> list[Case]:
-    """All plays in the order in which they are made: sides in turns, twins among them."""
+    """All cases in the order of their runs: sides alternate; each seed and state begins with baselines."""
     return [
         Case(side, tree, part, state, seed)
         for seed in seeds
@@ -63,24 +63,27 @@
     ]
 
 
-def plan_of(plan: Plan, case: Case) -> Plan:
-    """The plan with its first fault on that share of the doors, which come back with that state."""
+def plan_for(plan: Plan, case: Case) -> Plan:
+    """The plan with the case's share and state in its first fault; without faults for a baseline.
+
+    Raises FaultInjectionError if the first fault does not restart gateways.
+    """
     if not plan.faults or plan.faults[0].kind not in ("kill", "term") or plan.faults[0].on != "doors":
         raise FaultInjectionError(f"{plan.name}: its first fault does not restart doors")
-    state, kept_ = STATES[case.state]
+    state, stores_state = STATES[case.state]
     replace = msgspec.structs.replace
     first = replace(plan.faults[0], part=case.part, numbers=(), state=state)
     faults = (first, *plan.faults[1:]) if case.part else ()
-    return replace(plan, faults=faults, state=kept_)
+    return replace(plan, faults=faults, state=stores_state)
 
 
 def play(runner: Runner, plan: Plan, case: Case, out: Path) -> Run:
-    """One play in a process of its own, kept in its folder; one that fails is a ModelError."""
+    """Play a case in a process of its own and load the stored run. Raises ModelError if the process fails."""
     folder = out / case.name
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "wanted.toml"
-    path.write_text(dump(plan_of(plan, case)))
-    words = [
+    path.write_text(dump(plan_for(plan, case)))
+    command = [
         sys.executable,
         "-m",
         "thistletrail.fault_injection",
@@ -94,59 +97,73 @@
         "--tree",
         str(case.tree),
     ]
-    runner.run(words, ROOT, os.environ, case.name)
-    return kept(folder)
+    runner.run(command, ROOT, os.environ, case.name)
+    return load_run(folder)
 
 
-def measure(plan: Plan, wanted: list[Case], jobs: int, out: Path, say: Callable[[str], None]) -> list[Result]:
-    """Make all plays and hold each against its twin. What cannot be played ends all others."""
-    runner, pool = Runner(jobs, END_S), ThreadPoolExecutor(jobs)
+def measure(plan: Plan, cases: list[Case], jobs: int, out: Path, say: Callable[[str], None]) -> list[Result]:
+    """Play all cases and compare each with its baseline run. The first failure stops all other runs."""
+    runner, pool = Runner(jobs, TERMINATION_TIMEOUT_S), ThreadPoolExecutor(jobs)
     try:
-        futures = [pool.submit(play, runner, plan, case, out) for case in wanted]
+        futures = [pool.submit(play, runner, plan, case, out) for case in cases]
         runs: dict[Case, Run] = {}
-        for case, future in zip(wanted, futures, strict=True):
+        for case, future in zip(cases, futures, strict=True):
             runs[case] = future.result()
             say(
-                f"{len(runs)} of {len(wanted)}: {case.name}: served {runs[case].figures.served:.3f}, "
+                f"{len(runs)} of {len(cases)}: {case.name}: served {runs[case].figures.served:.3f}, "
                 f"{len(runs[case].violations)} broken"
             )
     finally:
         runner.stop()
         pool.shutdown(cancel_futures=True)
-    found = []
+    results = []
     for case, run in runs.items():
-        twin = runs[Case(case.side, case.tree, 0.0, case.state, case.seed)]
+        baseline = runs[Case(case.side, case.tree, 0.0, case.state, case.seed)]
         if case.part:
-            found.append(
+            results.append(
                 Result(
-                    case, figures(run.seen, twin.seen), [f"{one.rule}: {one.text}" for one in run.violations]
+                    case,
+                    compute_figures(run.history, baseline.history),
+                    [f"{violation.rule}: {violation.text}" for violation in run.violations],
                 )
             )
-    return found
+    return results
 
 
 COLUMNS: dict[str, Callable[[Figures], object]] = {
-    "full service, s": lambda found: found.full_s,
-    "after the last PONG": lambda found: found.full_after_pong_s,
-    "worst second": lambda found: found.worst_second,
-    "worth lost": lambda found: found.lost,
-    "opened to calm": lambda found: found.connections / max(1, found.connections_calm or 0),
-    "words to calm": lambda found: found.words / max(1, found.words_calm or 0),
-    "list reads to calm": lambda found: found.list_reads / max(1, found.list_reads_calm or 0),
-    "beyond, less calm": lambda found: found.beyond - (found.beyond_calm or 0),
-    "retries": lambda found: found.retries,
-    "failed": lambda found: found.failed,
-    "pushed over": lambda found: found.pushed_over,
+    "full service, s": lambda figures: figures.full_s,
+    "after the last PONG": lambda figures: figures.full_after_pong_s,
+    "worst second": lambda figures: figures.worst_second,
+    "worth lost": lambda figures: figures.lost,
+    "opened to calm": lambda figures: figures.connections / max(1, figures.connections_calm or 0),
+    "words to calm": lambda figures: figures.words / max(1, figures.words_calm or 0),
+    "list reads to calm": lambda figures: figures.list_reads / max(1, figures.list_reads_calm or 0),
+    "beyond, less calm": lambda figures: figures.beyond - (figures.beyond_calm or 0),
+    "retries": lambda figures: figures.retries,
+    "failed": lambda figures: figures.failed,
+    "pushed over": lambda figures: figures.pushed_over,
 }
 
 
 def table(results: list[Result]) -> list[list[str]]:
-    """By side, state and share: the median of each figure over the seeds, and all broken rules."""
+    """A table by side, state and share: medians of the figures over the seeds, and the violations' count."""
     rows = [["doors", "state", "share", "seeds", *COLUMNS, "broken"]]
-    for key in dict.fromkeys((one.case.side, one.case.state, one.case.part) for one in results):
-        of = [one for one in results if (one.case.side, one.case.state, one.case.part) == key]
-        cells = [text(median([column(one.figures) for one in of])) for column in COLUMNS.values()]
+    for key in dict.fromkeys((result.case.side, result.case.state, result.case.part) for result in results):
+        matching = [
+            result for result in results if (result.case.side, result.case.state, result.case.part) == key
+        ]
+        cells = [
+            format_value(median([column(result.figures) for result in matching]))
+            for column in COLUMNS.values()
+        ]
         rows.append(
-            [key[0], key[1], f"{key[2]:g}", str(len(of)), *cells, str(sum(len(one.violations) for one in of))]
+            [
+                key[0],
+                key[1],
+                f"{key[2]:g}",
+                str(len(matching)),
+                *cells,
+                str(sum(len(result.violations) for result in matching)),
+            ]
         )
     return rows
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -1,4 +1,4 @@
-"""What a run was like, in figures: the way back to full service, and what the fleet did on it."""
+"""Figures of a run: the recovery to full service, and the load that the fleet caused meanwhile."""
 
 from __future__ import annotations
 
@@ -15,129 +15,138 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Of one run; times in seconds, rates a second at their highest. Those against calm need its twin."""
+    """The figures of one run: times in seconds, rates as the maximum in any second.
+
+    The figures `*_calm` and those of the recovery are None without a baseline run, which plays the same load
+    without faults.
+    The fields' names are the keys of `result.json`.
+    """
 
     served: float  # share of the worth asked inside the quotas
-    full_s: float | None  # from the first fault until full service
-    full_after_pong_s: float | None  # the same, from when the last restarted door answered PING
-    worst_second: float | None  # share of what the calm twin served then
-    lost: float | None  # worth, as a share of all that was asked
-    connections: int  # doors to scan servers, in the worst second
+    full_s: float | None  # from the first fault until full service; None if never
+    full_after_pong_s: float | None  # the same, from the first PONG of the last restarted gateway
+    worst_second: float | None  # lowest served worth in a second, as a share of the baseline's
+    lost: float | None  # worth lost, as a share of all worth requested
+    connections: int  # opened from gateways to scan servers, in the worst second
     connections_calm: int | None
     list_reads: int
     list_reads_calm: int | None
-    words: int
+    words: int  # quota messages in the worst second
     words_calm: int | None
-    pushed_over: int
-    beyond: int  # units beyond quotas that an overrun costs
+    pushed_over: int  # scan servers that collapsed under their load
+    beyond: int  # units beyond the quotas of plans whose overrun costs more than it is worth
     beyond_calm: int | None
-    retries: float  # a first try
+    retries: float  # requests after the first, per operation
     refused: int
     failed: int
     gone: int
-    fault_injection_late_s: float  # at most, of the own loop and its clients': the machine was too busy
+    fault_injection_late_s: float  # maximum lag of the own event loops; high if the machine was too busy
 
     def as_json(self) -> dict[str, object]:
         return asdict(self)
 
 
-def start_us(seen: Seen) -> int:
-    return seen.by["go"][0]["start_us"]
+def start_us(history: Seen) -> int:
+    return history.by["go"][0]["start_us"]
 
 
-def points(seen: Seen) -> list[Point]:
-    """What was asked inside the quotas, and whether it was served in time."""
-    start = start_us(seen)
+def operations_in_quota(history: Seen) -> list[Point]:
+    """The time from the load's start, the worth and the success of each operation inside the ideal quotas."""
+    start = start_us(history)
     return [
         (record["first_us"] - start, record["worth"], record["in_time"])
-        for record in seen.by["ask"]
+        for record in history.by["ask"]
         if record["ideal"]
     ]
 
 
-def busiest(times: Iterable[int], counts: Iterable[int] | None = None) -> int:
-    """The most in a second, of seconds that begin at a tenth."""
-    tenth = S // 10
-    found: Counter[int] = Counter()
-    for at, count in zip(times, itertools.repeat(1) if counts is None else counts, strict=False):
-        found[at // tenth] += count
-    return max((sum(found[at + n] for n in range(10)) for at in found), default=0)
+def max_per_second(times: Iterable[int], amounts: Iterable[int] | None = None) -> int:
+    """The maximum count in any second that begins at a multiple of 0.1 s; times are in microseconds."""
+    tenth_us = S // 10
+    counts_by_tenth: Counter[int] = Counter()
+    for at, amount in zip(times, itertools.repeat(1) if amounts is None else amounts, strict=False):
+        counts_by_tenth[at // tenth_us] += amount
+    return max((sum(counts_by_tenth[at + n] for n in range(10)) for at in counts_by_tenth), default=0)
 
 
-def until_end(seen: Seen, kind: str) -> list[Record]:
-    """Records up to the load's end: what comes after it is the end of the run."""
-    end = seen.by["go"][0]["end_us"]
-    return [record for record in seen.by[kind] if record["at"] < end]
+def records_until_end(history: Seen, kind: str) -> list[Record]:
+    """The records of a kind before the load ends: later ones belong to the shutdown of the run."""
+    end = history.by["go"][0]["end_us"]
+    return [record for record in history.by[kind] if record["at"] < end]
 
 
-def opened(seen: Seen, *links: str) -> int:
-    return busiest(record["at"] for record in until_end(seen, "open") if record["link"] in links)
+def max_opened_per_second(history: Seen, *links: str) -> int:
+    return max_per_second(
+        record["at"] for record in records_until_end(history, "open") if record["link"] in links
+    )
 
 
-def words(seen: Seen) -> int:
-    kept = until_end(seen, "words")
-    return busiest([record["at"] for record in kept], [record["count"] for record in kept])
+def max_quota_messages_per_second(history: Seen) -> int:
+    records = records_until_end(history, "words")
+    return max_per_second([record["at"] for record in records], [record["count"] for record in records])
 
 
-def beyond(seen: Seen) -> int:
-    costly = {plan.name for plan in seen.plan.fleet.plans if plan.over_cost > plan.over_worth}
+def units_beyond_quotas(history: Seen) -> int:
+    costly = {plan.name for plan in history.plan.fleet.plans if plan.over_cost > plan.over_worth}
     return sum(
-        not inside for plan, units in accounts(seen)[1].items() if plan in costly for _, inside in units
+        not inside for plan, units in accounts(history)[1].items() if plan in costly for _, inside in units
     )
 
 
-def last_pong(seen: Seen, fault_at: int) -> int | None:
-    """When the last door that was down answered PING again, by `Fleet`'s own look."""
-    came = [
+def last_pong_us(history: Seen, fault_us: int) -> int | None:
+    """When the last restarted gateway answered the fleet's PING again, in microseconds, or None."""
+    pongs = [
         record["at"]
-        for record in seen.by["started"]
-        if record["who"].startswith("doors-") and record["at"] > fault_at
+        for record in history.by["started"]
+        if record["who"].startswith("doors-") and record["at"] > fault_us
     ]
-    return max(came, default=None)
-
-
-def figures(seen: Seen, calm: Seen | None = None) -> Figures:
-    """Of a run, and against its calm twin where there is one."""
-    mine, start = points(seen), start_us(seen)
-    offered = sum(worth for _, worth, _ in mine) or 1.0
-    ends = Counter(record["how"] for record in seen.by["end"])
-    back = after_pong = None
-    faults = [record["at"] for record in seen.by["fault"] if record["fault"] != "burst"]
-    if calm is not None and faults:
-        end = seen.by["go"][0]["end_us"] - start
-        usual = points(calm)
-        back = measure_recovery(mine, usual, min(faults) - start, end)
-        pong = last_pong(seen, min(faults))
-        if pong is not None:
-            after_pong = measure_recovery(mine, usual, pong - start, end).full_s
+    return max(pongs, default=None)
+
+
+def compute_figures(history: Seen, baseline: Seen | None = None) -> Figures:
+    """Compute the figures of a run, compared with its baseline run if there is one."""
+    operations, start = operations_in_quota(history), start_us(history)
+    offered = sum(worth for _, worth, _ in operations) or 1.0
+    outcomes = Counter(record["how"] for record in history.by["end"])
+    recovery = full_after_pong_s = None
+    faults = [record["at"] for record in history.by["fault"] if record["fault"] != "burst"]
+    if baseline is not None and faults:
+        end_us = history.by["go"][0]["end_us"] - start
+        baseline_operations = operations_in_quota(baseline)
+        recovery = measure_recovery(operations, baseline_operations, min(faults) - start, end_us)
+        pong_us = last_pong_us(history, min(faults))
+        if pong_us is not None:
+            full_after_pong_s = measure_recovery(
+                operations, baseline_operations, pong_us - start, end_us
+            ).full_s
     return Figures(
-        served=sum(worth for _, worth, in_time in mine if in_time) / offered,
-        full_s=back.full_s if back else None,
-        full_after_pong_s=after_pong,
-        worst_second=back.worst_second if back else None,
-        lost=back.lost if back else None,
-        connections=opened(seen, "doors-servers"),
-        connections_calm=opened(calm, "doors-servers") if calm else None,
-        list_reads=opened(seen, "doors-list", "doors-follower"),
-        list_reads_calm=opened(calm, "doors-list", "doors-follower") if calm else None,
-        words=words(seen),
-        words_calm=words(calm) if calm else None,
-        pushed_over=len(seen.by["fell"]),
-        beyond=beyond(seen),
-        beyond_calm=beyond(calm) if calm else None,
-        retries=len(seen.by["end"]) / max(1, len(seen.by["ask"])) - 1,
-        refused=ends["refused"],
-        failed=ends["failed"],
-        gone=ends["gone"],
-        fault_injection_late_s=max((record["us"] / S for record in seen.by["stalled"]), default=0.0),
+        served=sum(worth for _, worth, in_time in operations if in_time) / offered,
+        full_s=recovery.full_s if recovery else None,
+        full_after_pong_s=full_after_pong_s,
+        worst_second=recovery.worst_second if recovery else None,
+        lost=recovery.lost if recovery else None,
+        connections=max_opened_per_second(history, "doors-servers"),
+        connections_calm=max_opened_per_second(baseline, "doors-servers") if baseline else None,
+        list_reads=max_opened_per_second(history, "doors-list", "doors-follower"),
+        list_reads_calm=max_opened_per_second(baseline, "doors-list", "doors-follower") if baseline else None,
+        words=max_quota_messages_per_second(history),
+        words_calm=max_quota_messages_per_second(baseline) if baseline else None,
+        pushed_over=len(history.by["fell"]),
+        beyond=units_beyond_quotas(history),
+        beyond_calm=units_beyond_quotas(baseline) if baseline else None,
+        retries=len(history.by["end"]) / max(1, len(history.by["ask"])) - 1,
+        refused=outcomes["refused"],
+        failed=outcomes["failed"],
+        gone=outcomes["gone"],
+        fault_injection_late_s=max((record["us"] / S for record in history.by["stalled"]), default=0.0),
     )
 
 
-def by_second(records: Iterable[Record], start: int, length_s: float) -> list[int]:
-    """How many records fall into each second of the load."""
-    found = [0] * (int(length_s) + 1)
+def count_by_second(records: Iterable[Record], start: int, length_s: float) -> list[int]:
+    """Count the records in each second of the load, weighted by their `count`."""
+    counts = [0] * (int(length_s) + 1)
     for record in records:
         second = (record["at"] - start) // S
-        if 0 <= second < len(found):
-            found[second] += record.get("count", 1)
-    return found
+        if 0 <= second < len(counts):
+            counts[second] += record.get("count", 1)
+    return counts
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML of runs: faults as bands over what was served, refused, failed, opened, said."""
+"""A self-contained HTML report of runs: plots of outcomes, connections and messages, with faults as bands."""
 
 from __future__ import annotations
 
@@ -9,85 +9,88 @@
 
 from thistletrail.fault_injection.checks import Seen
 from thistletrail.fault_injection.errors import FaultInjectionError
-from thistletrail.fault_injection.figures import by_second, points, start_us
-from thistletrail.fault_injection.runs import Run, rows
+from thistletrail.fault_injection.figures import count_by_second, operations_in_quota, start_us
+from thistletrail.fault_injection.runs import Run, figure_table
 from thistletrail.simulation.clock import S
 from thistletrail.simulation.report import STYLE
 
-MOST_LISTED = 50  # violations that are shown; all are counted
+MAX_LISTED_VIOLATIONS = 50  # all violations are counted
 COLOURS = {"up": "#8c8", "down": "#d66", "paused": "#dc7"}
 
 
-def bands(seen: Seen, length_s: float) -> list[tuple[float, float, str]]:
-    """Each fault, from and to in seconds of the load."""
-    start = start_us(seen)
-    ends = {record["number"]: (record["at"] - start) / S for record in seen.by["undone"]}
+def fault_spans(history: Seen, length_s: float) -> list[tuple[float, float, str]]:
+    """Start, end and kind of each fault, in seconds from the load's start."""
+    start = start_us(history)
+    ends = {record["number"]: (record["at"] - start) / S for record in history.by["undone"]}
     return [
         ((record["at"] - start) / S, ends.get(record["number"], length_s), record["fault"])
-        for record in seen.by["fault"]
+        for record in history.by["fault"]
     ]
 
 
-def states(seen: Seen, length_s: float) -> list[list[tuple[float, float, str]]]:
-    """Each door's spans of being down or paused, in seconds of the load."""
-    start = start_us(seen)
-    found = []
-    for door in range(seen.plan.fleet.doors):
+def gateway_spans(history: Seen, length_s: float) -> list[list[tuple[float, float, str]]]:
+    """For each gateway its spans of being down or paused: start, end (seconds of the load) and state."""
+    start = start_us(history)
+    gateways = []
+    for door in range(history.plan.fleet.doors):
         spans = []
-        for kind, of in (("down", seen.down), ("paused", seen.paused)):
-            for begin, end in of.spans.get(f"doors-{door}", ()):
-                spans.append((max(0.0, (begin - start) / S), min(length_s, (end - S - start) / S), kind))
-        found.append([span for span in spans if span[0] < span[1]])
-    return found
+        for state, state_spans in (("down", history.down), ("paused", history.paused)):
+            for begin, end in state_spans.spans.get(f"doors-{door}", ()):
+                spans.append((max(0.0, (begin - start) / S), min(length_s, (end - S - start) / S), state))
+        gateways.append([span for span in spans if span[0] < span[1]])
+    return gateways
 
 
-def plots(run: Run) -> str:
-    """The run's plots as one PNG in base64."""
+def plot_base64(run: Run) -> str:
+    """Plot a run, and return the PNG in base64."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    seen, length = run.seen, run.plan.fleet.length_s
-    start, seconds = start_us(seen), range(int(length) + 1)
+    run_history, length_s = run.history, run.plan.fleet.length_s
+    start, seconds = start_us(run_history), range(int(length_s) + 1)
     figure, axes = pyplot.subplots(5, 1, figsize=(10, 17), sharex=True, layout="constrained")
-    for name, of in (("with the faults", seen), ("without", run.calm)):
-        if of is None:
+    for name, history in (("with the faults", run_history), ("without", run.baseline)):
+        if history is None:
             continue
-        served, asked = [0.0] * len(seconds), [0.0] * len(seconds)
-        for at, worth, in_time in points(of):
+        served, requested = [0.0] * len(seconds), [0.0] * len(seconds)
+        for at, worth, in_time in operations_in_quota(history):
             if 0 <= at // S < len(seconds):
-                asked[at // S] += worth
+                requested[at // S] += worth
                 served[at // S] += worth * in_time
-        shares = [one / all_ if all_ else None for one, all_ in zip(served, asked, strict=True)]
+        shares = [part / total if total else None for part, total in zip(served, requested, strict=True)]
         axes[0].plot(seconds, shares, marker=".", label=name)
     axes[0].set(title="served in time, as a share of the worth asked inside the quotas", ylim=(0, 1.05))
     for how in ("refused", "failed", "unreached", "gone"):
-        kept = [record for record in seen.by["end"] if record["how"] == how]
-        axes[1].plot(seconds, by_second(kept, start, length), label=how)
+        records = [record for record in run_history.by["end"] if record["how"] == how]
+        axes[1].plot(seconds, count_by_second(records, start, length_s), label=how)
     axes[1].set(title="other ends of requests", ylabel="a second")
     for link in ("clients-doors", "doors-servers", "doors-list", "doors-follower", "servers-list"):
-        kept = [record for record in seen.by["open"] if record["link"] == link]
-        axes[2].plot(seconds, by_second(kept, start, length), label=link)
+        records = [record for record in run_history.by["open"] if record["link"] == link]
+        axes[2].plot(seconds, count_by_second(records, start, length_s), label=link)
     axes[2].set(title="connections opened", ylabel="a second")
     for fate in ("passed", "lost"):
-        kept = [record for record in seen.by["words"] if record["fate"] == fate]
-        axes[3].plot(seconds, by_second(kept, start, length), label=fate)
+        records = [record for record in run_history.by["words"] if record["fate"] == fate]
+        axes[3].plot(seconds, count_by_second(records, start, length_s), label=fate)
     axes[3].set(title="datagrams between doors", ylabel="a second")
-    for door, spans in enumerate(states(seen, length)):
-        axes[4].broken_barh([(0, length)], (door - 0.4, 0.8), color=COLOURS["up"])
+    for door, spans in enumerate(gateway_spans(run_history, length_s)):
+        axes[4].broken_barh([(0, length_s)], (door - 0.4, 0.8), color=COLOURS["up"])
         for begin, end, kind in spans:
             axes[4].broken_barh([(begin, end - begin)], (door - 0.4, 0.8), color=COLOURS[kind])
     axes[4].set(
-        title="doors: serving, down (red), paused (yellow)", ylabel="door", xlabel="second", xlim=(0, length)
+        title="doors: serving, down (red), paused (yellow)",
+        ylabel="door",
+        xlabel="second",
+        xlim=(0, length_s),
     )
     for axis in axes:
-        for begin, end, _ in bands(seen, length):
+        for begin, end, _ in fault_spans(run_history, length_s):
             axis.axvspan(begin, max(end, begin + 0.05), alpha=0.12, color="#a00")
         if axis.get_legend_handles_labels()[0]:
             axis.legend(fontsize="small", loc="upper left", bbox_to_anchor=(1.0, 1.0))
         axis.grid(alpha=0.3)
-    for begin, _, kind in bands(seen, length):
+    for begin, _, kind in fault_spans(run_history, length_s):
         axes[0].annotate(kind, (begin, 0.02), rotation=90, fontsize="small")
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=80, metadata={"Software": None})
@@ -95,8 +98,8 @@
     return base64.b64encode(buffer.getvalue()).decode()
 
 
-def section(name: str, run: Run) -> str:
-    cells = rows([("value", [run.figures.as_json()])])[1:]
+def run_section(name: str, run: Run) -> str:
+    cells = figure_table([("value", [run.figures.as_json()])])[1:]
     parts = [
         f"<h2>{html.escape(name)}: {html.escape(run.plan.name)}, seed {run.seed}</h2>",
         "<table>",
@@ -104,29 +107,32 @@
         "</table>",
     ]
     if run.violations:
-        start = start_us(run.seen)
+        start = start_us(run.history)
         parts.append(f"<h3>{len(run.violations)} broken rules</h3><table>")
         parts += [
-            f"<tr><td>{(one.at_us - start) / S:.2f} s</td><td>{html.escape(one.rule)}</td>"
-            f"<td>{html.escape(one.text)}</td></tr>"
-            for one in run.violations[:MOST_LISTED]
+            f"<tr><td>{(violation.at_us - start) / S:.2f} s</td><td>{html.escape(violation.rule)}</td>"
+            f"<td>{html.escape(violation.text)}</td></tr>"
+            for violation in run.violations[:MAX_LISTED_VIOLATIONS]
         ]
         parts.append("</table>")
     else:
         parts.append("<p>Rules kept.</p>")
-    parts.append(f'<img alt="plots of {html.escape(name)}" src="data:image/png;base64,{plots(run)}">')
+    parts.append(f'<img alt="plots of {html.escape(name)}" src="data:image/png;base64,{plot_base64(run)}">')
     return "\n".join(parts)
 
 
-def write(runs: list[tuple[str, Run]], out: Path) -> None:
-    """The report of these runs, as one file that needs no other."""
+def write_report(runs: list[tuple[str, Run]], out: Path) -> None:
+    """Write the report of these runs as one self-contained file.
+
+    Raises FaultInjectionError if the file cannot be written.
+    """
     page = "\n".join(
         [
             "<!doctype html>",
             '<html lang="en"><meta charset="utf-8">',
             f"<title>Runs of real processes</title><style>{STYLE}</style>",
             "<h1>Runs of real processes</h1>",
-            *(section(*one) for one in runs),
+            *(run_section(name, run) for name, run in runs),
             "</html>\n",
         ]
     )
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -1,4 +1,4 @@
-"""Runs of plans, kept in folders: a play and its calm twin, pairs against a revision, random plans."""
+"""Runs of plans with their baseline runs without faults: playing, storing, loading, tables of figures."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from thistletrail.benchmarks.process import Tree
 from thistletrail.fault_injection.checks import Seen, Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
-from thistletrail.fault_injection.figures import Figures, figures
+from thistletrail.fault_injection.figures import Figures, compute_figures
 from thistletrail.fault_injection.history import read, write
 from thistletrail.fault_injection.plan import Plan, dump, load
 from thistletrail.fault_injection.play import Say, play
@@ -24,57 +24,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A plan that was played, its calm twin where there was one, and what came of it."""
+    """A played plan: its history, that of its baseline run if there is one, its figures and violations."""
 
     plan: Plan
     seed: int
-    seen: Seen
-    calm: Seen | None
+    history: Seen
+    baseline: Seen | None
     figures: Figures
     violations: list[Violation]
 
 
 def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> Seen:
-    """Play a plan in a folder that is gone afterwards. Ctrl-C ends all processes first."""
+    """Play a plan in a temporary folder. On Ctrl-C all processes end before KeyboardInterrupt is raised."""
     with (
         tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         try:
             return Seen(runner.run(play(plan, seed, tree, Path(folder), say, more)), plan, seed)
-        except asyncio.CancelledError:  # by SIGTERM or Ctrl-C, and all processes have ended
+        except asyncio.CancelledError:  # SIGTERM or Ctrl-C; all processes have ended
             raise KeyboardInterrupt from None
 
 
 def run(
-    plan: Plan, seed: int, tree: Tree, say: Say, twin: bool = True, more: dict[str, Any] | None = None
+    plan: Plan,
+    seed: int,
+    tree: Tree,
+    say: Say,
+    with_baseline: bool = True,
+    more: dict[str, Any] | None = None,
 ) -> Run:
-    """Play a plan, and before it the same load without its faults."""
-    calm = play_once(plan.calm, seed, tree, say, more) if twin and plan.calm != plan else None
-    seen = play_once(plan, seed, tree, say, more)
-    return Run(plan, seed, seen, calm, figures(seen, calm), check(seen))
+    """Play a plan, after a baseline run of the same load without faults unless that is disabled."""
+    baseline = play_once(plan.calm, seed, tree, say, more) if with_baseline and plan.calm != plan else None
+    history = play_once(plan, seed, tree, say, more)
+    return Run(plan, seed, history, baseline, compute_figures(history, baseline), check(history))
 
 
-def keep(found: Run, folder: Path) -> None:
-    """Keep a run's plan, histories and figures."""
+def store_run(run: Run, folder: Path) -> None:
+    """Store a run's plan, histories, figures and violations in a folder.
+
+    Raises FaultInjectionError if the folder cannot be written.
+    """
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / PLAN).write_text(dump(found.plan))
+        (folder / PLAN).write_text(dump(run.plan))
         result = {
-            "seed": found.seed,
-            "figures": found.figures.as_json(),
-            "violations": [[one.rule, one.at_us, one.text] for one in found.violations],
+            "seed": run.seed,
+            "figures": run.figures.as_json(),
+            "violations": [[violation.rule, violation.at_us, violation.text] for violation in run.violations],
         }
         (folder / RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
     except OSError as error:
         raise FaultInjectionError(f"{folder}: {error.strerror}") from error
-    for seen, name in ((found.seen, HISTORY), (found.calm, CALM)):
-        if seen is not None:
-            write((record for kind in seen.by.values() for record in kind), folder / name)
+    for history, name in ((run.history, HISTORY), (run.baseline, CALM)):
+        if history is not None:
+            write((record for records in history.by.values() for record in records), folder / name)
+
 
+def load_run(folder: Path) -> Run:
+    """Load a stored run; its figures and violations are computed again from its histories.
 
-def kept(folder: Path) -> Run:
-    """A run that was kept; its figures and violations are taken from its histories anew."""
+    Raises FaultInjectionError if the folder holds no run or no seed.
+    """
     if not (folder / PLAN).exists():
         raise FaultInjectionError(f"{folder} holds no run")
     plan = load(str(folder / PLAN))
@@ -82,34 +93,38 @@
         seed = int(msgspec.json.decode((folder / RESULT).read_bytes())["seed"])
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError):
         raise FaultInjectionError(f"{folder / RESULT} tells no seed") from None
-    seen = Seen(read(folder / HISTORY), plan, seed)
-    calm = Seen(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
-    return Run(plan, seed, seen, calm, figures(seen, calm), check(seen))
+    history = Seen(read(folder / HISTORY), plan, seed)
+    baseline = Seen(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
+    return Run(plan, seed, history, baseline, compute_figures(history, baseline), check(history))
 
 
-def text(value: object) -> str:
+def format_value(value: object) -> str:
     if value is None:
         return "-"
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
-def rows(sides: list[tuple[str, list[dict[str, object]]]]) -> list[list[str]]:
-    """A table of figures: a row each, a column for each side with the median of its runs; never counts as
-    the worst."""
-    names = list(dict.fromkeys(name for _, runs in sides for one in runs for name in one))
-    found = [["figure", *(name for name, _ in sides)]]
+def figure_table(sides: list[tuple[str, list[dict[str, object]]]]) -> list[list[str]]:
+    """A table with a row for each figure and a column for each side: the median of its runs.
+
+    A figure that is None (never or unknown) counts as the worst in the median.
+    """
+    names = list(dict.fromkeys(name for _, runs in sides for figures in runs for name in figures))
+    table = [["figure", *(name for name, _ in sides)]]
     for name in names:
-        found.append([name, *(text(median([one.get(name) for one in runs])) for _, runs in sides)])
-    return found
+        table.append(
+            [name, *(format_value(median([figures.get(name) for figures in runs])) for _, runs in sides)]
+        )
+    return table
 
 
 def median(values: list[Any]) -> Any:  # noqa: ANN401 - a figure of any kind
-    """The middle one; None, which means never or not known, counts as more than any number."""
+    """The lower median; None, which means never or unknown, counts as more than any number."""
     ordered = sorted(values, key=lambda value: (value is None, value if value is not None else 0))
     return ordered[(len(ordered) - 1) // 2] if ordered else None
 
 
-def show(table: list[list[str]]) -> str:
+def format_table(table: list[list[str]]) -> str:
     widths = [max(len(row[n]) for row in table) for n in range(len(table[0]))]
     return "\n".join(
         "  ".join(
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -1,4 +1,4 @@
-"""Random plans: small fleets, a few faults each; one that breaks a rule is made small and kept as TOML."""
+"""Soak test: random plans of small fleets with a few faults; one that breaks a rule is shrunk and stored."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers
 
 LENGTH_S = 8.0
-MOST_DOORS, MOST_SERVERS, MOST_FAULTS = 6, 6, 4
+MAX_GATEWAYS, MAX_SCAN_SERVERS, MAX_FAULTS = 6, 6, 4
 LINKS = (
     "clients-doors",
     "doors-servers",
@@ -29,8 +29,8 @@
     "servers-list",
     "follower-list",
 )
-TRIES = 2  # of a smaller plan: real processes do not do the same twice
-# Faults for which the rules hold in full: of the others a client or a server may see what no door can help.
+SHRINK_ATTEMPTS = 2  # runs of each smaller plan, as runs of real processes are not deterministic
+# Faults under which all rules hold. Under others, clients or servers may see what no gateway can prevent.
 KINDS = (
     "kill",
     "term",
@@ -52,69 +52,71 @@
 
 
 @dataclass
-class Found:
-    """What a soak has come to."""
+class SoakResult:
+    """The number of plans played, and the files of the plans that broke a rule."""
 
     played: int = 0
-    kept: list[Path] = field(default_factory=list)
+    stored: list[Path] = field(default_factory=list)
 
 
-def drawn(chance: random.Random, name: str) -> Plan:
-    """A plan by chance; each is one that could be written by hand."""
+def draw_plan(rng: random.Random, name: str) -> Plan:
+    """Draw a random plan, of values that a plan file may hold."""
     fleet = Scenario(
         name=name,
-        doors=chance.randint(2, MOST_DOORS),
+        doors=rng.randint(2, MAX_GATEWAYS),
         length_s=LENGTH_S,
-        servers=Servers(count=chance.randint(2, MOST_SERVERS)),
-        net=Net(zones=chance.randint(1, 2)),
+        servers=Servers(count=rng.randint(2, MAX_SCAN_SERVERS)),
+        net=Net(zones=rng.randint(1, 2)),
         demand=Demand(load=(0.2, 0.5)),
     )
-    kept = ("submit-record",) if chance.random() < 0.5 else ()
-    leased = chance.random() < 0.5
-    faults = tuple(draw_fault(chance, bool(kept) or leased) for _ in range(chance.randint(1, MOST_FAULTS)))
+    recorded_classes = ("submit-record",) if rng.random() < 0.5 else ()
+    leases_quotas = rng.random() < 0.5
+    faults = tuple(
+        draw_fault(rng, bool(recorded_classes) or leases_quotas) for _ in range(rng.randint(1, MAX_FAULTS))
+    )
     return Plan(
         name=name,
         fleet=fleet,
         faults=faults,
-        clients=chance.randint(1, 2),
-        state=chance.random() < 0.5,
-        takeover=kept,
-        steward=leased,
-        stewards=chance.randint(1, 3),
+        clients=rng.randint(1, 2),
+        state=rng.random() < 0.5,
+        takeover=recorded_classes,
+        steward=leases_quotas,
+        stewards=rng.randint(1, 3),
     )
 
 
-def draw_fault(chance: random.Random, steward: bool) -> Fault:
-    kind = chance.choice(KINDS)
-    at_s, for_s = round(chance.uniform(1, 5), 2), round(chance.uniform(0.2, 2.5), 2)
-    keepers = ("steward",) if steward else ()
+def draw_fault(rng: random.Random, has_lease_service: bool) -> Fault:
+    kind = rng.choice(KINDS)
+    at_s, for_s = round(rng.uniform(1, 5), 2), round(rng.uniform(0.2, 2.5), 2)
+    lease_services = ("steward",) if has_lease_service else ()
     on = "doors"
     if kind in ("kill", "pause"):
-        on = chance.choice(("doors", "doors", "servers", "list", "follower", *keepers))
+        on = rng.choice(("doors", "doors", "servers", "list", "follower", *lease_services))
     elif kind == "full_disk":
-        on = chance.choice(("list", *keepers))
-    links = (*LINKS, "doors-steward") if steward else LINKS
+        on = rng.choice(("list", *lease_services))
+    links = (*LINKS, "doors-steward") if has_lease_service else LINKS
     size = {
-        "delay": chance.uniform(1, 200),
-        "limit": chance.uniform(2e4, 1e6),
-        "slow": chance.uniform(1.5, 6),
-    }.get(kind, chance.uniform(0.05, 0.6))
+        "delay": rng.uniform(1, 200),
+        "limit": rng.uniform(2e4, 1e6),
+        "slow": rng.uniform(1.5, 6),
+    }.get(kind, rng.uniform(0.05, 0.6))
     return Fault(
         kind=kind,
         at_s=at_s,
         for_s=for_s,
         on=on,
-        part=chance.choice((0.3, 0.5, 0.9, 1.0)),
+        part=rng.choice((0.3, 0.5, 0.9, 1.0)),
         size=round(size, 3),
-        state=chance.choice(("kept", "none", "old")) if on in ("doors", "follower") else "kept",
-        link="doors-doors" if kind in ("repeat", "reorder") else chance.choice(links),
-        way=chance.choice(("both", "both", "there", "back")),
-        stagger_s=chance.choice((0.0, 1.0)),
+        state=rng.choice(("kept", "none", "old")) if on in ("doors", "follower") else "kept",
+        link="doors-doors" if kind in ("repeat", "reorder") else rng.choice(links),
+        way=rng.choice(("both", "both", "there", "back")),
+        stagger_s=rng.choice((0.0, 1.0)),
     )
 
 
-def smaller(plan: Plan) -> Iterator[Plan]:
-    """Plans with something left out, the largest pieces first."""
+def smaller_plans(plan: Plan) -> Iterator[Plan]:
+    """Yield plans with one part left out or reduced, the largest reductions first."""
     replace = msgspec.structs.replace
     for number in range(len(plan.faults)):
         yield replace(plan, faults=plan.faults[:number] + plan.faults[number + 1 :])
@@ -129,55 +131,63 @@
         yield replace(plan, steward=False)
     if plan.stewards > 1:
         yield replace(plan, stewards=1)
-    for doors in {2, fleet.doors // 2, fleet.doors - 1}:
-        if 2 <= doors < fleet.doors:
-            yield replace(plan, fleet=replace(fleet, doors=doors))
+    for gateway_count in {2, fleet.doors // 2, fleet.doors - 1}:
+        if 2 <= gateway_count < fleet.doors:
+            yield replace(plan, fleet=replace(fleet, doors=gateway_count))
     for count in {1, fleet.servers.count // 2, fleet.servers.count - 1}:
         if 1 <= count < fleet.servers.count:
             yield replace(plan, fleet=replace(fleet, servers=replace(fleet.servers, count=count)))
 
 
-def shrink(plan: Plan, breaks: Callable[[Plan], bool]) -> Plan:
-    """The smallest plan found that still breaks a rule, a step at a time."""
+def shrink(plan: Plan, breaks_rule: Callable[[Plan], bool]) -> Plan:
+    """Shrink a plan step by step while it still breaks a rule; return the smallest plan found."""
     while True:
-        for less in smaller(plan):
+        for candidate in smaller_plans(plan):
             try:
-                verify(less, less.name)
+                verify(candidate, candidate.name)
             except FaultInjectionError:
                 continue
-            if breaks(less):
-                plan = less
+            if breaks_rule(candidate):
+                plan = candidate
                 break
         else:
             return plan
 
 
-def soak(seed: int, minutes: float, tree: Tree, out: Path, say: Say, count: int | None = None) -> Found:
-    """Play random plans for so long, or so many; what breaks a rule is kept in `out`."""
-    chance, found, end = random.Random(seed), Found(), time.monotonic() + minutes * 60
+def soak(seed: int, minutes: float, tree: Tree, out: Path, say: Say, count: int | None = None) -> SoakResult:
+    """Play `count` random plans, or as many as start within `minutes` if it is None.
+
+    Each plan that breaks a rule is shrunk and stored in `out`.
+    """
+    rng, result, end = random.Random(seed), SoakResult(), time.monotonic() + minutes * 60
 
-    def broken(plan: Plan) -> list[Violation]:
+    def play_and_check(plan: Plan) -> list[Violation]:
         return check(play_once(plan, seed, tree, lambda text: None))
 
-    while (found.played < count) if count is not None else (time.monotonic() < end):
-        plan = drawn(chance, f"soak-{seed}-{found.played}")
+    while (result.played < count) if count is not None else (time.monotonic() < end):
+        plan = draw_plan(rng, f"soak-{seed}-{result.played}")
         try:
             verify(plan, plan.name)
         except FaultInjectionError:
-            continue  # a fault that this fleet has no place for
-        violations = broken(plan)
-        found.played += 1
+            continue  # the drawn fault does not apply to this fleet
+        violations = play_and_check(plan)
+        result.played += 1
         kinds = ", ".join(fault.kind for fault in plan.faults)
         say(f"{plan.name}: {kinds}: {len(violations)} broken")
         if not violations:
             continue
         rule = violations[0].rule
         say(f"{plan.name}: {violations[0].text}; making it small")
-        small = shrink(
-            plan, lambda less, rule=rule: any(one.rule == rule for _ in range(TRIES) for one in broken(less))
+        smallest = shrink(
+            plan,
+            lambda candidate, rule=rule: any(
+                violation.rule == rule
+                for _ in range(SHRINK_ATTEMPTS)
+                for violation in play_and_check(candidate)
+            ),
         )
         out.mkdir(parents=True, exist_ok=True)
         path = out / f"{plan.name}.toml"
-        path.write_text(f"# {rule}: {violations[0].text}\n{dump(small)}")
-        found.kept.append(path)
-    return found
+        path.write_text(f"# {rule}: {violations[0].text}\n{dump(smallest)}")
+        result.stored.append(path)
+    return result
