--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -1,4 +1,4 @@
-"""Coming back, with several real processes: what doors take up again, what they pass over and keep."""
+"""Recovery of real processes: which stored state restarted gateways restore, reject or continue without."""
 
 import asyncio
 import sys
@@ -20,43 +20,50 @@
 from thistletrail.gateway.snapshot_file import decode_snapshot
 from thistletrail.simulation.clock import Clock
 
-HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 
 
-def played(name: str) -> Seen:
-    """A plan that keeps every rule."""
-    seen = play_once(load(name), 1, HERE, lambda text: None)
+def play_without_violations(name: str) -> Seen:
+    """Play a plan, assert that no rule is broken, and return its history."""
+    seen = play_once(load(name), 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
     return seen
 
 
-def said(seen: Seen, door: int) -> str:
-    return "\n".join(record["text"] for record in seen.by["door"] if record["door"] == door)
+def log_of(seen: Seen, gateway: int) -> str:
+    """All log lines of a gateway."""
+    return "\n".join(record["text"] for record in seen.by["door"] if record["door"] == gateway)
 
 
 @pytest.fixture(scope="module")
-def again() -> Seen:
-    return played("again")
+def list_restart_history() -> Seen:
+    return play_without_violations("again")
 
 
-def test_doors_serve_by_what_they_stored_while_the_list_service_is_away(again: Seen) -> None:
-    back = {record["who"]: record["at"] for record in again.by["started"] if record["at"] > 0}
-    first = max(back[f"doors-{door}"] for door in range(4))
-    lists = min(back["list-0"], back["follower-0"])
-    assert first < lists
-    assert [record for record in again.by["came"] if first < record["at"] < lists]
-    for door in range(4):
-        assert "takes up a snapshot of" in said(again, door)
+def test_restarted_gateways_serve_from_their_snapshots_while_the_registry_is_down(
+    list_restart_history: Seen,
+) -> None:
+    started_at = {
+        record["who"]: record["at"] for record in list_restart_history.by["started"] if record["at"] > 0
+    }
+    gateways_at = max(started_at[f"doors-{n}"] for n in range(4))
+    registry_at = min(started_at["list-0"], started_at["follower-0"])
+    assert gateways_at < registry_at
+    assert [record for record in list_restart_history.by["came"] if gateways_at < record["at"] < registry_at]
+    for gateway in range(4):
+        assert "takes up a snapshot of" in log_of(list_restart_history, gateway)
 
 
-def test_the_list_is_read_again_once_its_service_is_back(again: Seen) -> None:
-    lists = max(record["at"] for record in again.by["started"] if record["who"] == "list-0")
-    assert {record["door"] for record in again.by["told"] if record["at"] > lists} == {
+def test_endpoint_list_is_read_after_the_registry_restarts(list_restart_history: Seen) -> None:
+    registry_at = max(
+        record["at"] for record in list_restart_history.by["started"] if record["who"] == "list-0"
+    )
+    assert {record["door"] for record in list_restart_history.by["told"] if record["at"] > registry_at} == {
         f"doors-{n}" for n in range(4)
     }
 
 
-def test_a_snapshot_that_is_made_stale_differs_in_its_time_alone() -> None:
+def test_aged_snapshot_differs_only_in_its_time() -> None:
     data = (ROOT / "tests" / "data" / "a1df16a" / "gateway" / "state" / "door").read_bytes()
     fresh = decode_snapshot(data)
     assert fresh.policy.customers and fresh.policy.ejected_servers
@@ -65,97 +72,101 @@
     )
 
 
-def test_bad_state_is_one_warning_and_a_door_that_crashes_waits() -> None:
-    seen = played("state")
-    assert said(seen, 0).count("is rejected: damaged: expected") == 1
-    assert said(seen, 1).count("is rejected: written 36") == 1
-    assert "takes up a snapshot of" in said(seen, 2)
-    waits = said(seen, 3).count("has started again and again: it waits for")
-    assert waits >= 1  # the third start within ten seconds, and each one after it
-    assert "waits for" not in said(seen, 0)
-    starts = sum(record["who"] == "doors-3" for record in seen.by["started"])
-    assert starts == 1 + 3
+def test_invalid_snapshot_is_one_warning_and_a_gateway_that_crashes_repeatedly_waits() -> None:
+    seen = play_without_violations("state")
+    assert log_of(seen, 0).count("is rejected: damaged: expected") == 1
+    assert log_of(seen, 1).count("is rejected: written 36") == 1
+    assert "takes up a snapshot of" in log_of(seen, 2)
+    wait_count = log_of(seen, 3).count("has started again and again: it waits for")
+    assert wait_count >= 1  # the third start within ten seconds, and each one after it
+    assert "waits for" not in log_of(seen, 0)
+    start_count = sum(record["who"] == "doors-3" for record in seen.by["started"])
+    assert start_count == 1 + 3
 
 
-def test_a_door_that_wakes_or_ends_on_the_way_back_keeps_the_rules() -> None:
-    seen = played("wake")
-    woke = next(record["at"] for record in seen.by["woke"] if record["who"] == "doors-1")
+def test_gateway_resumed_or_terminated_during_recovery_breaks_no_rule() -> None:
+    seen = play_without_violations("wake")
+    resumed_at = next(record["at"] for record in seen.by["woke"] if record["who"] == "doors-1")
     drained = [record for record in seen.by["told"] if "DRAINING" in record["servers"].values()]
     assert any(record["door"] == "doors-1" for record in drained)
-    assert [record for record in seen.by["sent"] if record["door"] == "doors-1" and record["at"] > woke]
+    assert [record for record in seen.by["sent"] if record["door"] == "doors-1" and record["at"] > resumed_at]
     died = [record for record in seen.by["died"] if record["who"] == "doors-2"]
-    assert [record["code"] for record in died][:2] == [-9, 0]  # SIGTERM on the way back is a clean end
+    assert [record["code"] for record in died][:2] == [-9, 0]  # SIGTERM during recovery: a clean exit
 
 
-def test_the_one_door_that_is_left_takes_ten_times_the_load_and_keeps_the_rules() -> None:
-    seen = played("rest")
-    (killed,) = [record["at"] for record in seen.by["fault"] if record["fault"] == "kill"]
-    back = min(record["at"] for record in seen.by["started"] if record["at"] > killed)
-    ends = [record for record in seen.by["end"] if killed < record["at"] < back]
+def test_only_remaining_gateway_takes_ten_times_the_load_and_breaks_no_rule() -> None:
+    seen = play_without_violations("rest")
+    (killed_at,) = [record["at"] for record in seen.by["fault"] if record["fault"] == "kill"]
+    restarted_at = min(record["at"] for record in seen.by["started"] if record["at"] > killed_at)
+    ends = [record for record in seen.by["end"] if killed_at < record["at"] < restarted_at]
     served = [record for record in ends if record["how"] == "served"]
     assert served and any(record["how"] == "refused" for record in ends)
-    # Once the others are back all serve again.
-    asked = {record["id"]: record["door"] for record in seen.by["try"]}
+    # After the restart of the others all gateways serve.
+    gateway_by_request = {record["id"]: record["door"] for record in seen.by["try"]}
     assert {
-        asked[record["id"]] for record in seen.by["end"] if record["how"] == "served" and record["at"] > back
+        gateway_by_request[record["id"]]
+        for record in seen.by["end"]
+        if record["how"] == "served" and record["at"] > restarted_at
     } == {0, 1, 2, 3}
 
 
-def test_two_doors_with_one_number_are_one_door(tmp_path: Path) -> None:
-    """The second has neither the first one's address nor its folder, and says so in one line."""
+def test_second_gateway_with_the_same_number_does_not_start(tmp_path: Path) -> None:
+    """The address and the state folder of the first are in use; the second reports that in one line."""
     values = config((HOST, free_port()), (HOST, free_port()), free_port(), 1, False)
     values |= {"state_dir": str(tmp_path / "state")}
-    other = {**values, "listen": f"{HOST}:{free_port()}"}
+    other_address = {**values, "listen": f"{HOST}:{free_port()}"}
 
-    async def act() -> list[tuple[int, str]]:
-        found = []
+    async def start_second_gateways() -> list[tuple[int, str]]:
+        results = []
         (tmp_path / "first").mkdir()
         (tmp_path / "second").mkdir()
-        async with front_door(HERE, values, tmp_path / "first") as first:
-            for again in (values, other, {**values, "state_dir": str(tmp_path / "fresh")}):
-                second = await start_door(HERE, again, tmp_path / "second")
+        async with front_door(WORKING_TREE, values, tmp_path / "first") as first:
+            for second_values in (values, other_address, {**values, "state_dir": str(tmp_path / "fresh")}):
+                second = await start_door(WORKING_TREE, second_values, tmp_path / "second")
                 code = await asyncio.wait_for(second.process.wait(), 20)
-                found.append((code, second.last_line()))
+                results.append((code, second.last_line()))
             await first.ready()
-        return found
+        return results
 
-    (one, two, three) = asyncio.run(act())
-    assert one[0] == two[0] == 2 and "another gateway has the folder" in one[1]
-    assert "another gateway has the folder" in two[1]
-    assert three[0] == 1 and "cannot start" in three[1]
+    (same, other, fresh_folder) = asyncio.run(start_second_gateways())
+    assert same[0] == other[0] == 2 and "another gateway has the folder" in same[1]
+    assert "another gateway has the folder" in other[1]
+    assert fresh_folder[0] == 1 and "cannot start" in fresh_folder[1]
 
 
-def largest_homes(plan: Plan, seed: int, count: int) -> tuple[int, ...]:
-    """The doors that are home to the customers who ask most."""
+def gateways_of_largest_customers(plan: Plan, seed: int, count: int) -> tuple[int, ...]:
+    """The gateways that own the quotas of the `count` customers with the highest rates."""
     world = World(plan.fleet, seed, Clock())
     load = Load(world, 0)
     load.begin(world.capacity())
     largest = sorted(load.customers, key=lambda customer: -customer.usual_rate)[:count]
-    homes = {
+    owners = {
         (customer.first + zlib.crc32(customer.name.encode()) % customer.size) % plan.fleet.doors
         for customer in largest
     }
-    return tuple(sorted(homes))
+    return tuple(sorted(owners))
 
 
-def test_the_homes_of_the_largest_customers_restart_and_no_quota_is_passed() -> None:
+def test_quotas_hold_when_the_quota_owners_of_the_largest_customers_restart() -> None:
     plan = load("again")
-    homes = largest_homes(plan, 1, 2)
-    assert homes and len(homes) < plan.fleet.doors
-    kill = Fault(kind="kill", at_s=3.0, numbers=homes, back_s=(0.2, 0.4), state="none")
+    owners = gateways_of_largest_customers(plan, 1, 2)
+    assert owners and len(owners) < plan.fleet.doors
+    kill = Fault(kind="kill", at_s=3.0, numbers=owners, back_s=(0.2, 0.4), state="none")
     plan = msgspec.structs.replace(plan, name="homes", state=False, faults=(kill,))
-    seen = play_once(plan, 1, HERE, lambda text: None)
+    seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
-    back = max(record["at"] for record in seen.by["started"] if record["who"] == f"doors-{homes[0]}")
-    served = {record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > back}
+    restarted_at = max(record["at"] for record in seen.by["started"] if record["who"] == f"doors-{owners[0]}")
+    served = {
+        record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > restarted_at
+    }
     assert {record["door"] for record in seen.by["try"] if record["id"] in served} == set(range(4))
 
 
-def test_a_second_wave_finds_cold_scan_servers_and_an_older_list_and_the_rules_hold() -> None:
-    """On the way back from the first: three in four doors again, half of them with state from an hour ago.
+def test_second_restart_during_recovery_with_cold_scan_servers_and_an_older_list_breaks_no_rule() -> None:
+    """Three of four gateways restart again during a recovery, two of them with a snapshot aged by an hour.
 
-    The second wave leaves the doors that come back some seconds to serve and to store a snapshot, as there
-    is nothing to age before that; the scan servers are cold for 15 s.
+    The second restart comes some seconds after the first, as the gateways must have stored a snapshot before
+    it can be aged; the scan servers are cold for 15 s.
     """
     plan, replace = load("waves"), msgspec.structs.replace
     fleet = replace(plan.fleet, doors=4, length_s=13, servers=replace(plan.fleet.servers, count=4))
@@ -168,11 +179,14 @@
         Fault(kind="kill", on="list", at_s=2.0, back_s=(0.7, 0.7), state="old"),
     ]
     plan = replace(plan, fleet=fleet, state=True, faults=(*waves, *others))
-    seen = play_once(plan, 1, HERE, lambda text: None)
+    seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
-    assert not seen.by["fell"]  # no cold one was pushed over
+    assert not seen.by["fell"]  # no cold scan server collapsed
     assert sum(record["who"] == "doors-0" for record in seen.by["started"]) == 3
-    assert said(seen, 0).count("is rejected: written 36") == 1 and "takes up a snapshot of" in said(seen, 3)
-    back = max(record["at"] for record in seen.by["started"])
-    served = {record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > back}
+    assert log_of(seen, 0).count("is rejected: written 36") == 1
+    assert "takes up a snapshot of" in log_of(seen, 3)
+    restarted_at = max(record["at"] for record in seen.by["started"])
+    served = {
+        record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > restarted_at
+    }
     assert {record["door"] for record in seen.by["try"] if record["id"] in served} == set(range(4))
