--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -7,7 +7,7 @@
 
 from tests.helpers import SETTINGS, S, World, of
 from thistletrail.benchmarks.process import ROOT, Tree
-from thistletrail.fault_injection.checks import Seen, check
+from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.gateway.config import read_budget_leases
@@ -301,12 +301,14 @@
 
 
 @pytest.fixture(scope="module")
-def lease_run() -> Seen:
+def lease_run() -> RunHistory:
     tree = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
     return play_once(load("leases"), 1, tree, lambda text: None)
 
 
-def test_gateways_serve_by_leases_while_gateways_and_the_lease_service_are_killed(lease_run: Seen) -> None:
+def test_gateways_serve_by_leases_while_gateways_and_the_lease_service_are_killed(
+    lease_run: RunHistory,
+) -> None:
     """The fleet as a whole exceeds no ceiling; the floors alone would admit no request of that plan."""
     assert check(lease_run) == []
     gateways = {record["sides"][0] for record in lease_run.by["open"] if record["link"] == "doors-steward"}
--- a/tests/test_fault_injection_checks.py
+++ b/tests/test_fault_injection_checks.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from thistletrail.fault_injection.checks import CHECKS, Seen, check
+from thistletrail.fault_injection.checks import CHECKS, RunHistory, check
 from thistletrail.fault_injection.figures import busiest, figures
-from thistletrail.fault_injection.history import Record, merge, of_log, read
+from thistletrail.fault_injection.history import Record, merge, read, read_gateway_log
 from thistletrail.fault_injection.plan import Plan
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
 
@@ -98,7 +98,7 @@
 
 def found(*more: Record) -> set[str]:
     """The rules that a history with these records breaks."""
-    return {one.rule for one in check(Seen(merge([CALM, more]), PLAN, 1))}
+    return {one.rule for one in check(RunHistory(merge([CALM, more]), PLAN, 1))}
 
 
 def test_a_history_in_order_breaks_nothing() -> None:
@@ -227,17 +227,17 @@
     """Another request under the key of one that was served: without anything kept, a client's own affair."""
     records = [{**record, "key": "r1"} if "key" in record else record for record in later()]
     history = merge([CALM, records])
-    assert CHECKS["kept_work"](Seen(history, PLAN)) == []
+    assert CHECKS["kept_work"](RunHistory(history, PLAN)) == []
     kept = msgspec.structs.replace(PLAN, takeover=("submit-record",))
-    (first, *_) = CHECKS["kept_work"](Seen(history, kept))
+    (first, *_) = CHECKS["kept_work"](RunHistory(history, kept))
     assert said in first.text
-    assert CHECKS["kept_work"](Seen(CALM, kept)) == []
+    assert CHECKS["kept_work"](RunHistory(CALM, kept)) == []
 
 
 def test_figures_count_what_the_history_tells() -> None:
     extra = [{"at": S, "kind": "open", "link": "doors-servers", "sides": ["doors-0", "servers-0"]}] * 3
-    seen = Seen(merge([CALM, KILLED, extra]), PLAN, 1)
-    calm = Seen(CALM, PLAN, 1)
+    seen = RunHistory(merge([CALM, KILLED, extra]), PLAN, 1)
+    calm = RunHistory(CALM, PLAN, 1)
     figured = figures(seen, calm)
     assert figured.served == 1.0 and figured.connections == 3 and figured.connections_calm == 0
     assert figured.full_s == 0.0 and figured.full_after_pong_s == 0.0 and figured.lost == 0.0
@@ -257,7 +257,7 @@
         "2026-12-01 10:00:01,250 ERROR thistletrail.gateway.x: a: b",
     ]
     path.write_text("\n".join(lines))
-    first, second = of_log(path, 3, 0)
+    first, second = read_gateway_log(path, 3, 0)
     assert (first["door"], first["level"], first["text"]) == (3, "INFO", "doors-0 serves at 127.0.0.1:1")
     assert second["at"] - first["at"] == S and second["text"] == "a: b"
 
@@ -272,8 +272,8 @@
         )
     ]
     history = merge([CALM, records])
-    assert CHECKS["further"](Seen(history, PLAN)) == []
+    assert CHECKS["further"](RunHistory(history, PLAN)) == []
     divided = msgspec.structs.replace(PLAN, steward=True, further=(1.0, 5.0))
-    (one,) = CHECKS["further"](Seen(history, divided))
+    (one,) = CHECKS["further"](RunHistory(history, divided))
     assert "7.0 further attempts beyond" in one.text
-    assert CHECKS["further"](Seen(history, msgspec.structs.replace(divided, further=(1.0, 10.0)))) == []
+    assert CHECKS["further"](RunHistory(history, msgspec.structs.replace(divided, further=(1.0, 10.0)))) == []
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -6,7 +6,7 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT, Tree
-from thistletrail.fault_injection.checks import CHECKS, Seen, check
+from thistletrail.fault_injection.checks import CHECKS, RunHistory, check
 from thistletrail.fault_injection.history import Record, merge
 from thistletrail.fault_injection.leases import Bodies, beliefs, divided, sums, wholes
 from thistletrail.fault_injection.plan import Plan, load, parse
@@ -21,7 +21,7 @@
     stewards=3,
     fleet=Scenario(name="p", doors=3, length_s=10, servers=Servers(count=2), demand=Demand(load=(0.3, 0.3))),
 )
-(WHOLE,) = wholes(Seen([], PLAN, 1)).values()
+(WHOLE,) = wholes(RunHistory([], PLAN, 1)).values()
 NAME = "ceiling/institution/0.3/0000002a"
 
 
@@ -53,8 +53,8 @@
     return [asked(at, door, serial, before), granted(at + 1000, door, serial, fence, part)]
 
 
-def seen(*records: Record) -> Seen:
-    return Seen(merge([records]), PLAN, 1)
+def seen(*records: Record) -> RunHistory:
+    return RunHistory(merge([records]), PLAN, 1)
 
 
 HALF = WHOLE // 2
@@ -139,7 +139,7 @@
 
 
 @pytest.fixture(scope="module")
-def stewards() -> Seen:
+def stewards() -> RunHistory:
     """The plan of the same name, with fewer doors."""
     plan = load("stewards")
     fleet = msgspec.structs.replace(
@@ -148,13 +148,13 @@
     return play_once(msgspec.structs.replace(plan, fleet=fleet), 1, HERE, lambda text: None)
 
 
-def test_real_doors_are_never_granted_more_than_the_whole_by_three_stewards(stewards: Seen) -> None:
+def test_real_doors_are_never_granted_more_than_the_whole_by_three_stewards(stewards: RunHistory) -> None:
     assert check(stewards) == []
     found = divided(stewards)
     assert 0.5 < found.most_held <= 1 and found.renewals > 20
 
 
-def test_another_takes_over_from_one_that_hangs_and_after_all_have_died(stewards: Seen) -> None:
+def test_another_takes_over_from_one_that_hangs_and_after_all_have_died(stewards: RunHistory) -> None:
     (hung,) = [record["at"] for record in stewards.by["fault"] if record["number"] == 0]
     (woke,) = [record["at"] for record in stewards.by["undone"] if record["number"] == 0]
     grants = [(record["at"], record["steward"]) for record in stewards.by["granted"]]
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -6,7 +6,7 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT, Tree
-from thistletrail.fault_injection.checks import Seen, check
+from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
@@ -15,11 +15,11 @@
 
 
 @pytest.fixture(scope="module")
-def lists() -> Seen:
+def lists() -> RunHistory:
     return play_once(load("lists"), 1, HERE, lambda text: None)
 
 
-def at(seen: Seen, kind: str, **values: object) -> list[int]:
+def at(seen: RunHistory, kind: str, **values: object) -> list[int]:
     """When it was noted so."""
     return [
         record["at"]
@@ -28,13 +28,13 @@
     ]
 
 
-def test_every_rule_is_kept_and_no_request_fails(lists: Seen) -> None:
+def test_every_rule_is_kept_and_no_request_fails(lists: RunHistory) -> None:
     assert check(lists) == []
     assert len(lists.by["end"]) > 100
     assert not [record for record in lists.by["end"] if record["how"] == "failed"]
 
 
-def test_doors_are_moved_to_the_other_service_by_a_signal(lists: Seen) -> None:
+def test_doors_are_moved_to_the_other_service_by_a_signal(lists: RunHistory) -> None:
     (moved,) = at(lists, "fault", fault="move")
     for door in (0, 2):
         (said,) = [
@@ -49,7 +49,7 @@
         assert max(later - earlier for earlier, later in pairwise(sent)) < 2 * S
 
 
-def test_an_emptied_service_is_filled_again_and_its_history_replaces_the_old_one(lists: Seen) -> None:
+def test_an_emptied_service_is_filled_again_and_its_history_replaces_the_old_one(lists: RunHistory) -> None:
     (killed,) = [
         when
         for number, when in ((record["number"], record["at"]) for record in lists.by["fault"])
@@ -65,7 +65,7 @@
         assert named == {f"servers-{number}" for number in range(7)}
 
 
-def test_a_zone_that_is_cut_off_from_the_service_alone_is_served_on(lists: Seen) -> None:
+def test_a_zone_that_is_cut_off_from_the_service_alone_is_served_on(lists: RunHistory) -> None:
     (cut,), (mended,) = at(lists, "fault", fault="cut"), at(lists, "undone", fault="cut")
     gone = {
         name for record in lists.by["told"] for name, state in record["servers"].items() if state != "SERVING"
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -12,7 +12,7 @@
 from thistletrail.benchmarks.cost import config
 from thistletrail.benchmarks.process import ROOT, Tree, free_port, front_door, start_door
 from thistletrail.benchmarks.standins import HOST
-from thistletrail.fault_injection.checks import Seen, check
+from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.fleet import STALE_MS, aged
 from thistletrail.fault_injection.plan import Fault, Plan, load
 from thistletrail.fault_injection.runs import play_once
@@ -23,23 +23,23 @@
 HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 
 
-def played(name: str) -> Seen:
+def played(name: str) -> RunHistory:
     """A plan that keeps every rule."""
     seen = play_once(load(name), 1, HERE, lambda text: None)
     assert check(seen) == []
     return seen
 
 
-def said(seen: Seen, door: int) -> str:
+def said(seen: RunHistory, door: int) -> str:
     return "\n".join(record["text"] for record in seen.by["door"] if record["door"] == door)
 
 
 @pytest.fixture(scope="module")
-def again() -> Seen:
+def again() -> RunHistory:
     return played("again")
 
 
-def test_doors_serve_by_what_they_stored_while_the_list_service_is_away(again: Seen) -> None:
+def test_doors_serve_by_what_they_stored_while_the_list_service_is_away(again: RunHistory) -> None:
     back = {record["who"]: record["at"] for record in again.by["started"] if record["at"] > 0}
     first = max(back[f"doors-{door}"] for door in range(4))
     lists = min(back["list-0"], back["follower-0"])
@@ -49,7 +49,7 @@
         assert "takes up a snapshot of" in said(again, door)
 
 
-def test_the_list_is_read_again_once_its_service_is_back(again: Seen) -> None:
+def test_the_list_is_read_again_once_its_service_is_back(again: RunHistory) -> None:
     lists = max(record["at"] for record in again.by["started"] if record["who"] == "list-0")
     assert {record["door"] for record in again.by["told"] if record["at"] > lists} == {
         f"doors-{n}" for n in range(4)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -10,7 +10,7 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT, Tree
-from thistletrail.fault_injection.checks import Seen, check
+from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.deaths import EFFECTS, LEASE_MS, POINTS, Death, Deaths, deaths, table
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
@@ -262,12 +262,12 @@
 
 
 @pytest.fixture(scope="module")
-def takeover_history() -> Seen:
+def takeover_history() -> RunHistory:
     """The history of one run of the fault plan `takeover`."""
     return play_once(load("takeover"), 1, WORKING_TREE, lambda text: None)
 
 
-def test_rules_hold_while_gateways_are_killed_paused_and_drained(takeover_history: Seen) -> None:
+def test_rules_hold_while_gateways_are_killed_paused_and_drained(takeover_history: RunHistory) -> None:
     assert check(takeover_history) == []
     log_texts = [record["text"] for record in takeover_history.by["door"]]
     assert any(text.startswith("work leases: ") and "begun 0" not in text for text in log_texts)
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -53,7 +53,6 @@
     "thistletrail/fault_injection/__main__.py": 6,
     "thistletrail/fault_injection/deaths.py": 15,
     "thistletrail/fault_injection/fleet.py": 24,
-    "thistletrail/fault_injection/history.py": 1,
     "thistletrail/fault_injection/leases.py": 5,
     "thistletrail/fault_injection/plan.py": 14,
     "thistletrail/fault_injection/plans/leases.toml": 3,
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -1,7 +1,7 @@
-"""Checkers: what a history must not show. Each is a pure function from a history and its plan to violations.
+"""Checks of a recorded run: pure functions from the run's history and plan to the violations of a rule.
 
-What the faults of a plan excuse is said with each: a door that is dead owes nothing, one that is paused
-cannot answer. All times are microseconds of the machine's monotonic clock.
+The docstring of each check names what injected faults excuse: a gateway that is down owes no answer, and one
+that is paused cannot give any. All times are in microseconds of the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,17 +20,19 @@
 from thistletrail.simulation.clock import MS, Clock, S
 from thistletrail.simulation.ledger import Account, TokenBucket
 
-NEVER = 1 << 62
-RUN = ("served", "error", "gone", "lost", "silent")  # ends of attempts that may have run
-FURTHER_SLACK = 2.0  # attempts that came on the way: doors count them when they are written
-SWEEP_US = S  # for which a fault's traces are still met after its end: resets, late closes
-# What a door says of state that it takes up, with its age, and of the list that it goes by.
-TAKEN_UP = re.compile(r"takes up a snapshot of (\d+(?:\.\d+)?) s ago")
+NEVER_US = 1 << 62
+POSSIBLY_EXECUTED_OUTCOMES = ("served", "error", "gone", "lost", "silent")
+# Gateways count an attempt when they write it, the scan servers when it has arrived.
+RETRY_BUDGET_SLACK_ATTEMPTS = 2.0
+# Effects of a fault, such as resets and late closes, still arrive for this long after its end.
+FAULT_AFTERMATH_US = S
+# The log line of a gateway that restores a snapshot, with the snapshot's age in seconds.
+SNAPSHOT_RESTORED_LOG = re.compile(r"takes up a snapshot of (\d+(?:\.\d+)?) s ago")
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken, when, and by what."""
+    """A broken rule, the time at which it was broken, and a description."""
 
     rule: str
     at_us: int
@@ -38,20 +40,23 @@
 
 
 class Spans:
-    """When somebody was struck: spans by name, and whether a moment or a stretch falls into one."""
+    """The time spans in which processes or links were hit by faults, by the name of the process or link."""
 
     def __init__(self) -> None:
         self.spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
 
-    def add(self, name: str, begin: int, end: int) -> None:
-        self.spans[name].append((begin, end))
+    def add(self, name: str, begin_us: int, end_us: int) -> None:
+        self.spans[name].append((begin_us, end_us))
 
-    def meet(self, name: str, begin: int, end: int) -> bool:
-        return any(begin <= last and first <= end for first, last in self.spans.get(name, ()))
+    def overlaps(self, name: str, begin_us: int, end_us: int) -> bool:
+        """Whether any span of `name` overlaps the given one; both include their ends."""
+        return any(
+            begin_us <= last_us and first_us <= end_us for first_us, last_us in self.spans.get(name, ())
+        )
 
 
-class Seen:
-    """A history, sorted by what checkers ask of it."""
+class RunHistory:
+    """The history of one run: its records by kind, and the time spans of its faults."""
 
     def __init__(self, records: Iterable[Record], plan: Plan, seed: int = 0) -> None:
         self.plan, self.seed = plan, seed
@@ -59,326 +64,373 @@
         for record in records:
             self.by[record["kind"]].append(record)
         self.down, self.paused, self.links, self.stalled = Spans(), Spans(), Spans(), Spans()
-        for record in self.by["stalled"]:  # fault injection or its clients were late: nobody else is to blame
-            self.stalled.add("", record["at"] - record["us"] - SWEEP_US, record["at"] + SWEEP_US)
-        self.read_faults()
-        self.read_downs()
+        # When fault injection's or its clients' event loop was late, the processes under test are excused.
+        for record in self.by["stalled"]:
+            self.stalled.add(
+                "", record["at"] - record["us"] - FAULT_AFTERMATH_US, record["at"] + FAULT_AFTERMATH_US
+            )
+        self.read_fault_spans()
+        self.read_down_spans()
 
-    def read_faults(self) -> None:
-        ends = {record["number"]: record["at"] for record in self.by["undone"]}
+    def read_fault_spans(self) -> None:
+        """Collect the spans of faults on links and of pauses, each with its aftermath."""
+        fault_ends_us = {record["number"]: record["at"] for record in self.by["undone"]}
         for record in self.by["fault"]:
-            end = ends.get(record["number"], NEVER) + SWEEP_US
+            end_us = fault_ends_us.get(record["number"], NEVER_US) + FAULT_AFTERMATH_US
             spans = self.links if record["fault"] in ON_LINKS else self.paused
             if record["fault"] in (*ON_LINKS, "pause"):
                 for name in record["struck"]:
-                    spans.add(name, record["at"], end)
+                    spans.add(name, record["at"], end_us)
 
-    def read_downs(self) -> None:
-        """From the fault, or the death, until it serves again."""
-        gone: dict[str, int] = {}
+    def read_down_spans(self) -> None:
+        """Collect the spans in which a process is down: from the fault, or its end, until it serves again."""
+        down_since_us: dict[str, int] = {}
         for record in sorted(
             (*self.by["died"], *self.by["started"], *self.by["fault"]), key=lambda record: record["at"]
         ):
             if record["kind"] == "fault":
                 names = record["struck"] if record["fault"] in ("kill", "term") else []
                 for name in names:
-                    gone.setdefault(name, record["at"])
+                    down_since_us.setdefault(name, record["at"])
             elif record["kind"] == "died":
-                gone.setdefault(record["who"], record["at"])
-            elif record["who"] in gone:
-                self.down.add(record["who"], gone.pop(record["who"]), record["at"] + SWEEP_US)
-        for name, at in gone.items():
-            self.down.add(name, at, NEVER)
-
-    def struck(self, door: int, begin: int, end: int) -> bool:
-        """Whether a door was down or paused then, its links to clients at fault, or fault injection late."""
+                down_since_us.setdefault(record["who"], record["at"])
+            elif record["who"] in down_since_us:
+                self.down.add(
+                    record["who"], down_since_us.pop(record["who"]), record["at"] + FAULT_AFTERMATH_US
+                )
+        for name, at_us in down_since_us.items():
+            self.down.add(name, at_us, NEVER_US)
+
+    def is_excused(self, door: int, begin_us: int, end_us: int) -> bool:
+        """Whether a fault excuses a missing answer of a gateway in the given span.
+
+        The gateway was down or paused, its links to clients had a fault, or fault injection itself was late.
+        """
         name = f"doors-{door}"
         return (
-            self.down.meet(name, begin, end)
-            or self.paused.meet(name, begin, end)
-            or self.links.meet("clients-doors", begin, end)
-            or self.stalled.meet("", begin, end)
+            self.down.overlaps(name, begin_us, end_us)
+            or self.paused.overlaps(name, begin_us, end_us)
+            or self.links.overlaps("clients-doors", begin_us, end_us)
+            or self.stalled.overlaps("", begin_us, end_us)
         )
 
 
-def one_answer(seen: Seen) -> list[Violation]:
-    """One final answer for each request taken, in its time and half a second: none twice, none never.
+def one_answer(history: RunHistory) -> list[Violation]:
+    """Each accepted request gets exactly one final answer, at most half a second after its time.
 
-    Excused: a door that was down or paused, and links to clients at fault, while the request was open.
+    Excused are gateways that were down or paused, and links to clients with a fault, while the request was
+    in flight.
     """
-    found = []
-    tries = {record["id"]: record for record in seen.by["try"]}
-    count: dict[str, int] = defaultdict(int)
-    for end in seen.by["end"]:
-        count[end["id"]] += 1
-        if count[end["id"]] > 1:
-            found.append(Violation("one answer", end["at"], f"request {end['id']} ended twice"))
-        asked = tries.get(end["id"])
-        if asked and end["how"] == "unreached" and not seen.struck(asked["door"], asked["at"], end["at"]):
-            found.append(
+    violations = []
+    requests = {record["id"]: record for record in history.by["try"]}
+    end_counts: dict[str, int] = defaultdict(int)
+    for end in history.by["end"]:
+        end_counts[end["id"]] += 1
+        if end_counts[end["id"]] > 1:
+            violations.append(Violation("one answer", end["at"], f"request {end['id']} ended twice"))
+        request = requests.get(end["id"])
+        if (
+            request
+            and end["how"] == "unreached"
+            and not history.is_excused(request["door"], request["at"], end["at"])
+        ):
+            violations.append(
                 Violation(
                     "one answer",
                     end["at"],
-                    f"door {asked['door']} closed the connection of request {end['id']} without an answer",
+                    f"door {request['door']} closed the connection of request {end['id']} without an answer",
                 )
             )
-    for record in seen.by["lost"]:
-        asked = tries[record["id"]]
-        if not seen.struck(asked["door"], asked["at"], record["at"]):
-            found.append(
+    for record in history.by["lost"]:
+        request = requests[record["id"]]
+        if not history.is_excused(request["door"], request["at"], record["at"]):
+            violations.append(
                 Violation(
                     "one answer",
                     record["at"],
-                    f"door {asked['door']} gave no answer to request {record['id']}",
+                    f"door {request['door']} gave no answer to request {record['id']}",
                 )
             )
-    found += [
+    violations += [
         Violation("one answer", record["at"], f"an answer that nobody asked for: {record['data']}")
-        for record in seen.by["extra"]
+        for record in history.by["extra"]
     ]
-    found += [
-        Violation("one answer", asked["at"], f"request {asked['id']} never ended at its client")
-        for asked in tries.values()
-        if asked["id"] not in count
+    violations += [
+        Violation("one answer", request["at"], f"request {request['id']} never ended at its client")
+        for request in requests.values()
+        if request["id"] not in end_counts
     ]
-    return found
+    return violations
 
 
-def attempts_of(seen: Seen) -> dict[str, list[tuple[Record, int, str]]]:
-    """By request: each attempt that came whole, when it ended, and how."""
-    ends = {(record["server"], record["serial"]): record for record in seen.by["left"]}
-    found: dict[str, list[tuple[Record, int, str]]] = defaultdict(list)
-    for record in seen.by["came"]:
+def attempts_of(history: RunHistory) -> dict[str, list[tuple[Record, int, str]]]:
+    """By request id: each attempt that arrived completely, the time of its end, and its outcome."""
+    ends = {(record["server"], record["serial"]): record for record in history.by["left"]}
+    attempts_by_request: dict[str, list[tuple[Record, int, str]]] = defaultdict(list)
+    for record in history.by["came"]:
         end = ends.get((record["server"], record["serial"]))
-        if end is None:  # its scan server was killed with it
-            died = [
-                gone["at"]
-                for gone in seen.by["died"]
-                if gone["who"] == record["server"] and gone["at"] >= record["at"]
+        if end is None:  # its scan server was killed while it ran
+            death_times_us = [
+                death["at"]
+                for death in history.by["died"]
+                if death["who"] == record["server"] and death["at"] >= record["at"]
             ]
-            found[record["id"]].append((record, min(died, default=NEVER), "lost"))
+            attempts_by_request[record["id"]].append((record, min(death_times_us, default=NEVER_US), "lost"))
         else:
-            found[record["id"]].append((record, end["at"], end["how"]))
-    return found
-
-
-def executions(seen: Seen) -> list[Violation]:
-    """No request runs more often than its class allows: a keyed one runs in one zone, whose scan servers drop
-    its repeats, and only while they remember it."""
-    found = []
-    rules = {rule.name: rule for rule in seen.plan.fleet.classes}
-    for name, attempts in attempts_of(seen).items():
-        ran = [record for record, _, how in attempts if how in RUN]
-        if len(ran) < 2 or not rules[ran[0]["class"]].keyed:
+            attempts_by_request[record["id"]].append((record, end["at"], end["how"]))
+    return attempts_by_request
+
+
+def executions(history: RunHistory) -> list[Violation]:
+    """No request is executed more often than its class allows.
+
+    A keyed request runs in one zone only, whose scan servers drop its duplicates, and only within the window
+    in which they remember its key.
+    """
+    violations = []
+    rules = {rule.name: rule for rule in history.plan.fleet.classes}
+    for request_id, attempts in attempts_of(history).items():
+        executed = [record for record, _, outcome in attempts if outcome in POSSIBLY_EXECUTED_OUTCOMES]
+        if len(executed) < 2 or not rules[executed[0]["class"]].keyed:
             continue
-        window = rules[ran[0]["class"]].window_ms * seen.plan.fleet.stretch * MS
-        for record in ran[1:]:
-            if record["zone"] != ran[0]["zone"]:
-                found.append(Violation("executions", record["at"], f"keyed request {name} in two zones"))
-            elif record["at"] - ran[0]["at"] > window + seen.plan.limits.drain_ms * MS:
-                found.append(Violation("executions", record["at"], f"keyed request {name} after its window"))
-    return found
-
-
-def kept_work(seen: Seen) -> list[Violation]:
-    """Where work in hand is kept, a key runs in one zone, by whichever requests it is asked for; and once a
-    client was told its outcome nothing of it runs again. Excused: what a door logged as gone on without."""
-    if not seen.plan.takeover:
+        window_us = rules[executed[0]["class"]].window_ms * history.plan.fleet.stretch * MS
+        for record in executed[1:]:
+            if record["zone"] != executed[0]["zone"]:
+                violations.append(
+                    Violation("executions", record["at"], f"keyed request {request_id} in two zones")
+                )
+            elif record["at"] - executed[0]["at"] > window_us + history.plan.limits.drain_ms * MS:
+                violations.append(
+                    Violation("executions", record["at"], f"keyed request {request_id} after its window")
+                )
+    return violations
+
+
+def kept_work(history: RunHistory) -> list[Violation]:
+    """Where work items are stored, a key runs in one zone only, whichever requests carry it, and does not run
+    again after a client has received its outcome."""
+    if not history.plan.takeover:
         return []
-    found: list[Violation] = []
-    rules = {rule.name: rule for rule in seen.plan.fleet.classes}
-    ends = {(record["server"], record["serial"]): record for record in seen.by["left"]}
-    asked = {record["id"]: record for record in seen.by["try"]}
-    served = {
-        asked[record["id"]]["key"]: record["at"]
-        for record in reversed(seen.by["end"])
-        if record["how"] == "served" and record["id"] in asked
+    violations: list[Violation] = []
+    rules = {rule.name: rule for rule in history.plan.fleet.classes}
+    ends = {(record["server"], record["serial"]): record for record in history.by["left"]}
+    request_by_id = {record["id"]: record for record in history.by["try"]}
+    served_at_us = {
+        request_by_id[record["id"]]["key"]: record["at"]
+        for record in reversed(history.by["end"])
+        if record["how"] == "served" and record["id"] in request_by_id
     }
-    ran: dict[str, list[Record]] = defaultdict(list)
-    for record in seen.by["came"]:
+    executed_by_key: dict[str, list[Record]] = defaultdict(list)
+    for record in history.by["came"]:
         end = ends.get((record["server"], record["serial"]))
         if (
             record["key"]
-            and rules[record["class"]].name in seen.plan.takeover
-            and (end is None or end["how"] in RUN)
+            and rules[record["class"]].name in history.plan.takeover
+            and (end is None or end["how"] in POSSIBLY_EXECUTED_OUTCOMES)
         ):
-            ran[record["key"]].append(record)
-    slack = seen.plan.limits.drain_ms * MS
-    for key, records in ran.items():
+            executed_by_key[record["key"]].append(record)
+    slack_us = history.plan.limits.drain_ms * MS
+    for key, records in executed_by_key.items():
         if len({record["zone"] for record in records}) > 1:
-            found.append(Violation("kept work", records[-1]["at"], f"key {key} ran in two zones"))
-        found += [
+            violations.append(Violation("kept work", records[-1]["at"], f"key {key} ran in two zones"))
+        violations += [
             Violation("kept work", record["at"], f"key {key} ran again after its client was told")
             for record in records
-            if record["at"] > served.get(key, NEVER) + slack
+            if record["at"] > served_at_us.get(key, NEVER_US) + slack_us
         ]
-    return found
-
-
-def one_attempt(seen: Seen) -> list[Violation]:
-    """One attempt of a request is out at a time. Excused: the time that a link's delay, a paused scan server
-    or a link to it at fault takes to show that an attempt was given up."""
-    found, slack = [], seen.plan.limits.drain_ms * MS
-    for name, attempts in attempts_of(seen).items():
-        for (before, ended, _), (record, _, _) in pairwise(attempts):
-            late = seen.paused.meet(before["server"], before["at"], record["at"])
-            late = late or seen.links.meet("doors-servers", before["at"], record["at"])
-            late = late or seen.stalled.meet("", before["at"], record["at"])
-            if ended > record["at"] + slack and not late:
-                found.append(
+    return violations
+
+
+def one_attempt(history: RunHistory) -> list[Violation]:
+    """At most one attempt of a request is in flight at a time.
+
+    Excused is an overlap in which a paused scan server, or a fault on the link to it, hides that the earlier
+    attempt has been given up; other overlaps may last for the limit on link delays.
+    """
+    violations, slack_us = [], history.plan.limits.drain_ms * MS
+    for request_id, attempts in attempts_of(history).items():
+        for (earlier, earlier_end_us, _), (record, _, _) in pairwise(attempts):
+            is_excused = history.paused.overlaps(earlier["server"], earlier["at"], record["at"])
+            is_excused = is_excused or history.links.overlaps("doors-servers", earlier["at"], record["at"])
+            is_excused = is_excused or history.stalled.overlaps("", earlier["at"], record["at"])
+            if earlier_end_us > record["at"] + slack_us and not is_excused:
+                violations.append(
                     Violation(
                         "one attempt",
                         record["at"],
-                        f"request {name} is out at {before['server']} and {record['server']}",
+                        f"request {request_id} is out at {earlier['server']} and {record['server']}",
                     )
                 )
-    return found
+    return violations
+
 
+def drains(history: RunHistory) -> list[Violation]:
+    """A gateway sends nothing new to a scan server that is draining or has left.
 
-def drains(seen: Seen) -> list[Violation]:
-    """Nothing new to a scan server that drains or is gone, 250 ms after the door was told; a paused door is
-    told when it wakes."""
-    found = []
-    grace = (seen.plan.fleet.drain_grace_ms + seen.plan.limits.drain_ms) * MS
-    told: dict[str, dict[str, int]] = defaultdict(dict)  # by door and server: since when
-    named: dict[str, set[str]] = defaultdict(set)
-    records = (*seen.by["told"], *seen.by["sent"], *seen.by["started"])
+    After it was notified it has the grace period of the fleet, 250 ms by default, plus `drain_ms` of the
+    plan's limits. A paused gateway is notified when it continues.
+    """
+    violations = []
+    grace_us = (history.plan.fleet.drain_grace_ms + history.plan.limits.drain_ms) * MS
+    leaving_since_us: dict[str, dict[str, int]] = defaultdict(dict)  # by gateway and server
+    known_servers: dict[str, set[str]] = defaultdict(set)
+    records = (*history.by["told"], *history.by["sent"], *history.by["started"])
     for record in sorted(records, key=lambda record: record["at"]):
-        door, at = record.get("door", record.get("who")), record["at"]
-        if record["kind"] == "started":  # a new process knows what it is told
-            told.pop(door, None)
-            named.pop(door, None)
+        door, at_us = record.get("door", record.get("who")), record["at"]
+        if record["kind"] == "started":  # a new process knows only what it is notified of
+            leaving_since_us.pop(door, None)
+            known_servers.pop(door, None)
         elif record["kind"] == "told":
             for server, lifecycle in record["servers"].items():
                 if lifecycle == "SERVING":
-                    told[door].pop(server, None)
+                    leaving_since_us[door].pop(server, None)
                 else:
-                    told[door].setdefault(server, at)
+                    leaving_since_us[door].setdefault(server, at_us)
             if record["whole"]:
-                for server in named[door] - set(record["servers"]):
-                    told[door].setdefault(server, at)
-            named[door] |= set(record["servers"])
-        elif (since := told[door].get(record["server"])) is not None:
-            late = seen.paused.meet(door, since, at) or seen.stalled.meet("", since, since + grace)
-            if at > since + grace and not late:
-                found.append(
+                for server in known_servers[door] - set(record["servers"]):
+                    leaving_since_us[door].setdefault(server, at_us)
+            known_servers[door] |= set(record["servers"])
+        elif (since_us := leaving_since_us[door].get(record["server"])) is not None:
+            is_excused = history.paused.overlaps(door, since_us, at_us) or history.stalled.overlaps(
+                "", since_us, since_us + grace_us
+            )
+            if at_us > since_us + grace_us and not is_excused:
+                violations.append(
                     Violation(
                         "drains",
-                        at,
+                        at_us,
                         f"{door} sent {record['id']} to {record['server']} "
-                        f"{(at - since) // MS} ms after it was told",
+                        f"{(at_us - since_us) // MS} ms after it was told",
                     )
                 )
-    return found
+    return violations
 
 
-def accounts(seen: Seen) -> tuple[dict[str, Account], dict[str, list[tuple[int, bool]]]]:
-    """The customers' stores as what was sent on leaves them; by plan, when each unit was sent and whether
-    it was inside the quota."""
-    world = World(seen.plan.fleet, seen.seed, Clock())
-    figures = dict(zip([plan.name for plan in seen.plan.fleet.plans], world.plans, strict=True))
-    found: dict[str, Account] = {}
+def accounts(history: RunHistory) -> tuple[dict[str, Account], dict[str, list[tuple[int, bool]]]]:
+    """The accounts of the customers after all forwarded requests, and the units sent, by quota plan.
+
+    Each unit is the time at which it was sent, and whether it was inside the quota.
+    """
+    world = World(history.plan.fleet, history.seed, Clock())
+    figures_by_plan = dict(zip([plan.name for plan in history.plan.fleet.plans], world.plans, strict=True))
+    account_by_customer: dict[str, Account] = {}
     units: dict[str, list[tuple[int, bool]]] = defaultdict(list)
-    counted: set[str] = set()
-    for record in seen.by["came"]:
-        if record["id"] in counted:
+    counted_ids: set[str] = set()
+    for record in history.by["came"]:
+        if record["id"] in counted_ids:
             continue
-        counted.add(record["id"])
-        plan = figures[record["plan"]]
-        account = found.setdefault(
+        counted_ids.add(record["id"])
+        plan = figures_by_plan[record["plan"]]
+        account = account_by_customer.setdefault(
             record["customer"], Account(plan.rate, plan.burst, plan.ceiling, record["at"])
         )
         units[record["plan"]].append((record["at"], account.charge(1.0, record["at"])))
-    return found, units
+    return account_by_customer, units
 
 
-def quotas(seen: Seen) -> list[Violation]:
-    """Over all doors, what is sent beyond the quotas of a plan that an overrun costs stays within the plan's
-    stated share and units a customer; no ceiling is passed by more than its slack."""
-    found, (stores, units), limits = [], accounts(seen), seen.plan.limits
+def quotas(history: RunHistory) -> list[Violation]:
+    """Over all gateways, overruns stay within the limits.
+
+    For each quota plan whose overruns cost more than they are worth, the units beyond the quotas are at most
+    `quota_share` of all units plus `quota_units` for each customer. No ceiling is exceeded by more than its
+    slack.
+    """
+    violations, (account_by_customer, units), limits = [], accounts(history), history.plan.limits
     customers: dict[str, set[str]] = defaultdict(set)
-    for record in seen.by["came"]:
+    for record in history.by["came"]:
         customers[record["plan"]].add(record["customer"])
-    for plan in seen.plan.fleet.plans:
+    for plan in history.plan.fleet.plans:
         sent = units.get(plan.name, [])
         beyond = sum(not inside for _, inside in sent)
-        most = limits.quota_share * len(sent) + limits.quota_units * len(customers[plan.name])
-        if plan.over_cost > plan.over_worth and beyond > most:
-            found.append(
+        limit = limits.quota_share * len(sent) + limits.quota_units * len(customers[plan.name])
+        if plan.over_cost > plan.over_worth and beyond > limit:
+            violations.append(
                 Violation(
                     "quotas",
                     sent[-1][0],
-                    f"plan {plan.name}: {beyond} of {len(sent)} units beyond the quotas, {most:.1f} at most",
+                    f"plan {plan.name}: {beyond} of {len(sent)} units beyond the quotas, {limit:.1f} at most",
                 )
             )
-    found += [
+    violations += [
         Violation(
             "ceilings",
-            seen.by["came"][-1]["at"],
+            history.by["came"][-1]["at"],
             f"customer {name}: {-account.min_level:.1f} units beyond its ceiling, {account.slack:g} at most",
         )
-        for name, account in stores.items()
+        for name, account in account_by_customer.items()
         if account.is_ceiling_exceeded()
     ]
-    return found
+    return violations
 
 
-def budgets(seen: Seen) -> list[Violation]:
-    """What all doors may believe in of a budget is never more than what is granted of the whole. Nothing is
-    excused: it holds for whoever is dead, paused or cut off."""
-    return [Violation("budgets", at, text) for at, text in overfull(seen)]
+def budgets(history: RunHistory) -> list[Violation]:
+    """The shares of a budget that all gateways may hold together never exceed the divisible total.
+
+    Nothing is excused: the rule holds for gateways that are down, paused or partitioned, too.
+    """
+    return [Violation("budgets", at, text) for at, text in overfull(history)]
 
 
-def further(seen: Seen) -> list[Violation]:
-    """Where further attempts are divided by leases, all doors together make no more than come into one store
-    of the whole, which begins full. One behind an attempt that never came whole to its server is free."""
-    if seen.plan.further is None:
+def further(history: RunHistory) -> list[Violation]:
+    """With a retry budget that is divided by leases, all gateways together stay within one token bucket.
+
+    The bucket has the whole budget and is full at the start. A retry after an attempt that never arrived
+    completely at its scan server is not counted.
+    """
+    if history.plan.further is None:
         return []
-    rate, burst = seen.plan.further
-    again = sorted(record["at"] for attempts in attempts_of(seen).values() for record, _, _ in attempts[1:])
-    store = TokenBucket(rate, burst, seen.by["go"][0]["start_us"])
-    lowest = min(((store.overdraw(1.0, at), at) for at in again), default=(0.0, 0))
-    if lowest[0] >= -FURTHER_SLACK:
+    rate, burst = history.plan.further
+    retry_times_us = sorted(
+        record["at"] for attempts in attempts_of(history).values() for record, _, _ in attempts[1:]
+    )
+    bucket = TokenBucket(rate, burst, history.by["go"][0]["start_us"])
+    min_level, at_us = min(
+        ((bucket.overdraw(1.0, at_us), at_us) for at_us in retry_times_us), default=(0.0, 0)
+    )
+    if min_level >= -RETRY_BUDGET_SLACK_ATTEMPTS:
         return []
-    return [Violation("further attempts", lowest[1], f"{-lowest[0]:.1f} further attempts beyond the whole")]
+    return [Violation("further attempts", at_us, f"{-min_level:.1f} further attempts beyond the whole")]
 
 
-def stale(seen: Seen) -> list[Violation]:
-    """No door goes by a snapshot that is older than its bound."""
+def stale(history: RunHistory) -> list[Violation]:
+    """No gateway restores a snapshot that is older than `MAX_POLICY_AGE_S`."""
     return [
-        Violation("stale state", record["at"], f"door {record['door']} took up state of {age} s ago")
-        for record in seen.by["door"]
-        for age in TAKEN_UP.findall(record["text"])
-        if float(age) > MAX_POLICY_AGE_S
+        Violation("stale state", record["at"], f"door {record['door']} took up state of {age_s} s ago")
+        for record in history.by["door"]
+        for age_s in SNAPSHOT_RESTORED_LOG.findall(record["text"])
+        if float(age_s) > MAX_POLICY_AGE_S
     ]
 
 
-def processes(seen: Seen) -> list[Violation]:
-    """Nobody ends by itself, no cold scan server is pushed over, every command can be read, and no door's log
-    has an error. Excused: what a door logs of the time for which it was paused, when it wakes."""
-    found = [
+def processes(history: RunHistory) -> list[Violation]:
+    """No process ends by itself, no cold scan server fails under load, every command is readable, and no
+    gateway logs an error.
+
+    Excused are errors that a gateway logs while it is paused or just after it continues.
+    """
+    violations = [
         Violation("processes", record["at"], f"{record['who']} ended by itself ({record['code']})")
-        for record in seen.by["died"]
+        for record in history.by["died"]
         if not record["meant"]
     ]
-    found += [
+    violations += [
         Violation("cold servers", record["at"], f"{record['server']} was pushed over")
-        for record in seen.by["fell"]
+        for record in history.by["fell"]
     ]
-    found += [
+    violations += [
         Violation("processes", record["at"], f"{record['server']} cannot read {record['words']}")
-        for record in seen.by["unread"]
+        for record in history.by["unread"]
     ]
-    found += [
+    violations += [
         Violation("processes", record["at"], f"door {record['door']}: {record['text']}")
-        for record in seen.by["door"]
+        for record in history.by["door"]
         if record["level"] in ("ERROR", "CRITICAL")
-        and not seen.paused.meet(f"doors-{record['door']}", record["at"], record["at"])
+        and not history.paused.overlaps(f"doors-{record['door']}", record["at"], record["at"])
     ]
-    return found
+    return violations
 
 
-CHECKS: dict[str, Callable[[Seen], list[Violation]]] = {
+CHECKS: dict[str, Callable[[RunHistory], list[Violation]]] = {
     check.__name__: check
     for check in (
         one_answer,
@@ -395,7 +447,7 @@
 }
 
 
-def check(seen: Seen) -> list[Violation]:
-    """All that the history must not show, in order of time."""
-    found = [violation for run in CHECKS.values() for violation in run(seen)]
-    return sorted(found, key=lambda violation: violation.at_us)
+def check(history: RunHistory) -> list[Violation]:
+    """The violations that all checks find, in order of time."""
+    violations = [violation for run_check in CHECKS.values() for violation in run_check(history)]
+    return sorted(violations, key=lambda violation: violation.at_us)
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
 
-from thistletrail.fault_injection.checks import Seen, accounts
+from thistletrail.fault_injection.checks import RunHistory, accounts
 from thistletrail.fault_injection.history import Record
 from thistletrail.simulation.clock import S
 from thistletrail.simulation.service import Point, measure_recovery
@@ -41,11 +41,11 @@
         return asdict(self)
 
 
-def start_us(seen: Seen) -> int:
+def start_us(seen: RunHistory) -> int:
     return seen.by["go"][0]["start_us"]
 
 
-def points(seen: Seen) -> list[Point]:
+def points(seen: RunHistory) -> list[Point]:
     """What was asked inside the quotas, and whether it was served in time."""
     start = start_us(seen)
     return [
@@ -64,29 +64,29 @@
     return max((sum(found[at + n] for n in range(10)) for at in found), default=0)
 
 
-def until_end(seen: Seen, kind: str) -> list[Record]:
+def until_end(seen: RunHistory, kind: str) -> list[Record]:
     """Records up to the load's end: what comes after it is the end of the run."""
     end = seen.by["go"][0]["end_us"]
     return [record for record in seen.by[kind] if record["at"] < end]
 
 
-def opened(seen: Seen, *links: str) -> int:
+def opened(seen: RunHistory, *links: str) -> int:
     return busiest(record["at"] for record in until_end(seen, "open") if record["link"] in links)
 
 
-def words(seen: Seen) -> int:
+def words(seen: RunHistory) -> int:
     kept = until_end(seen, "words")
     return busiest([record["at"] for record in kept], [record["count"] for record in kept])
 
 
-def beyond(seen: Seen) -> int:
+def beyond(seen: RunHistory) -> int:
     costly = {plan.name for plan in seen.plan.fleet.plans if plan.over_cost > plan.over_worth}
     return sum(
         not inside for plan, units in accounts(seen)[1].items() if plan in costly for _, inside in units
     )
 
 
-def last_pong(seen: Seen, fault_at: int) -> int | None:
+def last_pong(seen: RunHistory, fault_at: int) -> int | None:
     """When the last door that was down answered PING again, by `Fleet`'s own look."""
     came = [
         record["at"]
@@ -96,7 +96,7 @@
     return max(came, default=None)
 
 
-def figures(seen: Seen, calm: Seen | None = None) -> Figures:
+def figures(seen: RunHistory, calm: RunHistory | None = None) -> Figures:
     """Of a run, and against its calm twin where there is one."""
     mine, start = points(seen), start_us(seen)
     offered = sum(worth for _, worth, _ in mine) or 1.0
--- a/thistletrail/fault_injection/history.py
+++ b/thistletrail/fault_injection/history.py
@@ -1,26 +1,27 @@
-"""Histories: what each process of a run saw, one JSON line each, merged in order of time.
+"""Histories: the records of all processes of a run, one JSON line each, merged in order of time.
 
-Every record has `at` (microseconds of the machine's monotonic clock) and `kind`; the others go by kind:
+Every record has `at` (microseconds of the machine's monotonic clock) and `kind`; the other fields depend on
+the kind:
 
-| kind | by | tells |
+| kind | written by | meaning |
 | --- | --- | --- |
-| `ask` | clients | a first try and its retries have ended: when it came, class, plan, worth, served or not |
-| `try`, `end` | clients | a request as it was written, and how it ended, with when to come again |
-| `late`, `lost` | clients | an answer after its client's time; none within half a second after it |
-| `extra` | clients | an answer that nobody had asked for |
-| `pong` | clients, fault injection | a front door that was down answers PING |
-| `came`, `left` | scan servers | an attempt has come whole, and how it ended there |
-| `fell` | scan servers | sent too much while cold, it has fallen over |
-| `open` | relays | a connection, by link and sides |
-| `sent` | relays | a request's first bytes from a door on their way to a scan server |
-| `asked`, `granted` | relays | a door's ask for parts of budgets, and a steward's answer, as they go by |
-| `told` | relays | a change of the list, as it was written to a door |
-| `words` | relays | datagrams between doors in a tenth of a second |
-| `go` | fault injection | when the load begins and ends |
-| `fault`, `undone`, `woke` | fault injection | a fault and whom it strikes; its end; the end of a pause |
-| `started`, `died` | fault injection | a process, and whether it was meant to end |
-| `stalled` | fault injection, clients | the own loop was late by so much: the machine was too busy |
-| `door` | a door's log | a line of it, at its time |
+| `ask` | clients | a request and its retries have ended: start, class, plan, worth, whether served |
+| `try`, `end` | clients | a request was written; its outcome, with the time after which to retry |
+| `late`, `lost` | clients | an answer after the client's deadline; none within half a second after it |
+| `extra` | clients | an answer without a request |
+| `pong` | clients, fault injection | a gateway that was down answers PING |
+| `came`, `left` | scan servers | an attempt has arrived completely; its outcome at the scan server |
+| `fell` | scan servers | the scan server failed because it got too much load while it was cold |
+| `open` | relays | a connection was opened, by link and sides |
+| `sent` | relays | the first bytes of a request went from a gateway to a scan server |
+| `asked`, `granted` | relays | a gateway's renewal of its budget shares, and the lease service's response |
+| `told` | relays | an update of the endpoint list was written to a gateway |
+| `words` | relays | the number of datagrams between gateways in a tenth of a second |
+| `go` | fault injection | the times at which the load begins and ends |
+| `fault`, `undone`, `woke` | fault injection | a fault and what it hit; its end; the end of a pause |
+| `started`, `died` | fault injection | a process started, or ended and whether that was expected |
+| `stalled` | fault injection, clients | the process's own event loop was late: the machine was too busy |
+| `door` | a gateway's log | a line of the log, at its time |
 """
 
 from __future__ import annotations
@@ -38,12 +39,12 @@
 from thistletrail.fault_injection.realtime import now_us
 
 Record = dict[str, Any]
-STAMP = len("2026-01-01 00:00:00,000")  # a log line's time
-STAMP_FORM = "%Y-%m-%d %H:%M:%S,%f"
+LOG_TIMESTAMP_LENGTH = len("2026-01-01 00:00:00,000")
+LOG_TIMESTAMP_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
 
 class Writer:
-    """Writes records as they come, each at once: a process that is killed has written all that it saw."""
+    """Writes each record at once, without a buffer: the records of a process that is killed are complete."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("ab", buffering=0)
@@ -57,7 +58,10 @@
 
 
 def read(path: Path) -> Iterator[Record]:
-    """The records of one file; a last line that a kill has cut off is passed over."""
+    """Yield the records of one file. An incomplete last line, which a killed process leaves, is skipped.
+
+    Raises `FaultInjectionError` if the file cannot be read or another line is malformed.
+    """
     try:
         lines = path.read_bytes().split(b"\n")
     except OSError as error:
@@ -72,18 +76,24 @@
 
 
 def read_folder(folder: Path) -> list[Iterator[Record]]:
-    """The records of each file of a run's folder, whatever the files are called: their names have changed."""
+    """Return the records of each file of a run's folder.
+
+    Files of any name are read, as earlier revisions gave them other names.
+    """
     return [read(path) for path in sorted(folder.glob("*.jsonl"))]
 
 
-def of_log(path: Path, door: int, offset_us: int) -> Iterator[Record]:
-    """A door's log as records; `offset_us` is the monotonic clock less the system's own time."""
+def read_gateway_log(path: Path, door: int, offset_us: int) -> Iterator[Record]:
+    """Yield the lines of a gateway's log as records; `offset_us` is the result of `monotonic_offset_us`.
+
+    Lines that do not begin with a timestamp are skipped.
+    """
     for line in path.read_text(errors="replace").splitlines():
         with contextlib.suppress(ValueError):
-            at = datetime.strptime(line[:STAMP], STAMP_FORM).timestamp()
-            level, _, text = line[STAMP + 1 :].partition(" ")
+            timestamp_s = datetime.strptime(line[:LOG_TIMESTAMP_LENGTH], LOG_TIMESTAMP_FORMAT).timestamp()
+            level, _, text = line[LOG_TIMESTAMP_LENGTH + 1 :].partition(" ")
             yield {
-                "at": round(at * 1e6) + offset_us,
+                "at": round(timestamp_s * 1e6) + offset_us,
                 "kind": "door",
                 "door": door,
                 "level": level,
@@ -91,17 +101,18 @@
             }
 
 
-def offset_us() -> int:
-    """The monotonic clock less the system's time, in microseconds."""
+def monotonic_offset_us() -> int:
+    """Return the monotonic clock minus the system's wall-clock time, in microseconds."""
     return (time.monotonic_ns() - time.time_ns()) // 1000
 
 
 def merge(parts: Iterable[Iterable[Record]]) -> list[Record]:
-    """All records in order of time."""
+    """Return the records of all parts in order of time."""
     return sorted((record for part in parts for record in part), key=lambda record: record["at"])
 
 
 def write(records: Iterable[Record], path: Path) -> None:
+    """Write the records to a file, one JSON line each; raises `FaultInjectionError` if that fails."""
     encode = msgspec.json.Encoder().encode
     try:
         path.write_bytes(b"".join(encode(record) + b"\n" for record in records))
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -24,7 +24,7 @@
 from thistletrail.simulation.clock import Clock, S
 
 if TYPE_CHECKING:
-    from thistletrail.fault_injection.checks import Seen
+    from thistletrail.fault_injection.checks import RunHistory
 
 MOST_HEAD = 1 << 14  # bytes
 MOST_BODY = 1 << 20
@@ -106,7 +106,7 @@
     end_us: int
 
 
-def beliefs(seen: Seen) -> list[Held]:
+def beliefs(seen: RunHistory) -> list[Held]:
     """Every grant that went by, for as long as it may be believed in."""
     asked: dict[tuple[int, int, int], int] = {}
     later: dict[tuple[int, int, str], list[tuple[int, int]]] = defaultdict(list)  # fences in hand, and when
@@ -148,7 +148,7 @@
         yield at, total
 
 
-def wholes(seen: Seen) -> dict[str, int]:
+def wholes(seen: RunHistory) -> dict[str, int]:
     """What is divided in parts, by kind and plan, and of further attempts: thousandths a second."""
     world = World(seen.plan.fleet, seen.seed, Clock())
     found = {}
@@ -167,14 +167,14 @@
     return wholes["/".join(budget.split("/")[:2])]
 
 
-def by_budget(seen: Seen) -> dict[str, list[Held]]:
+def by_budget(seen: RunHistory) -> dict[str, list[Held]]:
     found: dict[str, list[Held]] = defaultdict(list)
     for one in beliefs(seen):
         found[one.budget].append(one)
     return found
 
 
-def overfull(seen: Seen) -> Iterator[tuple[int, str]]:
+def overfull(seen: RunHistory) -> Iterator[tuple[int, str]]:
     """When the parts of a budget that all doors may believe in added up to more than what is divided of the
     whole, and grants that have one fencing number together."""
     most = wholes(seen)
@@ -202,7 +202,7 @@
     stewards: int  # that granted anything
 
 
-def divided(seen: Seen) -> Divided:
+def divided(seen: RunHistory) -> Divided:
     most, held = wholes(seen), by_budget(seen)
     shares = [total / whole_of(most, budget) for budget, many in held.items() for _, total in sums(many)]
     deaths = [
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -15,7 +15,13 @@
 from thistletrail.benchmarks.process import Tree
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.fleet import Fleet, Member
-from thistletrail.fault_injection.history import Record, merge, of_log, offset_us, read_folder
+from thistletrail.fault_injection.history import (
+    Record,
+    merge,
+    monotonic_offset_us,
+    read_folder,
+    read_gateway_log,
+)
 from thistletrail.fault_injection.plan import ON_LINKS, ON_PROCESSES, TAIL_S, Fault, Plan
 from thistletrail.fault_injection.realtime import now_us, watch_lag
 from thistletrail.simulation.clock import S
@@ -232,7 +238,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):  # as an exception it could be lost in a callback
         loop.add_signal_handler(number, task.cancel)
     fleet = Fleet(plan, seed, tree, folder, more or {})
-    offset = offset_us()
+    offset_us = monotonic_offset_us()
     try:
         await Play(fleet, say).run()
     except TimeoutError:
@@ -245,7 +251,7 @@
     if fleet.crashed:
         say(fleet.crashed[0])
     parts = read_folder(folder / "history")
-    logs = [of_log(member.folder / "log", member.number, offset) for member in fleet.of("doors")]
+    logs = [read_gateway_log(member.folder / "log", member.number, offset_us) for member in fleet.of("doors")]
     return merge([*parts, *logs])
 
 
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -7,7 +7,7 @@
 import io
 from pathlib import Path
 
-from thistletrail.fault_injection.checks import Seen
+from thistletrail.fault_injection.checks import RunHistory
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import by_second, points, start_us
 from thistletrail.fault_injection.runs import Run, rows
@@ -18,7 +18,7 @@
 COLOURS = {"up": "#8c8", "down": "#d66", "paused": "#dc7"}
 
 
-def bands(seen: Seen, length_s: float) -> list[tuple[float, float, str]]:
+def bands(seen: RunHistory, length_s: float) -> list[tuple[float, float, str]]:
     """Each fault, from and to in seconds of the load."""
     start = start_us(seen)
     ends = {record["number"]: (record["at"] - start) / S for record in seen.by["undone"]}
@@ -28,7 +28,7 @@
     ]
 
 
-def states(seen: Seen, length_s: float) -> list[list[tuple[float, float, str]]]:
+def states(seen: RunHistory, length_s: float) -> list[list[tuple[float, float, str]]]:
     """Each door's spans of being down or paused, in seconds of the load."""
     start = start_us(seen)
     found = []
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from thistletrail.benchmarks.process import Tree
-from thistletrail.fault_injection.checks import Seen, Violation, check
+from thistletrail.fault_injection.checks import RunHistory, Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import Figures, figures
 from thistletrail.fault_injection.history import read, write
@@ -28,20 +28,20 @@
 
     plan: Plan
     seed: int
-    seen: Seen
-    calm: Seen | None
+    seen: RunHistory
+    calm: RunHistory | None
     figures: Figures
     violations: list[Violation]
 
 
-def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> Seen:
+def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> RunHistory:
     """Play a plan in a folder that is gone afterwards. Ctrl-C ends all processes first."""
     with (
         tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         try:
-            return Seen(runner.run(play(plan, seed, tree, Path(folder), say, more)), plan, seed)
+            return RunHistory(runner.run(play(plan, seed, tree, Path(folder), say, more)), plan, seed)
         except asyncio.CancelledError:  # by SIGTERM or Ctrl-C, and all processes have ended
             raise KeyboardInterrupt from None
 
@@ -82,8 +82,8 @@
         seed = int(msgspec.json.decode((folder / RESULT).read_bytes())["seed"])
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError):
         raise FaultInjectionError(f"{folder / RESULT} tells no seed") from None
-    seen = Seen(read(folder / HISTORY), plan, seed)
-    calm = Seen(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
+    seen = RunHistory(read(folder / HISTORY), plan, seed)
+    calm = RunHistory(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
     return Run(plan, seed, seen, calm, figures(seen, calm), check(seen))
 
 
