--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -11,12 +11,12 @@
 from thistletrail.fault_injection.plan import (
     Fault,
     Plan,
-    as_scenario,
-    as_trouble,
     dump,
-    known,
     load,
     parse,
+    plan_names,
+    to_scenario,
+    to_scenario_fault,
     verify,
 )
 from thistletrail.fault_injection.soak import drawn, shrink, smaller
@@ -67,8 +67,8 @@
 
 
 def test_the_plans_that_come_along_can_be_read_and_written_again() -> None:
-    assert {"short", "back", "all", "waves", "flood", "split"} <= set(known())
-    for name in known():
+    assert {"short", "back", "all", "waves", "flood", "split"} <= set(plan_names())
+    for name in plan_names():
         found = load(name)
         assert parse(dump(found).encode(), name) == found
     with pytest.raises(FaultInjectionError, match="there is no plan 'nothing'"):
@@ -105,10 +105,10 @@
         return [(one.at_us, one.customer.name, one.kind, one.work_us) for one in load_of(of, seed, part)]
 
     killed = plan(Fault(kind="kill"), Fault(kind="cut"))
-    assert asked(killed, 1) == asked(killed.calm, 1)
+    assert asked(killed, 1) == asked(killed.without_faults, 1)
     assert asked(killed, 1) != asked(killed, 2)
     more = plan(Fault(kind="burst", at_s=1, for_s=2, size=4))
-    assert len(asked(more, 1)) > 1.5 * len(asked(killed, 1)) and more.calm == more
+    assert len(asked(more, 1)) > 1.5 * len(asked(killed, 1)) and more.without_faults == more
     parts = [{name for _, name, _, _ in asked(plan(clients=2), 1, part)} for part in (0, 1)]
     assert parts[0] and parts[1] and not parts[0] & parts[1]
 
@@ -120,15 +120,17 @@
         Fault(kind="cut", link="doors-list"),
         Fault(kind="bad", size=0.4, part=0.2),
     )
-    scenario, missing = as_scenario(both)
+    scenario, missing = to_scenario(both)
     played = [(trouble.kind, trouble.part) for trouble in scenario.troubles]
     assert played == [("kill_doors", 0.9), ("bad", 0.2)]
     assert scenario.troubles[0].back_s == (1.0, 2.0)
     assert missing == ["pause", "cut of doors-list"]
-    assert as_trouble(Fault(kind="kill", numbers=(1,)), SMALL) is None  # the model strikes by chance alone
-    assert as_trouble(Fault(kind="cut", zone=1), SMALL).kind == "zone_cut"
-    assert as_trouble(Fault(kind="delay", link="doors-list", size=1500), SMALL).size == 1.5
-    assert as_trouble(Fault(kind="term", stagger_s=3), SMALL).for_s == 3
+    assert (
+        to_scenario_fault(Fault(kind="kill", numbers=(1,)), SMALL) is None
+    )  # the model strikes by chance alone
+    assert to_scenario_fault(Fault(kind="cut", zone=1), SMALL).kind == "zone_cut"
+    assert to_scenario_fault(Fault(kind="delay", link="doors-list", size=1500), SMALL).size == 1.5
+    assert to_scenario_fault(Fault(kind="term", stagger_s=3), SMALL).for_s == 3
 
 
 def test_the_way_back_ends_when_two_seconds_are_served_as_without_the_fault() -> None:
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -17,7 +17,7 @@
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, deaths, table
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.leases import divided
-from thistletrail.fault_injection.plan import as_scenario, known, load
+from thistletrail.fault_injection.plan import load, plan_names, to_scenario
 from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
 from thistletrail.simulation import day as days
 from thistletrail.simulation.errors import ModelError
@@ -188,7 +188,7 @@
 def compare(plan: str, seeds: int, first: int) -> None:
     """PLAN with real processes and in the model, on the same seeds: medians of both, side by side."""
     wanted = load(plan)
-    scenario, missing = as_scenario(wanted)
+    scenario, missing = to_scenario(wanted)
     if missing:
         raise FaultInjectionError(f"{wanted.name}: the model has no {', nor '.join(dict.fromkeys(missing))}")
     tree, real, modelled = prepare(ROOT), [], []
@@ -326,7 +326,7 @@
 @cli.command("list")
 def list_() -> None:
     """The plans that come with fault injection."""
-    for name in known():
+    for name in plan_names():
         plan = load(name)
         kinds = ", ".join(dict.fromkeys(fault.kind for fault in plan.faults)) or "no fault"
         click.echo(
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -146,7 +146,7 @@
         self.add("list", 0, 0, self.start_list)
         if plan.follower:
             self.add("follower", 0, 0, self.start_follower)
-        if plan.has_steward:
+        if plan.needs_lease_service:
             for number in range(plan.stewards):
                 self.add("steward", number, 0, self.start_steward)
         for number in range(plan.fleet.servers.count):
@@ -317,7 +317,7 @@
 
     def steward_of(self, door: str) -> dict[str, Any]:
         """What a door is told of the stewards, at the relays to them; each door begins at another one."""
-        if not self.plan.has_steward:
+        if not self.plan.needs_lease_service:
             return {}
         found = self.of("steward")
         relays = [
@@ -435,7 +435,7 @@
             await self.start(self.members["list-0"])
             if self.plan.follower:
                 await self.start(self.members["follower-0"])
-            if self.plan.has_steward:
+            if self.plan.needs_lease_service:
                 await self.start(self.members["steward-0"])
             await self.together([*self.of("steward")[1:], *self.of("servers")])
             await self.together(self.of("doors"))
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -1,9 +1,9 @@
-"""Plans: a fleet, and the faults between and on its processes, read from TOML and checked in full.
+"""Plans: a fleet and the faults of its processes and links, read from TOML and validated completely.
 
-`[fleet]` is a scenario of the simulation's (`simulation/scenario.py`): doors, servers, zones, customers,
-classes, plans of quota. What befalls it stands in `[[faults]]`, which the simulation plays too where it has
-the like. An unknown key, a wrong type or a figure out of its range is a FaultInjectionError of
-one line that names the key.
+`[fleet]` is a scenario of the simulation (`simulation/scenario.py`): gateways, scan servers, zones,
+customers, classes and quota plans. `[[faults]]` are the faults to inject; the simulation injects those for
+which it has an equivalent. An unknown key, a wrong type or a value out of its range raises a
+FaultInjectionError of one line that names the key.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
     without_defaults,
 )
 
-# Kinds of process, and of link: between two kinds of process, the one that connects first.
-Who = Literal["doors", "servers", "list", "follower", "steward", "clients"]
-Link = Literal[
+# Kinds of processes, and of links between two of them; the connecting side is named first.
+ProcessKind = Literal["doors", "servers", "list", "follower", "steward", "clients"]
+LinkKind = Literal[
     "clients-doors",
     "doors-servers",
     "doors-doors",
@@ -45,7 +45,7 @@
 ON_PROCESSES = ("kill", "term", "pause", "full_disk", "move")
 ON_SERVERS = ("bad", "errors_fast", "slow", "replace")
 ON_LINKS = ("cut", "hold", "delay", "lose", "repeat", "reorder", "limit", "break")
-Kind = Literal[
+FaultKind = Literal[
     "kill",
     "term",
     "pause",
@@ -65,35 +65,41 @@
     "limit",
     "break",
 ]
-MOST_DOORS = 200  # a loopback address for each; the largest fleet of the operators
-MOST_LENGTH_S = 600
-TAIL_S = 4.0  # after the last ask: the longest deadline of the operators' classes, and a drain
+MAX_GATEWAYS = 200  # the largest fleet of the operators; each gateway has a loopback address
+MAX_LENGTH_S = 600
+# Covers the longest deadline of the operators' classes, and a drain.
+TAIL_AFTER_LOAD_S = 4.0
 
 
 class Fault(ScenarioSection):
-    """One fault, from `at_s` on.
-
-    On processes (`on`, a `part` of them or those of `numbers`, of one zone where `zone` says so): `kill`
-    (SIGKILL), `term` (SIGTERM), `pause` (SIGSTOP for `for_s`), `full_disk` for `for_s`. Killed and ended ones
-    are started again after a time from `back_s`, with `state`: what they stored (`kept`), nothing (`none`),
-    an `old` copy (half of the time up to the fault old), a `stale` snapshot (of doors, an hour old), or a
-    `damaged` one; their clock is then `clock_s` off. `move` (doors): a new configuration and SIGHUP, with the
-    other list service alone. `stagger_s` spreads the strikes evenly over that time;
-    `times` strikes the same ones again, each time once they serve.
-    On scan servers: `bad` (a `size` of answers are errors), `errors_fast` (at once), `slow` (`size` times),
-    `replace` (they drain and leave over `for_s`, cold ones come).
-    On links (`link`, a `part` of them, those that leave zone `zone`): `cut` (reset, and refused), `hold`
-    (open and silent), `delay` (`size` ms), `lose` (a share `size` of the datagrams; of TCP's chunks, 200 ms
-    late), `repeat` and `reorder` (of datagrams), `limit` (`size` bytes a second), `break` (a share `size` of
-    chunks is cut in the middle, with the connection); `way` is from the connecting side `there`, from the
-    other `back`.
-    `burst`: all customers ask 1 + `size` times as much.
+    """One fault, which begins at `at_s`.
+
+    Faults of processes hit those of kind `on`: a share `part` of them or those of `numbers`, and only those
+    of zone `zone` if it is given. `kill` sends SIGKILL, `term` SIGTERM, `pause` SIGSTOP for `for_s`;
+    `full_disk` makes writes fail for `for_s`. Killed and terminated processes are started again after a
+    random time in the range `back_s`, with one of these values of `state`: what they stored (`kept`), nothing
+    (`none`), an `old` copy (from half the time before the fault), a `stale` snapshot (of gateways, an hour
+    old) or a `damaged` one; their clock is then off by `clock_s`. `move` (of gateways) writes a new
+    configuration with the other registry alone and sends SIGHUP. `stagger_s` spreads the hits evenly over
+    that time; `times` hits the same processes repeatedly, each time once they serve.
+
+    Faults of scan servers: `bad` (a share `size` of the answers are errors), `errors_fast` (the same, without
+    delay), `slow` (by the factor `size`), `replace` (they drain and leave over `for_s`, and cold ones join).
+
+    Faults of links hit a share `part` of the links of kind `link`, and only those that cross the border of
+    zone `zone` if it is given: `cut` (connections are reset and refused), `hold` (connections stay open and
+    silent), `delay` (by `size` ms), `lose` (a share `size` of the datagrams; chunks of TCP arrive 200 ms late
+    instead), `repeat` and `reorder` (of datagrams), `limit` (to `size` bytes a second), `break` (a share
+    `size` of the chunks is cut in the middle, and the connection reset). `way` is the direction: `there` from
+    the connecting side, `back` towards it.
+
+    `burst`: the demand of all customers is multiplied by 1 + `size`.
     """
 
-    kind: Kind
+    kind: FaultKind
     at_s: Amount = 3.0
     for_s: Amount = 3.0
-    on: Who = "doors"
+    on: ProcessKind = "doors"
     part: Share = 1.0
     numbers: tuple[Annotated[int, msgspec.Meta(ge=0, le=1999)], ...] = ()
     zone: Annotated[int, msgspec.Meta(ge=0, le=15)] | None = None
@@ -102,53 +108,61 @@
     clock_s: Annotated[float, msgspec.Meta(ge=-1e9, le=1e9)] = 0.0
     stagger_s: Amount = 0.0
     times: Annotated[int, msgspec.Meta(ge=1, le=20)] = 1
-    link: Link = "doors-servers"
+    link: LinkKind = "doors-servers"
     way: Literal["both", "there", "back"] = "both"
     size: Amount = 0.5
 
 
 class Limits(ScenarioSection):
-    """What the checks allow beyond the rules' own figures; times in milliseconds.
+    """Tolerances of the checks beyond the limits of the rules; times in milliseconds.
 
-    `drain_ms` is past the grace of the rule on draining servers; `quota_share` of the units sent, and
-    `quota_units` for each customer, may be beyond the quota of a plan that an overrun costs.
+    `drain_ms` is added to the grace period for draining servers. A share `quota_share` of the units sent,
+    plus `quota_units` for each customer, may be beyond the quota of a plan whose overruns cost more than
+    their worth.
     """
 
-    drain_ms: Amount = 50.0  # the protocol page's, on each time limit
-    answer_ms: Amount = 500.0  # past a request's time (the page on the whole fleet)
+    drain_ms: Amount = 50.0  # the tolerance of the protocol on each time limit
+    answer_ms: Amount = 500.0  # after the deadline of a request
     quota_share: Share = 0.1
     quota_units: Amount = 2.0
 
 
 class Plan(ScenarioSection):
-    """A fleet of real processes and what befalls it."""
+    """A fleet of real processes, and the faults to inject."""
 
     name: Name
     fleet: Scenario
     faults: tuple[Fault, ...] = ()
-    clients: Annotated[int, msgspec.Meta(ge=1, le=32)] = 1  # processes
-    follower: bool = True  # a second list service, which every other door reads
+    clients: Annotated[int, msgspec.Meta(ge=1, le=32)] = 1  # client processes, which share the load
+    follower: bool = True  # runs a read replica of the registry, which every other gateway asks first
     lease_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 3.0
-    steward: bool = False  # ceilings are divided by leases; else by fixed parts and words
-    quotas: bool = False  # quotas by leases too
-    stewards: Annotated[int, msgspec.Meta(ge=1, le=3)] = 1  # processes: one serves, others stand by
-    further: tuple[Amount, Amount] | None = None  # attempts of all doors, a second and at once, by leases
-    takeover: tuple[str, ...] = ()  # classes of which work in hand is kept by a steward, for another door
-    state: bool = False  # doors keep a snapshot (`state_dir`)
+    steward: bool = False  # ceilings are divided by leases, instead of fixed shares and quota messages
+    quotas: bool = False  # quotas are divided by leases as well
+    stewards: Annotated[int, msgspec.Meta(ge=1, le=3)] = (
+        1  # lease service processes: one serves, the others are standbys
+    )
+    further: tuple[Amount, Amount] | None = None  # rate a second and burst of the leased retry budget
+    takeover: tuple[str, ...] = ()  # classes whose work items the lease service stores for a takeover
+    state: bool = False  # gateways store snapshots (`state_dir`)
     limits: Limits = Limits()
 
     @property
-    def has_steward(self) -> bool:
+    def needs_lease_service(self) -> bool:
         return self.steward or bool(self.takeover)
 
     @property
-    def calm(self) -> Plan:
-        """The same load without a fault."""
-        return msgspec.structs.replace(self, faults=tuple(f for f in self.faults if f.kind == "burst"))
+    def without_faults(self) -> Plan:
+        """The plan of the baseline run: the same load, bursts included, without any other fault."""
+        return msgspec.structs.replace(
+            self, faults=tuple(fault for fault in self.faults if fault.kind == "burst")
+        )
 
 
 def parse(data: bytes, name: str) -> Plan:
-    """A plan from TOML; what is wrong with it is one line, a FaultInjectionError, that begins with `name`."""
+    """Decode and verify a plan in TOML.
+
+    Raises a `FaultInjectionError` of one line that begins with `name` if the plan is invalid.
+    """
     try:
         plan = msgspec.toml.decode(data, type=Plan)
         verify(plan, name)
@@ -160,39 +174,39 @@
 
 
 def verify(plan: Plan, name: str) -> None:
-    """What types alone cannot tell."""
+    """Check what the types alone cannot express; raises `FaultInjectionError` if the plan is invalid."""
     fleet = plan.fleet
     check(fleet, name)
     if fleet.troubles:
         raise FaultInjectionError(f"{name}: what befalls the fleet stands in faults, not in fleet.troubles")
-    if strange := set(plan.takeover) - {rule.name for rule in fleet.classes}:
-        raise FaultInjectionError(f"{name}: takeover names a class '{min(strange)}' that is none")
+    if unknown_classes := set(plan.takeover) - {rule.name for rule in fleet.classes}:
+        raise FaultInjectionError(f"{name}: takeover names a class '{min(unknown_classes)}' that is none")
     if plan.further and not (plan.steward and plan.further[0] and plan.further[1] >= 1):
         raise FaultInjectionError(
             f"{name}: further takes a rate and a burst, and a steward that divides budgets"
         )
     if plan.quotas and not plan.steward:
         raise FaultInjectionError(f"{name}: quotas by leases take a steward that divides budgets")
-    if fleet.doors > MOST_DOORS or fleet.length_s > MOST_LENGTH_S:
-        raise FaultInjectionError(f"{name}: at most {MOST_DOORS} doors for {MOST_LENGTH_S} s")
-    counts: dict[str, Count] = {
+    if fleet.doors > MAX_GATEWAYS or fleet.length_s > MAX_LENGTH_S:
+        raise FaultInjectionError(f"{name}: at most {MAX_GATEWAYS} doors for {MAX_LENGTH_S} s")
+    process_counts: dict[str, Count] = {
         "doors": fleet.doors,
         "servers": fleet.servers.count,
         "clients": plan.clients,
         "list": 1,
         "follower": int(plan.follower),
-        "steward": plan.stewards if plan.has_steward else 0,
+        "steward": plan.stewards if plan.needs_lease_service else 0,
     }
     for fault in plan.faults:
         if fault.at_s > fleet.length_s:
             raise FaultInjectionError(f"{name}: {fault.kind} begins after the end")
         if fault.zone is not None and fault.zone >= fleet.net.zones:
             raise FaultInjectionError(f"{name}: {fault.kind} strikes zone {fault.zone} of {fleet.net.zones}")
-        if fault.numbers and max(fault.numbers) >= counts[fault.on]:
+        if fault.numbers and max(fault.numbers) >= process_counts[fault.on]:
             raise FaultInjectionError(
-                f"{name}: {fault.kind} strikes {fault.on} {max(fault.numbers)} of {counts[fault.on]}"
+                f"{name}: {fault.kind} strikes {fault.on} {max(fault.numbers)} of {process_counts[fault.on]}"
             )
-        if fault.kind in ON_PROCESSES and not counts[fault.on]:
+        if fault.kind in ON_PROCESSES and not process_counts[fault.on]:
             raise FaultInjectionError(f"{name}: {fault.kind} strikes the {fault.on}, and there is none")
         if fault.kind in ("lose", "repeat", "reorder", "break", "bad", "errors_fast") and fault.size > 1:
             raise FaultInjectionError(f"{name}: the size of {fault.kind} is a share, not {fault.size:g}")
@@ -208,16 +222,18 @@
             )
 
 
-def known() -> list[str]:
-    """The names of the plans that come with fault injection."""
-    return sorted(path.stem for path in PLANS.glob("*.toml"))
+def plan_names() -> list[str]:
+    """Return the names of the plans that are part of this package."""
+    return sorted(path.stem for path in PLANS_FOLDER.glob("*.toml"))
 
 
 def load(name: str) -> Plan:
-    """A plan by its name, or from a file."""
-    path = Path(name) if name.endswith(".toml") else PLANS / f"{name}.toml"
-    if not name.endswith(".toml") and name not in known():
-        raise FaultInjectionError(f"there is no plan '{name}' (a .toml file, or one of {', '.join(known())})")
+    """Load a plan by its name, or from a path that ends in .toml."""
+    path = Path(name) if name.endswith(".toml") else PLANS_FOLDER / f"{name}.toml"
+    if not name.endswith(".toml") and name not in plan_names():
+        raise FaultInjectionError(
+            f"there is no plan '{name}' (a .toml file, or one of {', '.join(plan_names())})"
+        )
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -226,46 +242,51 @@
 
 
 def dump(plan: Plan) -> str:
-    """The plan as TOML, without what is left at its default; `parse` gives the same one back."""
+    """Return the plan as TOML without default values; `parse` returns an equal plan from it."""
     values = msgspec.to_builtins(plan)
-    usual = msgspec.to_builtins(Plan(name=plan.name, fleet=Scenario(name=plan.fleet.name)))
-    kept = without_defaults(values, usual) | {"name": plan.name}
-    kept["fleet"] = kept.get("fleet", {}) | {"name": plan.fleet.name}
-    plain = msgspec.to_builtins(Fault(kind="kill"))
-    kept["faults"] = [{"kind": one["kind"]} | without_defaults(one, plain) for one in values["faults"]]
-    return tomli_w.dumps(kept)
-
-
-def as_scenario(plan: Plan) -> tuple[Scenario, list[str]]:
-    """The plan as the model plays it, and the faults that the model has not."""
-    troubles, missing = [], []
+    defaults = msgspec.to_builtins(Plan(name=plan.name, fleet=Scenario(name=plan.fleet.name)))
+    output = without_defaults(values, defaults) | {"name": plan.name}
+    output["fleet"] = output.get("fleet", {}) | {"name": plan.fleet.name}
+    fault_defaults = msgspec.to_builtins(Fault(kind="kill"))
+    output["faults"] = [
+        {"kind": fault["kind"]} | without_defaults(fault, fault_defaults) for fault in values["faults"]
+    ]
+    return tomli_w.dumps(output)
+
+
+def to_scenario(plan: Plan) -> tuple[Scenario, list[str]]:
+    """Return the plan as a scenario of the simulation, and the faults for which that has no equivalent."""
+    scenario_faults, missing = [], []
     for fault in plan.faults:
-        trouble = as_trouble(fault, plan.fleet)
-        if trouble is None:
+        scenario_fault = to_scenario_fault(fault, plan.fleet)
+        if scenario_fault is None:
             missing.append(fault.kind if fault.kind not in ON_LINKS else f"{fault.kind} of {fault.link}")
         else:
-            troubles.append(trouble)
-    return msgspec.structs.replace(plan.fleet, troubles=tuple(troubles), stored=plan.state), missing
+            scenario_faults.append(scenario_fault)
+    return msgspec.structs.replace(plan.fleet, troubles=tuple(scenario_faults), stored=plan.state), missing
 
 
-def as_trouble(fault: Fault, fleet: Scenario) -> ScenarioFault | None:
-    """One fault as a trouble of the model's; None where it has none that means the same."""
+def to_scenario_fault(fault: Fault, fleet: Scenario) -> ScenarioFault | None:
+    """Return the equivalent fault of the simulation; None if it has none with the same meaning."""
     common = {"at_s": fault.at_s, "for_s": fault.for_s, "part": fault.part, "size": fault.size}
-    everywhere = fault.zone is None and not fault.numbers and fault.way == "both" and fault.times == 1
-    on = fault.kind, fault.on if fault.kind in ON_PROCESSES else fault.link if fault.kind in ON_LINKS else ""
-    if on == ("cut", "doors-servers") and fault.zone is not None and fault.part == 1:
+    hits_everywhere = fault.zone is None and not fault.numbers and fault.way == "both" and fault.times == 1
+    kind_and_target = (
+        fault.kind,
+        fault.on if fault.kind in ON_PROCESSES else fault.link if fault.kind in ON_LINKS else "",
+    )
+    if kind_and_target == ("cut", "doors-servers") and fault.zone is not None and fault.part == 1:
         return ScenarioFault(kind="zone_cut", zone=fault.zone, **common)
-    if not everywhere:
+    if not hits_everywhere:
         return None
-    if on == ("kill", "doors") and not fault.stagger_s and fault.state in get_args(StoredState):
+    if kind_and_target == ("kill", "doors") and not fault.stagger_s and fault.state in get_args(StoredState):
         return ScenarioFault(kind="kill_doors", back_s=fault.back_s, state=fault.state, **common)
-    if on == ("term", "doors") and fault.part == 1:
+    if kind_and_target == ("term", "doors") and fault.part == 1:
         return ScenarioFault(kind="restart_doors", **common | {"for_s": fault.stagger_s})
-    if on == ("hold", "doors-servers"):
+    if kind_and_target == ("hold", "doors-servers"):
         return ScenarioFault(kind="silent", **common)
-    if on == ("lose", "doors-doors") and fault.part == 1:
+    if kind_and_target == ("lose", "doors-doors") and fault.part == 1:
         return ScenarioFault(kind="messages_lost", **common)
-    if on == ("delay", "doors-list") and not fault.part < 1:
+    if kind_and_target == ("delay", "doors-list") and not fault.part < 1:
         return ScenarioFault(kind="lists_late", **common | {"size": fault.size / 1000})
     if fault.kind in ("bad", "errors_fast", "slow", "burst"):
         return ScenarioFault(kind=fault.kind, **common)
@@ -274,4 +295,4 @@
     return None
 
 
-PLANS = Path(__file__).resolve().parent / "plans"
+PLANS_FOLDER = Path(__file__).resolve().parent / "plans"
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -22,7 +22,7 @@
     read_folder,
     read_gateway_log,
 )
-from thistletrail.fault_injection.plan import ON_LINKS, ON_PROCESSES, TAIL_S, Fault, Plan
+from thistletrail.fault_injection.plan import ON_LINKS, ON_PROCESSES, TAIL_AFTER_LOAD_S, Fault, Plan
 from thistletrail.fault_injection.realtime import now_us, watch_lag
 from thistletrail.simulation.clock import S
 
@@ -69,7 +69,7 @@
     async def clients_end(self) -> None:
         """Wait for the clients' own end."""
         try:
-            async with asyncio.timeout(LEAD_US / S + self.plan.fleet.length_s + TAIL_S + ENDS_S):
+            async with asyncio.timeout(LEAD_US / S + self.plan.fleet.length_s + TAIL_AFTER_LOAD_S + ENDS_S):
                 for member in self.fleet.of("clients"):
                     while member.running and not self.failed:
                         await asyncio.sleep(0.05)
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -50,7 +50,11 @@
     plan: Plan, seed: int, tree: Tree, say: Say, twin: bool = True, more: dict[str, Any] | None = None
 ) -> Run:
     """Play a plan, and before it the same load without its faults."""
-    calm = play_once(plan.calm, seed, tree, say, more) if twin and plan.calm != plan else None
+    calm = (
+        play_once(plan.without_faults, seed, tree, say, more)
+        if twin and plan.without_faults != plan
+        else None
+    )
     seen = play_once(plan, seed, tree, say, more)
     return Run(plan, seed, seen, calm, figures(seen, calm), check(seen))
 
@@ -83,7 +87,7 @@
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError):
         raise FaultInjectionError(f"{folder / RESULT} tells no seed") from None
     seen = RunHistory(read(folder / HISTORY), plan, seed)
-    calm = RunHistory(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
+    calm = RunHistory(read(folder / CALM), plan.without_faults, seed) if (folder / CALM).exists() else None
     return Run(plan, seed, seen, calm, figures(seen, calm), check(seen))
 
 
