--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -125,9 +125,8 @@
     assert played == [("kill_doors", 0.9), ("bad", 0.2)]
     assert scenario.troubles[0].back_s == (1.0, 2.0)
     assert missing == ["pause", "cut of doors-list"]
-    assert (
-        to_scenario_fault(Fault(kind="kill", numbers=(1,)), SMALL) is None
-    )  # the model strikes by chance alone
+    # The simulation chooses the gateways that a fault hits at random only.
+    assert to_scenario_fault(Fault(kind="kill", numbers=(1,)), SMALL) is None
     assert to_scenario_fault(Fault(kind="cut", zone=1), SMALL).kind == "zone_cut"
     assert to_scenario_fault(Fault(kind="delay", link="doors-list", size=1500), SMALL).size == 1.5
     assert to_scenario_fault(Fault(kind="term", stagger_s=3), SMALL).for_s == 3
--- a/tests/test_fault_injection_relay.py
+++ b/tests/test_fault_injection_relay.py
@@ -282,7 +282,7 @@
         assert await send(0, 1, come=1) == [b"held"]
         ears[0].transport.sendto(b"x", peers.seen_by(1)[2])  # not from door 1: nobody of the fleet
         assert await send(0, 2) == []
-        peers.tell()
+        peers.record_counts()
         counts = {}
         for record in read(tmp_path / "h"):
             counts[record["fate"]] = counts.get(record["fate"], 0) + record["count"]
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -52,7 +52,7 @@
     "thistletrail/benchmarks/work.py": 13,
     "thistletrail/fault_injection/__main__.py": 6,
     "thistletrail/fault_injection/deaths.py": 15,
-    "thistletrail/fault_injection/fleet.py": 21,
+    "thistletrail/fault_injection/fleet.py": 15,
     "thistletrail/fault_injection/leases.py": 5,
     "thistletrail/fault_injection/plan.py": 11,
     "thistletrail/fault_injection/plans/leases.toml": 3,
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a run and the relays between them: started, killed, paused, started again, all ended."""
+"""The processes of a run and the relays between them: starts, restarts and ends them."""
 
 from __future__ import annotations
 
@@ -35,69 +35,72 @@
 from thistletrail.leasing.journal import begin_history
 from thistletrail.simulation.clock import Clock
 
-GATHER_S = 30.0  # for all processes to serve: dozens start at once on few cores
-END_S = 6.0  # for a process to end after SIGTERM: a door's drain takes up to 3.5 s
-LEASE_MS = 3000  # of the steward's
-SERVICES = {"list": 251, "follower": 252, "steward": 253}  # the last part of their addresses
-STALE_MS = 3_600_000  # how old a stale snapshot is made
+START_TIMEOUT_S = 30.0  # for all processes to serve: dozens start at once on few cores
+END_TIMEOUT_S = 6.0  # from SIGTERM to SIGKILL: the drain of a gateway takes up to 3.5 s
+LEASE_MS = 3000  # of the leases that the lease service grants
+# The last octet of the address of the first process of each kind.
+SERVICE_OCTETS = {"list": 251, "follower": 252, "steward": 253}
+STALE_MS = 3_600_000  # the age added to a stale snapshot
 
 
 def aged(data: bytes, by_ms: int) -> bytes:
-    """A door's snapshot as if it had been made so much earlier."""
+    """Return a gateway's snapshot with a timestamp that is earlier by `by_ms`."""
     snapshot = decode_snapshot(data)
     return encode_snapshot(replace(snapshot, written_at_ms=snapshot.written_at_ms - by_ms))
 
 
 class Member:
-    """One process of the fleet, running or not."""
+    """One process of the fleet, which may be down at the moment."""
 
     def __init__(
         self, kind: str, number: int, zone: int, folder: Path, start: Callable[[Member], Awaitable[Process]]
     ) -> None:
-        self.kind, self.number, self.zone, self.folder, self.begin = kind, number, zone, folder, start
+        self.kind, self.number, self.zone, self.folder, self.start_process = kind, number, zone, folder, start
         self.name = f"{kind}-{number}"
         self.process: Process | None = None
-        self.place: Address = ("", 0)  # where a steward listens, which is told before it does
-        self.meant = False  # to end, or to be down
+        self.listen_address: Address = ("", 0)  # of a lease service; chosen before the process starts
+        self.is_end_expected = False  # the run has ended the process, or is about to
         self.cold = False
         self.clock_s = 0.0
-        self.watching: asyncio.Task[None] | None = None
-        self.ending = asyncio.Lock()  # held by a fault that ends it, until it serves again
+        self.watch_task: asyncio.Task[None] | None = None
+        self.restart_lock = asyncio.Lock()  # held from the end by a fault until it serves again
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
     def state(self) -> Path:
-        """The folder of what it stores; stewards have one together."""
-        own = self.folder if self.kind != "steward" else self.folder.with_name("steward-0")
-        return own / "state"
+        """The folder of the stored state, which all lease services share."""
+        folder = self.folder if self.kind != "steward" else self.folder.with_name("steward-0")
+        return folder / "state"
 
     @property
     def running(self) -> bool:
         return self.process is not None and self.process.process.returncode is None
 
-    def send(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         with contextlib.suppress(ProcessLookupError):
             self.process.process.send_signal(number)
 
-    def order(self, **values: object) -> None:
-        """A line on its standard input."""
+    def send_order(self, **values: object) -> None:
+        """Write an order as a JSON line to the standard input of the process, if it runs."""
         if self.running:
             self.process.process.stdin.write(msgspec.json.encode(values) + b"\n")
 
     def fill_disk(self, full: bool) -> None:
-        """Let it write to no file, or again: the bound on a file's size stands for a disk that is full."""
+        """Make all writes to files fail, or succeed again, by the limit on the size of files."""
         with contextlib.suppress(ProcessLookupError):
-            _, most = resource.prlimit(self.process.process.pid, resource.RLIMIT_FSIZE)
-            resource.prlimit(self.process.process.pid, resource.RLIMIT_FSIZE, (0 if full else most, most))
+            _, hard_limit = resource.prlimit(self.process.process.pid, resource.RLIMIT_FSIZE)
+            resource.prlimit(
+                self.process.process.pid, resource.RLIMIT_FSIZE, (0 if full else hard_limit, hard_limit)
+            )
 
-    def lose_state(self, how: str) -> None:
-        """What is stored, while it is down: kept as it is, gone, from its older copy, older, or damaged."""
+    def apply_state_fault(self, how: str) -> None:
+        """Change the stored state while the process is down, by the value of `Fault.state`."""
         if how == "none":
             shutil.rmtree(self.state, ignore_errors=True)
         elif how == "old":
             shutil.rmtree(self.state, ignore_errors=True)
-            if self.copy.exists():
-                shutil.copytree(self.copy, self.state)
+            if self.copy_folder.exists():
+                shutil.copytree(self.copy_folder, self.state)
         elif how == "stale" and (self.state / "door").exists():
             path = self.state / "door"
             path.write_bytes(aged(path.read_bytes(), STALE_MS))
@@ -109,21 +112,21 @@
                     path.write_bytes(data)
 
     @property
-    def copy(self) -> Path:
+    def copy_folder(self) -> Path:
         return self.folder / "copy"
 
     def copy_state(self) -> None:
-        """Keep what is stored now, for a later fault."""
-        shutil.rmtree(self.copy, ignore_errors=True)
+        """Copy the stored state, for a later fault with an old state."""
+        shutil.rmtree(self.copy_folder, ignore_errors=True)
         if self.state.exists():
-            shutil.copytree(self.state, self.copy, ignore_dangling_symlinks=True)
+            shutil.copytree(self.state, self.copy_folder, ignore_dangling_symlinks=True)
 
 
 class Fleet:
-    """All members, the relays and the state of each link."""
+    """All members of the fleet, the relays between them, and the state of each link."""
 
     def __init__(self, plan: Plan, seed: int, tree: Tree, folder: Path, more: dict[str, Any]) -> None:
-        """`more` is added to each door's configuration."""
+        """`more` is added to the configuration of each gateway."""
         self.plan, self.seed, self.tree, self.folder, self.more = plan, seed, tree, folder, more
         self.loop = asyncio.get_running_loop()
         (folder / "history").mkdir(parents=True, exist_ok=True)
@@ -132,17 +135,18 @@
         self.members: dict[str, Member] = {}
         self.relays: dict[tuple[str, str, str], Relay] = {}
         self.states: dict[tuple[str, str, str], State] = {}
-        self.active: list[tuple[int, Fault]] = []  # faults on links that hold now
+        self.active_link_faults: list[tuple[int, Fault]] = []
         self.random = random.Random(f"{seed}/doors")
         self.crashed: list[str] = []
-        self.fresh_servers = 0
-        net, own = plan.fleet.net, os.getpid()
-        # Who starts again at its address has one of its own: else another's connection could take its port.
-        self.prefix = f"127.{64 + (own >> 8) % 128}.{own % 256}"
-        hosts = [f"{self.prefix}.{n + 1}" for n in range(plan.fleet.doors)]
-        self.listens = [(host, free_port(host=host)) for host in hosts]
-        self.peer_listens = [(host, free_port(socket.SOCK_DGRAM, host)) for host in hosts]
-        self.peers = Peers(self.peer_listens, self.peer_state, self.writer)
+        self.added_server_count = 0
+        net, pid = plan.fleet.net, os.getpid()
+        # Each process that restarts at its address has a host of its own: on a shared one, a connection of
+        # another process could take its port.
+        self.prefix = f"127.{64 + (pid >> 8) % 128}.{pid % 256}"
+        hosts = [f"{self.prefix}.{number + 1}" for number in range(plan.fleet.doors)]
+        self.listen_addresses = [(host, free_port(host=host)) for host in hosts]
+        self.peer_listen_addresses = [(host, free_port(socket.SOCK_DGRAM, host)) for host in hosts]
+        self.peers = Peers(self.peer_listen_addresses, self.peer_state, self.writer)
         self.add("list", 0, 0, self.start_list)
         if plan.follower:
             self.add("follower", 0, 0, self.start_follower)
@@ -152,7 +156,7 @@
         for number in range(plan.fleet.servers.count):
             self.add("servers", number, number % net.zones, self.start_scan)
         for number in range(plan.fleet.doors):
-            self.add("doors", number, number % net.zones, self.start_front_door)
+            self.add("doors", number, number % net.zones, self.start_gateway)
         for number in range(plan.clients):
             self.add("clients", number, -1, self.start_clients)
 
@@ -161,24 +165,27 @@
         self.members[member.name] = member
         return member
 
-    def of(self, kind: str) -> list[Member]:
+    def members_of(self, kind: str) -> list[Member]:
         return [member for member in self.members.values() if member.kind == kind]
 
     # --- links ---
 
-    def state(self, link: str, near: str, far: str) -> State:
-        """That of the link between two members, by name."""
-        found = self.states.get((link, near, far))
-        if found is None:
-            found = self.states[link, near, far] = State(random.Random(f"{self.seed}/{link}/{near}/{far}"))
-            self.refresh(link, near, far)
-        return found
+    def link_state(self, link: str, near: str, far: str) -> State:
+        """Return the state of the link between two members, by their names; it is created on first use."""
+        state = self.states.get((link, near, far))
+        if state is None:
+            state = self.states[link, near, far] = State(random.Random(f"{self.seed}/{link}/{near}/{far}"))
+            self.update_link_state(link, near, far)
+        return state
 
     def peer_state(self, one: int, other: int) -> State:
-        return self.state("doors-doors", f"doors-{one}", f"doors-{other}")
+        return self.link_state("doors-doors", f"doors-{one}", f"doors-{other}")
+
+    def hits_link(self, index: int, fault: Fault, near: str, far: str) -> bool:
+        """Whether a fault on links hits this one.
 
-    def strikes(self, index: int, fault: Fault, near: str, far: str) -> bool:
-        """Whether a fault on links strikes this one: by chance of its own, so that order changes nothing."""
+        Each link has a random generator of its own, so that the order of the calls changes nothing.
+        """
         sides = [self.members[near], self.members[far]]
         if fault.zone is not None and len({side.zone == fault.zone for side in sides}) == 1:
             return False
@@ -186,80 +193,90 @@
             return False
         return random.Random(f"{self.seed}/{index}/{near}/{far}").random() < fault.part
 
-    def refresh(self, link: str, near: str, far: str) -> None:
-        """Set a link's state by the faults that hold now."""
+    def update_link_state(self, link: str, near: str, far: str) -> None:
+        """Set the state of a link by the faults that are active now."""
         state = self.states[link, near, far]
         state.clear()
-        for index, fault in self.active:
-            if fault.link == link and self.strikes(index, fault, near, far):
+        for index, fault in self.active_link_faults:
+            if fault.link == link and self.hits_link(index, fault, near, far):
                 state.apply(fault.kind, fault.way, fault.size)
         state.wake()
 
-    def refresh_all(self, link: str) -> None:
+    def update_link_states(self, link: str) -> None:
         for key in [key for key in self.states if key[0] == link]:
-            self.refresh(*key)
+            self.update_link_state(*key)
 
     def relay(self, link: str, near: str, far: str, target: Address, kind: type[Relay] = Relay) -> Relay:
-        """The relay from one member to another; made when first asked for."""
-        found = self.relays.get((link, near, far))
-        if found is None:
-            make = (
+        """Return the relay from one member to another, with its target set; it is created on first use."""
+        relay = self.relays.get((link, near, far))
+        if relay is None:
+            make_filter = (
                 (lambda: EndpointListRewriter(near, lambda name, at: self.address_of(near, name, at)))
                 if link in ("doors-list", "doors-follower")
                 else None
             )
-            found = self.relays[link, near, far] = kind(
-                link, (near, far), self.state(link, near, far), target, self.writer, make
+            relay = self.relays[link, near, far] = kind(
+                link, (near, far), self.link_state(link, near, far), target, self.writer, make_filter
             )
-        found.target = target
-        return found
+        relay.target = target
+        return relay
 
-    def address_of(self, door: str, server: str, listens: str) -> str:
-        """Where a door reaches a scan server: what the list tells it."""
+    def address_of(self, door: str, server: str, listen_address: str) -> str:
+        """Return the address at which a gateway reaches a scan server, for its endpoint list."""
         if server not in self.members:
-            return listens
-        host, _, port = listens.rpartition(":")
+            return listen_address
+        host, _, port = listen_address.rpartition(":")
         relay = self.relay("doors-servers", door, server, (host, int(port)), Requests)
         if not self.members[server].running:
             relay.refuse()
         return text(relay.address)
 
-    def open_relays(self, member: Member, is_there: bool) -> None:
-        """It is there, or connecting to it is refused."""
+    def set_reachable(self, member: Member, is_reachable: bool) -> None:
+        """Accept connections to a member, or refuse them while it is down."""
         for (_, _, far), relay in self.relays.items():
             if far == member.name:
-                relay.open() if is_there else relay.refuse()
+                relay.open() if is_reachable else relay.refuse()
 
     # --- starts ---
 
-    def listen(self, member: Member) -> str:
-        """Where a service listens: at a port that the system chose, the same one each time."""
+    def listen_argument(self, member: Member) -> str:
+        """Return the address at which a service listens: any free port at first, then the same one again."""
         if member.process:
             return text(member.process.address)
-        return text((f"{self.prefix}.{SERVICES[member.kind] + member.number}", 0))
+        return text((f"{self.prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
 
     async def start_list(self, member: Member) -> Process:
-        words = ("-m", "thistletrail.registry", "--data", str(member.state), "--listen", self.listen(member))
-        if member.process is None:  # a first start: doors come once scan servers have registered
-            words = (*words, "--fill", "0")
-        process, _ = await start_program(words, member.folder / "log")
+        arguments = (
+            "-m",
+            "thistletrail.registry",
+            "--data",
+            str(member.state),
+            "--listen",
+            self.listen_argument(member),
+        )
+        if member.process is None:  # first start: gateways start once the scan servers have registered
+            arguments = (*arguments, "--fill", "0")
+        process, _ = await start_program(arguments, member.folder / "log")
         return process
 
     async def start_follower(self, member: Member) -> Process:
         relay = self.relay("follower-list", member.name, "list-0", self.members["list-0"].process.address)
-        words = (
+        arguments = (
             "-m",
             "thistletrail.registry",
             "--follow",
             text(relay.address),
             "--listen",
-            self.listen(member),
+            self.listen_argument(member),
         )
-        process, _ = await start_program(words, member.folder / "log")
+        process, _ = await start_program(arguments, member.folder / "log")
         return process
 
     async def start_steward(self, member: Member) -> Process:
-        """The first one is waited for; where there are others, nobody knows who will have the office."""
+        """Start a lease service; the first one writes the configuration, and serves before this returns.
+
+        Among several, any one may become the leader later.
+        """
         folder = self.members["steward-0"].folder
         config, secret = folder / "budgets.toml", folder / "secret"
         if not config.exists():
@@ -290,7 +307,7 @@
             )
             secret.write_text(f"{random.Random(self.seed).getrandbits(256):064x}")
             begin_history(member.state, read_config(config))
-        words = (
+        arguments = (
             "-m",
             "thistletrail.leasing",
             "serve",
@@ -303,33 +320,38 @@
             "--listen",
         )
         if self.plan.stewards == 1:
-            process, _ = await start_program((*words, self.listen(member)), member.folder / "log")
+            process, _ = await start_program(
+                (*arguments, self.listen_argument(member)), member.folder / "log"
+            )
             return process
         if member.process is None:
-            host = self.listen(member).rpartition(":")[0]
-            member.place = host, free_port(host=host)
-        words = (*words, text(member.place), "--standby")
+            host = self.listen_argument(member).rpartition(":")[0]
+            member.listen_address = host, free_port(host=host)
+        arguments = (*arguments, text(member.listen_address), "--standby")
         if member.process is None and member.number == 0:
-            process, _ = await start_program(words, member.folder / "log")
+            process, _ = await start_program(arguments, member.folder / "log")
         else:
-            process = await start_quiet(words, member.folder / "log", member.place)
+            process = await start_quiet(arguments, member.folder / "log", member.listen_address)
         return process
 
-    def steward_of(self, door: str) -> dict[str, Any]:
-        """What a door is told of the stewards, at the relays to them; each door begins at another one."""
+    def lease_service_settings(self, door: str) -> dict[str, Any]:
+        """Return the part of a gateway's configuration with the addresses of the lease services.
+
+        The addresses are those of the relays; the first one goes round by the gateway's number.
+        """
         if not self.plan.needs_lease_service:
             return {}
-        found = self.of("steward")
+        lease_services = self.members_of("steward")
         relays = [
-            text(self.relay("doors-steward", door, one.name, one.process.address, Renewals).address)
-            for one in found
+            text(self.relay("doors-steward", door, service.name, service.process.address, Renewals).address)
+            for service in lease_services
         ]
-        at = self.members[door].number % len(relays)
-        told = {
-            "addresses": ",".join(relays[at:] + relays[:at]),
-            "secret_file": str(found[0].folder / "secret"),
+        first = self.members[door].number % len(relays)
+        connection = {
+            "addresses": ",".join(relays[first:] + relays[:first]),
+            "secret_file": str(lease_services[0].folder / "secret"),
         }
-        leased = {**told, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
+        leased = {**connection, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
         has_lease_keys = self.tree.has_lease_keys
         budget_key = "budget_leases" if has_lease_keys else "steward"
         work_key = "work_leases" if has_lease_keys else "takeover"
@@ -338,12 +360,12 @@
             rate, burst = self.plan.further
             config[budget_key]["further_attempts"] = {"rate": rate, "burst": int(burst)}
         if self.plan.takeover:
-            config[work_key] = {**told, "classes": list(self.plan.takeover)}
+            config[work_key] = {**connection, "classes": list(self.plan.takeover)}
         return config
 
-    async def start_own(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
-        """One of fault injection's own programs."""
-        told = Told(
+    async def start_helper_program(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
+        """Start one of the programs of fault injection itself, with its configuration in `told.json`."""
+        config = Told(
             plan=self.plan,
             seed=self.seed,
             number=member.number,
@@ -354,7 +376,7 @@
             **values,
         )
         path = member.folder / "told.json"
-        path.write_bytes(msgspec.json.encode(told))
+        path.write_bytes(msgspec.json.encode(config))
         process, _ = await start_program(
             ("-m", module, str(path)), member.folder / "log", stdin=asyncio.subprocess.PIPE
         )
@@ -362,19 +384,21 @@
 
     async def start_scan(self, member: Member) -> Process:
         relay = self.relay("servers-list", member.name, "list-0", self.members["list-0"].process.address)
-        return await self.start_own(member, "thistletrail.fault_injection.scan", service=text(relay.address))
+        return await self.start_helper_program(
+            member, "thistletrail.fault_injection.scan", service=text(relay.address)
+        )
 
     async def start_clients(self, member: Member) -> Process:
         doors = tuple(
             text(self.relay("clients-doors", member.name, door.name, door.process.address).address)
-            for door in self.of("doors")
+            for door in self.members_of("doors")
         )
-        return await self.start_own(member, "thistletrail.fault_injection.clients", doors=doors)
+        return await self.start_helper_program(member, "thistletrail.fault_injection.clients", doors=doors)
 
-    async def start_front_door(self, member: Member) -> Process:
+    async def start_gateway(self, member: Member) -> Process:
         number = member.number
         sources = [("list-0", "doors-list")]
-        if self.plan.follower:  # every other door asks it first
+        if self.plan.follower:  # every other gateway asks the follower first
             sources.insert(1 - number % 2, ("follower-0", "doors-follower"))
         if not self.tree.many_lists:
             del sources[1:]
@@ -384,17 +408,17 @@
         ]
         config = {
             "name": member.name,
-            "listen": text(self.listens[number]),
+            "listen": text(self.listen_addresses[number]),
             "discovery": ",".join(text(relay.address) for relay in relays),
             "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
-            "peer_listen": text(self.peer_listens[number]),
+            "peer_listen": text(self.peer_listen_addresses[number]),
             "known": {},
             "peers": [text(address) for address in self.peers.seen_by(number)],
             "settings": self.world.settings(number),
             "clock_offset_ms": round(member.clock_s * 1000),
             **({"state_dir": str(member.state)} if self.plan.state else {}),
-            **self.steward_of(member.name),
+            **self.lease_service_settings(member.name),
             **self.more,
         }
         process = await start_door(self.tree, config, member.folder)
@@ -407,42 +431,42 @@
         return process
 
     async def start(self, member: Member) -> None:
-        """Start a member, again too, and wait until it serves."""
+        """Start or restart a member, and wait until it serves."""
         try:
-            process = await member.begin(member)
+            process = await member.start_process(member)
         except BenchError as error:
             raise FaultInjectionError(f"{member.name}: {error}") from error
-        member.process, member.meant = process, False
+        member.process, member.is_end_expected = process, False
         self.writer.note("started", who=member.name, cold=member.cold)
         if member.kind == "doors":
             self.writer.note("pong", door=member.number)
-        self.open_relays(member, True)
-        member.watching = self.loop.create_task(self.watch(member, process))
+        self.set_reachable(member, True)
+        member.watch_task = self.loop.create_task(self.watch(member, process))
 
     async def watch(self, member: Member, process: Process) -> None:
-        """Note its end, and whether anybody meant it."""
+        """Record the end of a process, and whether it was expected."""
         code = await process.process.wait()
         if member.process is process:
-            self.open_relays(member, False)
-            self.writer.note("died", who=member.name, meant=member.meant, code=code)
-            if not member.meant:
+            self.set_reachable(member, False)
+            self.writer.note("died", who=member.name, meant=member.is_end_expected, code=code)
+            if not member.is_end_expected:
                 self.crashed.append(f"{member.name} has ended by itself ({code}): {process.last_line()}")
 
     async def start_all(self) -> None:
-        """Everything but the clients' load."""
-        async with asyncio.timeout(GATHER_S + 0.5 * len(self.members)):
+        """Start all members, in the order in which they need each other; the load begins later."""
+        async with asyncio.timeout(START_TIMEOUT_S + 0.5 * len(self.members)):
             await self.peers.start()
             await self.start(self.members["list-0"])
             if self.plan.follower:
                 await self.start(self.members["follower-0"])
             if self.plan.needs_lease_service:
                 await self.start(self.members["steward-0"])
-            await self.together([*self.of("steward")[1:], *self.of("servers")])
-            await self.together(self.of("doors"))
-            await self.together(self.of("clients"))
+            await self.start_concurrently([*self.members_of("steward")[1:], *self.members_of("servers")])
+            await self.start_concurrently(self.members_of("doors"))
+            await self.start_concurrently(self.members_of("clients"))
 
-    async def together(self, members: list[Member]) -> None:
-        """Start several at once; the first that fails ends it."""
+    async def start_concurrently(self, members: list[Member]) -> None:
+        """Start several members at once; the first failure cancels the others."""
         async with asyncio.TaskGroup() as group:
             for member in members:
                 group.create_task(self.start(member))
@@ -450,35 +474,35 @@
     # --- ends ---
 
     def kill(self, member: Member) -> None:
-        member.meant = True
-        self.open_relays(member, False)
+        member.is_end_expected = True
+        self.set_reachable(member, False)
         member.process.kill()
 
     async def end(self) -> None:
-        """SIGTERM to all that runs, and SIGKILL to what is left."""
+        """Send SIGTERM to all running processes, and wait for their ends; `close` kills those that remain."""
         running = [member for member in self.members.values() if member.running]
         for member in running:
-            member.meant = True
-            member.send(signal.SIGCONT)
-            member.send(signal.SIGTERM)
+            member.is_end_expected = True
+            member.send_signal(signal.SIGCONT)
+            member.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(END_TIMEOUT_S):
                 for member in running:
                     await member.process.process.wait()
 
     async def close(self) -> None:
-        """Leave no process and no socket, whatever has happened."""
+        """Kill all processes and close all sockets."""
         for member in self.members.values():
-            member.meant = True
+            member.is_end_expected = True
             if member.process is not None:
                 member.process.kill()
         for member in self.members.values():
             if member.process is not None:
                 await member.process.process.wait()
-            if member.watching is not None:
-                await member.watching
+            if member.watch_task is not None:
+                await member.watch_task
         for relay in self.relays.values():
             relay.close()
-        self.peers.tell()
+        self.peers.record_counts()
         self.peers.close()
         self.writer.close()
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -138,9 +138,7 @@
     lease_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 3.0
     steward: bool = False  # ceilings are divided by leases, instead of fixed shares and quota messages
     quotas: bool = False  # quotas are divided by leases as well
-    stewards: Annotated[int, msgspec.Meta(ge=1, le=3)] = (
-        1  # lease service processes: one serves, the others are standbys
-    )
+    stewards: Annotated[int, msgspec.Meta(ge=1, le=3)] = 1  # lease services; all but one are standbys
     further: tuple[Amount, Amount] | None = None  # rate a second and burst of the leased retry budget
     takeover: tuple[str, ...] = ()  # classes whose work items the lease service stores for a takeover
     state: bool = False  # gateways store snapshots (`state_dir`)
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -1,4 +1,4 @@
-"""One run of a plan: its fleet, its load, its faults at their times, and the history of it all."""
+"""Runs a plan once: starts the fleet and the load, injects the faults, and returns the merged history."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from thistletrail.fault_injection.realtime import now_us, watch_lag
 from thistletrail.simulation.clock import S
 
-LEAD_US = 300_000  # from the order to begin until the load begins
-ENDS_S = 8.0  # past the load and its tail, for clients to end: a machine may be slow
-DRAIN_S = 8.0  # for a door that was sent SIGTERM: 3.5 s by its own word
-GONE_S = 0.5  # that a scan server drains before it leaves, where the plan replaces it
+LOAD_START_DELAY_US = 300_000  # from the order to the clients until the load begins
+CLIENT_EXIT_TIMEOUT_S = 8.0  # after the load and its tail; generous for slow machines
+DRAIN_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL; gateways state that they drain for up to 3.5 s
+REPLACED_SERVER_DRAIN_S = 0.5  # from the drain of a replaced scan server until it leaves
 
 Say = Callable[[str], None]
 
 
-class Play:
-    """A plan's run from the first process to the last."""
+class PlanRun:
+    """Runs the plan of a fleet, from the start of the first process to the end of the last."""
 
     def __init__(self, fleet: Fleet, say: Say) -> None:
         self.fleet, self.plan, self.say = fleet, fleet.plan, say
@@ -44,21 +44,24 @@
         self.failed: list[BaseException] = []
 
     async def run(self) -> None:
-        """Play the load to its end."""
+        """Start the fleet, run the load with the faults to its end, and end the fleet.
+
+        Raises the first error of a fault's task, if there was one.
+        """
         fleet = self.fleet
         self.say(f"{self.plan.name}: starting {len(fleet.members)} processes")
         await fleet.start_all()
-        self.start_us = now_us() + LEAD_US
+        self.start_us = now_us() + LOAD_START_DELAY_US
         fleet.writer.note(
             "go", start_us=self.start_us, end_us=self.start_us + round(self.plan.fleet.length_s * S)
         )
-        for member in fleet.of("clients"):
-            member.meant = True  # to end, with its load
-            member.order(go=self.start_us)
+        for member in fleet.members_of("clients"):
+            member.is_end_expected = True  # clients end with their load
+            member.send_order(go=self.start_us)
         self.spawn(watch_lag(fleet.writer.note))
         for index, fault in enumerate(self.plan.faults):
-            self.spawn(self.strike(index, fault))
-        await self.clients_end()
+            self.spawn(self.inject(index, fault))
+        await self.wait_for_clients()
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -66,11 +69,13 @@
             raise self.failed[0]
         await fleet.end()
 
-    async def clients_end(self) -> None:
-        """Wait for the clients' own end."""
+    async def wait_for_clients(self) -> None:
+        """Wait until the clients end by themselves; raises `FaultInjectionError` on failure or time-out."""
         try:
-            async with asyncio.timeout(LEAD_US / S + self.plan.fleet.length_s + TAIL_AFTER_LOAD_S + ENDS_S):
-                for member in self.fleet.of("clients"):
+            async with asyncio.timeout(
+                LOAD_START_DELAY_US / S + self.plan.fleet.length_s + TAIL_AFTER_LOAD_S + CLIENT_EXIT_TIMEOUT_S
+            ):
+                for member in self.fleet.members_of("clients"):
                     while member.running and not self.failed:
                         await asyncio.sleep(0.05)
                     if member.process.process.returncode:
@@ -80,111 +85,115 @@
 
     def spawn(self, job: Any) -> None:  # noqa: ANN401 - a coroutine
         self.tasks.add(task := asyncio.get_running_loop().create_task(job))
-        task.add_done_callback(self.ended)
+        task.add_done_callback(self.on_task_done)
 
-    def ended(self, task: asyncio.Task[None]) -> None:
+    def on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception():
             self.failed.append(task.exception())
 
-    async def until(self, seconds: float) -> None:
-        """Until so long after the start of the load."""
+    async def sleep_until(self, seconds: float) -> None:
+        """Sleep until the given time after the start of the load."""
         await asyncio.sleep(max(0.0, (self.start_us + seconds * S - now_us()) / S))
 
     # --- faults ---
 
-    async def strike(self, index: int, fault: Fault) -> None:
-        """One fault from its beginning to its end."""
+    async def inject(self, index: int, fault: Fault) -> None:
+        """Inject one fault at its time, and remove it at its end."""
         if fault.kind in ON_LINKS:
-            await self.strike_links(index, fault)
+            await self.inject_on_links(index, fault)
             return
         if fault.kind == "burst":
-            await self.until(fault.at_s)
-            self.note(index, fault, ["customers"])
+            await self.sleep_until(fault.at_s)
+            self.record_fault(index, fault, ["customers"])
             await asyncio.sleep(fault.for_s)
-            self.note(index, fault, ["customers"], "undone")
+            self.record_fault(index, fault, ["customers"], "undone")
             return
-        chance = random.Random(f"{self.fleet.seed}/{index}")
-        struck = self.chosen(fault, chance)
+        rng = random.Random(f"{self.fleet.seed}/{index}")
+        hit_members = self.choose_members(fault, rng)
         if fault.state == "old":
-            await self.until(fault.at_s / 2)
-            for member in struck:
+            await self.sleep_until(fault.at_s / 2)
+            for member in hit_members:
                 await asyncio.to_thread(member.copy_state)
-        await self.until(fault.at_s)
-        self.say(f"{fault.at_s:g} s: {fault.kind} {', '.join(member.name for member in struck)}")
-        self.note(index, fault, [member.name for member in struck])
-        spread = fault.stagger_s if fault.kind in ON_PROCESSES else 0.0
-        spread = fault.for_s if fault.kind == "replace" else spread
+        await self.sleep_until(fault.at_s)
+        self.say(f"{fault.at_s:g} s: {fault.kind} {', '.join(member.name for member in hit_members)}")
+        self.record_fault(index, fault, [member.name for member in hit_members])
+        spread_s = fault.stagger_s if fault.kind in ON_PROCESSES else 0.0
+        spread_s = fault.for_s if fault.kind == "replace" else spread_s
         async with asyncio.TaskGroup() as group:
-            for number, member in enumerate(struck):
+            for number, member in enumerate(hit_members):
                 group.create_task(
-                    self.strike_one(
-                        fault, member, spread * number / max(1, len(struck)), chance.uniform(*fault.back_s)
+                    self.inject_into_member(
+                        fault,
+                        member,
+                        spread_s * number / max(1, len(hit_members)),
+                        rng.uniform(*fault.back_s),
                     )
                 )
-        self.note(index, fault, [member.name for member in struck], "undone")
+        self.record_fault(index, fault, [member.name for member in hit_members], "undone")
 
-    def chosen(self, fault: Fault, chance: random.Random) -> list[Member]:
-        """The members that it strikes: those of the numbers, or a part of a kind by chance."""
+    def choose_members(self, fault: Fault, rng: random.Random) -> list[Member]:
+        """Return the members that a fault hits: those of its numbers, or a random share of a kind."""
         kind = fault.on if fault.kind in ON_PROCESSES else "servers"
         members = [
-            member for member in self.fleet.of(kind) if fault.zone is None or member.zone == fault.zone
+            member
+            for member in self.fleet.members_of(kind)
+            if fault.zone is None or member.zone == fault.zone
         ]
         if fault.numbers:
             return [member for member in members if member.number in fault.numbers]
-        return sorted(
-            chance.sample(members, round(len(members) * fault.part)), key=lambda member: member.number
-        )
+        return sorted(rng.sample(members, round(len(members) * fault.part)), key=lambda member: member.number)
 
-    async def strike_one(self, fault: Fault, member: Member, after_s: float, back_s: float) -> None:
+    async def inject_into_member(self, fault: Fault, member: Member, after_s: float, back_s: float) -> None:
         await asyncio.sleep(after_s)
         for _ in range(fault.times):
-            act = {
+            inject = {
                 "kill": self.kill,
                 "term": self.term,
                 "pause": self.pause,
                 "full_disk": self.full_disk,
                 "move": self.move,
                 "replace": self.replace,
-            }.get(fault.kind, self.serve_badly)
-            # One that is ended while it is away, or on its way back, is ended once it serves: it must not be
-            # started twice.
-            async with member.ending if fault.kind in ("kill", "term") else nullcontext():
-                await act(fault, member, back_s)
+            }.get(fault.kind, self.degrade_server)
+            # A member that another fault has ended is ended again only once it serves: it must not be started
+            # twice.
+            async with member.restart_lock if fault.kind in ("kill", "term") else nullcontext():
+                await inject(fault, member, back_s)
 
     async def kill(self, fault: Fault, member: Member, back_s: float) -> None:
         self.fleet.kill(member)
         await member.process.process.wait()
-        await self.again(fault, member, back_s)
+        await self.restart(fault, member, back_s)
 
     async def term(self, fault: Fault, member: Member, back_s: float) -> None:
-        member.meant = True
-        member.send(signal.SIGTERM)
+        member.is_end_expected = True
+        member.send_signal(signal.SIGTERM)
         with suppress(TimeoutError):
-            await asyncio.wait_for(member.process.process.wait(), DRAIN_S)
+            await asyncio.wait_for(member.process.process.wait(), DRAIN_TIMEOUT_S)
         self.fleet.kill(member)
         await member.process.process.wait()
-        await self.again(fault, member, back_s)
+        await self.restart(fault, member, back_s)
 
-    async def again(self, fault: Fault, member: Member, back_s: float) -> None:
-        """Start it once more, with what the fault leaves of its state."""
-        await asyncio.to_thread(member.lose_state, fault.state)  # a slow disk must not hold up the relays
+    async def restart(self, fault: Fault, member: Member, back_s: float) -> None:
+        """Start a member again after `back_s`, with the state that the fault leaves."""
+        # In a thread: a slow disk would delay the relays.
+        await asyncio.to_thread(member.apply_state_fault, fault.state)
         member.cold, member.clock_s = True, fault.clock_s
         await asyncio.sleep(back_s)
         await self.fleet.start(member)
 
     async def pause(self, fault: Fault, member: Member, back_s: float) -> None:
-        member.send(signal.SIGSTOP)
+        member.send_signal(signal.SIGSTOP)
         await asyncio.sleep(fault.for_s)
-        member.send(signal.SIGCONT)
+        member.send_signal(signal.SIGCONT)
         self.fleet.writer.note("woke", who=member.name)
 
     async def move(self, fault: Fault, member: Member, back_s: float) -> None:
-        """The list service that it asks second becomes the only one that it is told of."""
+        """Configure a gateway with the last of its registries alone, and have it read its configuration."""
         path = member.folder / "config.json"
         config = msgspec.json.decode(path.read_bytes())
         path.write_bytes(msgspec.json.encode({**config, "discovery": config["discovery"].split(",")[-1]}))
-        member.send(signal.SIGHUP)
+        member.send_signal(signal.SIGHUP)
 
     async def full_disk(self, fault: Fault, member: Member, back_s: float) -> None:
         member.fill_disk(True)
@@ -192,71 +201,79 @@
         member.fill_disk(False)
 
     async def replace(self, fault: Fault, member: Member, back_s: float) -> None:
-        """A cold one comes under a new id, the old one drains and leaves."""
+        """Start a cold scan server under a new id, then drain and end the old one."""
         fleet = self.fleet
-        number = fleet.plan.fleet.servers.count + fleet.fresh_servers
-        fleet.fresh_servers += 1
-        fresh = fleet.add("servers", number, member.zone, fleet.start_scan)
-        fresh.cold = True
-        await fleet.start(fresh)
-        member.meant = True
-        member.order(drain=True)
-        await asyncio.sleep(GONE_S)
-        member.order(leave=True)
+        number = fleet.plan.fleet.servers.count + fleet.added_server_count
+        fleet.added_server_count += 1
+        new_member = fleet.add("servers", number, member.zone, fleet.start_scan)
+        new_member.cold = True
+        await fleet.start(new_member)
+        member.is_end_expected = True
+        member.send_order(drain=True)
+        await asyncio.sleep(REPLACED_SERVER_DRAIN_S)
+        member.send_order(leave=True)
         await member.process.process.wait()
 
-    async def serve_badly(self, fault: Fault, member: Member, back_s: float) -> None:
-        worse, usual = {
+    async def degrade_server(self, fault: Fault, member: Member, back_s: float) -> None:
+        degraded, normal = {
             "bad": ({"bad": fault.size}, {"bad": 0.0}),
             "errors_fast": ({"bad": fault.size, "fast": True}, {"bad": 0.0, "fast": False}),
             "slow": ({"slow": max(1.0, fault.size)}, {"slow": 1.0}),
         }[fault.kind]
-        member.order(**worse)
+        member.send_order(**degraded)
         await asyncio.sleep(fault.for_s)
-        member.order(**usual)
+        member.send_order(**normal)
 
-    async def strike_links(self, index: int, fault: Fault) -> None:
-        await self.until(fault.at_s)
+    async def inject_on_links(self, index: int, fault: Fault) -> None:
+        await self.sleep_until(fault.at_s)
         self.say(f"{fault.at_s:g} s: {fault.kind} on {fault.link}")
-        self.note(index, fault, [fault.link])
-        self.fleet.active.append((index, fault))
-        self.fleet.refresh_all(fault.link)
+        self.record_fault(index, fault, [fault.link])
+        self.fleet.active_link_faults.append((index, fault))
+        self.fleet.update_link_states(fault.link)
         await asyncio.sleep(fault.for_s)
-        self.fleet.active.remove((index, fault))
-        self.fleet.refresh_all(fault.link)
-        self.note(index, fault, [fault.link], "undone")
+        self.fleet.active_link_faults.remove((index, fault))
+        self.fleet.update_link_states(fault.link)
+        self.record_fault(index, fault, [fault.link], "undone")
 
-    def note(self, index: int, fault: Fault, what: list[str], kind: str = "fault") -> None:
-        self.fleet.writer.note(kind, fault=fault.kind, number=index, struck=what)
+    def record_fault(self, index: int, fault: Fault, targets: list[str], kind: str = "fault") -> None:
+        self.fleet.writer.note(kind, fault=fault.kind, number=index, struck=targets)
 
 
 async def play(
     plan: Plan, seed: int, tree: Tree, folder: Path, say: Say, more: dict[str, Any] | None = None
 ) -> list[Record]:
-    """Run a plan once, in `folder`: its history. What keeps it from being played is a FaultInjectionError."""
+    """Run a plan once, with its files in `folder`, and return its history.
+
+    `more` is added to the configuration of each gateway. Raises `FaultInjectionError` if the plan cannot be
+    run.
+    """
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
-    for number in (signal.SIGTERM, signal.SIGINT):  # as an exception it could be lost in a callback
-        loop.add_signal_handler(number, task.cancel)
+    # An exception of the default handlers could be lost in a callback of the loop.
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, task.cancel)
     fleet = Fleet(plan, seed, tree, folder, more or {})
     offset_us = monotonic_offset_us()
     try:
-        await Play(fleet, say).run()
+        await PlanRun(fleet, say).run()
     except TimeoutError:
         raise FaultInjectionError("the processes do not all start") from None
     except BaseExceptionGroup as group:
-        raise first(group) from None
+        raise first_error(group) from None
     finally:
         with suppress(asyncio.CancelledError):
             await asyncio.shield(fleet.close())
     if fleet.crashed:
         say(fleet.crashed[0])
     parts = read_folder(folder / "history")
-    logs = [read_gateway_log(member.folder / "log", member.number, offset_us) for member in fleet.of("doors")]
+    logs = [
+        read_gateway_log(member.folder / "log", member.number, offset_us)
+        for member in fleet.members_of("doors")
+    ]
     return merge([*parts, *logs])
 
 
-def first(group: BaseExceptionGroup) -> BaseException:
-    """The first plain error of a group."""
+def first_error(group: BaseExceptionGroup) -> BaseException:
+    """Return the first error of a group that is not a group itself."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/thistletrail/fault_injection/relay.py
+++ b/thistletrail/fault_injection/relay.py
@@ -412,7 +412,7 @@
         if not seen.is_closing():
             seen.sendto(data, self.doors[receiver])
 
-    def tell(self) -> None:
+    def record_counts(self) -> None:
         """Note what was counted."""
         for (bucket, fate), count in sorted(self.counted.items()):
             self.writer.note("words", at=bucket * BUCKET_US, fate=fate, count=count)
