--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -8,7 +8,13 @@
 from thistletrail.benchmarks.process import ROOT, Tree
 from thistletrail.fault_injection.checks import CHECKS, RunHistory, check
 from thistletrail.fault_injection.history import Record, merge
-from thistletrail.fault_injection.leases import Bodies, beliefs, divided, sums, wholes
+from thistletrail.fault_injection.leases import (
+    MessageReader,
+    divisible_totals,
+    held_shares,
+    lease_summary,
+    share_sums,
+)
 from thistletrail.fault_injection.plan import Plan, load, parse
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
@@ -21,7 +27,7 @@
     stewards=3,
     fleet=Scenario(name="p", doors=3, length_s=10, servers=Servers(count=2), demand=Demand(load=(0.3, 0.3))),
 )
-(WHOLE,) = wholes(RunHistory([], PLAN, 1)).values()
+(WHOLE,) = divisible_totals(RunHistory([], PLAN, 1)).values()
 NAME = "ceiling/institution/0.3/0000002a"
 
 
@@ -63,12 +69,12 @@
 
 
 def test_a_part_is_believed_in_until_its_lease_is_over_or_a_later_one_is_in_hand() -> None:
-    (first, second) = beliefs(seen(*FIRST, AGREED))
+    (first, second) = held_shares(seen(*FIRST, AGREED))
     assert (first.begin_us, first.end_us) == (S + 1000, 3 * S)
     assert second.end_us == 2 * S + 2_940_000  # 2% early, from the ask
-    assert max(total for _, total in sums([first, second])) == WHOLE  # the larger one, not both
-    assert beliefs(seen(granted(S, 0, 1, 10, 5))) == []  # to an ask that nobody saw
-    assert beliefs(seen(asked(S, 0, 1), granted(5 * S, 0, 1, 10, 5))) == []  # after its lease
+    assert max(total for _, total in share_sums([first, second])) == WHOLE  # the larger one, not both
+    assert held_shares(seen(granted(S, 0, 1, 10, 5))) == []  # to an ask that nobody saw
+    assert held_shares(seen(asked(S, 0, 1), granted(5 * S, 0, 1, 10, 5))) == []  # after its lease
 
 
 @pytest.mark.parametrize(
@@ -111,16 +117,16 @@
     go = {"at": 0, "kind": "go", "start_us": 0, "end_us": 10 * S}
     died = {"at": 2 * S, "kind": "died", "who": "doors-0", "meant": True, "code": -9}
     before = [*renewal(S, 0, 1, 10, HALF), *renewal(S, 1, 1, 11, HALF)]
-    found = divided(seen(go, died, *before, *renewal(4 * S, 1, 2, 12, WHOLE, 11)))
+    found = lease_summary(seen(go, died, *before, *renewal(4 * S, 1, 2, 12, WHOLE, 11)))
     assert found.regained_s == pytest.approx(2.001) and found.unregained == 0 and found.renewals == 3
     assert found.most_held == pytest.approx(1.0, abs=0.001)
-    assert divided(seen(go, died, *before)).unregained == 1
+    assert lease_summary(seen(go, died, *before)).unregained == 1
 
 
 def test_bodies_are_taken_apart_wherever_they_are_cut_and_what_tells_no_length_is_passed_over() -> None:
     one = b"POST /renew HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
     for cut in range(len(one) + 1):
-        bodies = Bodies()
+        bodies = MessageReader()
         found = [*bodies.feed(one + one[:cut]), *bodies.feed(one[cut:])]
         assert found == [(b"POST /renew HTTP/1.1", b"abc")] * 2
     for other in (
@@ -128,7 +134,7 @@
         b"x" * 20_000,
         b"GET / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
     ):
-        bodies = Bodies()
+        bodies = MessageReader()
         assert [*bodies.feed(other), *bodies.feed(one)] == [] and not bodies.buffer
 
 
@@ -150,7 +156,7 @@
 
 def test_real_doors_are_never_granted_more_than_the_whole_by_three_stewards(stewards: RunHistory) -> None:
     assert check(stewards) == []
-    found = divided(stewards)
+    found = lease_summary(stewards)
     assert 0.5 < found.most_held <= 1 and found.renewals > 20
 
 
--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -20,7 +20,7 @@
     verify,
 )
 from thistletrail.fault_injection.soak import drawn, shrink, smaller
-from thistletrail.fault_injection.world import World, load_of
+from thistletrail.fault_injection.world import World, generate_load
 from thistletrail.gateway.config import flatten
 from thistletrail.policy.settings_codec import SettingValues, read_settings
 from thistletrail.simulation.clock import Clock
@@ -102,7 +102,9 @@
 
 def test_each_run_of_a_plan_and_seed_asks_the_same_and_a_fault_changes_nothing_of_it() -> None:
     def asked(of: Plan, seed: int, part: int = 0) -> list[tuple]:
-        return [(one.at_us, one.customer.name, one.kind, one.work_us) for one in load_of(of, seed, part)]
+        return [
+            (one.at_us, one.customer.name, one.kind, one.work_us) for one in generate_load(of, seed, part)
+        ]
 
     killed = plan(Fault(kind="kill"), Fault(kind="cut"))
     assert asked(killed, 1) == asked(killed.without_faults, 1)
--- a/tests/test_fault_injection_relay.py
+++ b/tests/test_fault_injection_relay.py
@@ -12,7 +12,7 @@
 from tests.sockets import query, run
 from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.history import Writer, read
-from thistletrail.fault_injection.relay import HOST, MOST_WAITING, Peers, Relay, Requests, State
+from thistletrail.fault_injection.relay import HOST, MAX_QUEUED_BYTES, Peers, Relay, Requests, State
 
 QUIET_S = 0.15  # for which nothing may come: a verdict that a slow machine can only keep
 
@@ -55,7 +55,7 @@
     state.clear()
     if kind:
         state.apply(kind, way, size)
-    state.wake()
+    state.notify()
 
 
 async def quiet(reader: asyncio.StreamReader) -> bool:
@@ -77,7 +77,7 @@
     async def act() -> None:
         async with relayed(tmp_path / "h") as (echo, relay, _):
             reader, writer = await asyncio.open_connection(*relay.address)
-            sent = random.Random(2).randbytes(4 * MOST_WAITING)  # more than a relay keeps
+            sent = random.Random(2).randbytes(4 * MAX_QUEUED_BYTES)  # more than a relay keeps
             writer.write(sent)
             writer.write_eof()
             assert await reader.read(-1) == sent == echo.got
@@ -257,12 +257,12 @@
 
         async def send(sender: int, receiver: int, *words: bytes, come: int | None = None) -> list[bytes]:
             for word in words:
-                ears[sender].transport.sendto(word, peers.seen_by(sender)[receiver])
+                ears[sender].transport.sendto(word, peers.addresses_for(sender)[receiver])
             while len(ears[receiver].got) < (len(words) if come is None else come):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(QUIET_S)  # and no more
             seen, ears[receiver].got = ears[receiver].got, []
-            assert {address for _, address in seen} <= {peers.seen_by(receiver)[sender]}
+            assert {address for _, address in seen} <= {peers.addresses_for(receiver)[sender]}
             return [data for data, _ in seen]
 
         assert await send(0, 2, b"a", b"b") == [b"a", b"b"] and await send(2, 0, b"c") == [b"c"]
@@ -280,7 +280,7 @@
         assert await send(0, 1, b"held", come=0) == []
         change(state, "")
         assert await send(0, 1, come=1) == [b"held"]
-        ears[0].transport.sendto(b"x", peers.seen_by(1)[2])  # not from door 1: nobody of the fleet
+        ears[0].transport.sendto(b"x", peers.addresses_for(1)[2])  # not from door 1: nobody of the fleet
         assert await send(0, 2) == []
         peers.record_counts()
         counts = {}
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -53,13 +53,12 @@
     "thistletrail/fault_injection/__main__.py": 6,
     "thistletrail/fault_injection/deaths.py": 15,
     "thistletrail/fault_injection/fleet.py": 15,
-    "thistletrail/fault_injection/leases.py": 5,
+    "thistletrail/fault_injection/leases.py": 3,
     "thistletrail/fault_injection/plan.py": 11,
     "thistletrail/fault_injection/plans/leases.toml": 3,
     "thistletrail/fault_injection/plans/quotas.toml": 3,
     "thistletrail/fault_injection/plans/stewards.toml": 11,
     "thistletrail/fault_injection/soak.py": 11,
-    "thistletrail/fault_injection/world.py": 1,
     "thistletrail/simulation/__main__.py": 1,
 }
 
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -16,7 +16,7 @@
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, deaths, table
 from thistletrail.fault_injection.errors import FaultInjectionError
-from thistletrail.fault_injection.leases import divided
+from thistletrail.fault_injection.leases import lease_summary
 from thistletrail.fault_injection.plan import load, plan_names, to_scenario
 from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
 from thistletrail.simulation import day as days
@@ -264,7 +264,7 @@
     for seed in range(first, first + seeds):
         found = run(wanted, seed, tree, say, twin=False)
         told(found)
-        count, one = len(found.violations), divided(found.seen)
+        count, one = len(found.violations), lease_summary(found.seen)
         wrong = wrong or bool(count)
         click.echo(
             f"{seed:4}  {one.most_held:9.3f}  {text(one.regained_s):>10}  {one.unregained:12}  "
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -17,7 +17,7 @@
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.program import Order, Told, orders, start
 from thistletrail.fault_injection.realtime import RealClock, now_us, watch_lag
-from thistletrail.fault_injection.world import Asked, World, load_of
+from thistletrail.fault_injection.world import LoadEntry, World, generate_load
 from thistletrail.gateway.resp import encode
 from thistletrail.simulation.clients import ClientRequest, Clients, Customer, Operation
 from thistletrail.simulation.clock import S
@@ -224,7 +224,7 @@
         return encode([b"SVC.QUERY", *words, fields])
 
     async def run(self) -> None:
-        load = load_of(self.told.plan, self.told.seed, self.told.number)
+        load = generate_load(self.told.plan, self.told.seed, self.told.number)
         print(f"clients {self.told.number} have {len(load)} entries", flush=True)
         listening = self.loop.create_task(orders(self.order))
         self.spawn(watch_lag(self.writer.note))
@@ -237,7 +237,7 @@
             self.world.start_us = order["go"]
             self.began.set()
 
-    async def play(self, load: list[Asked]) -> None:
+    async def play(self, load: list[LoadEntry]) -> None:
         """The load at its times, and until the last of it has ended."""
         start_us = self.world.start_us
         for asked in load:
--- a/thistletrail/fault_injection/endpoint_list_rewriter.py
+++ b/thistletrail/fault_injection/endpoint_list_rewriter.py
@@ -15,10 +15,10 @@
 from thistletrail.fault_injection.relay import Notes
 
 MAX_LINE_BYTES = 1 << 22
-"""Of one update: two thousand entries are a fifth of that."""
+"""Maximum size of one update; one with two thousand entries takes a fifth of it."""
 
 AddressOf = Callable[[str, str], str]
-"""Gives the relay's address for an instance, by its id and the address it listens at."""
+"""Returns the relay's address for an instance, from its id and the address at which it listens."""
 
 
 class EndpointListRewriter:
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -28,7 +28,7 @@
 from thistletrail.fault_injection.plan import Fault, Plan
 from thistletrail.fault_injection.program import Told
 from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
-from thistletrail.fault_injection.world import MEMORY_MB, SOCKETS, World
+from thistletrail.fault_injection.world import MEMORY_LIMIT_MB, SOCKET_LIMIT, World
 from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
 from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
 from thistletrail.leasing.config import read_config
@@ -200,7 +200,7 @@
         for index, fault in self.active_link_faults:
             if fault.link == link and self.hits_link(index, fault, near, far):
                 state.apply(fault.kind, fault.way, fault.size)
-        state.wake()
+        state.notify()
 
     def update_link_states(self, link: str) -> None:
         for key in [key for key in self.states if key[0] == link]:
@@ -411,10 +411,10 @@
             "listen": text(self.listen_addresses[number]),
             "discovery": ",".join(text(relay.address) for relay in relays),
             "seed": f"{self.random.getrandbits(64):016x}",
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
             "peer_listen": text(self.peer_listen_addresses[number]),
             "known": {},
-            "peers": [text(address) for address in self.peers.seen_by(number)],
+            "peers": [text(address) for address in self.peers.addresses_for(number)],
             "settings": self.world.settings(number),
             "clock_offset_ms": round(member.clock_s * 1000),
             **({"state_dir": str(member.state)} if self.plan.state else {}),
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -1,4 +1,4 @@
-"""What all processes of a run draw alike from plan and seed: plans' figures, traits, and the load itself."""
+"""Values that all processes of a run draw alike from plan and seed: quota plans, traits and load."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 from thistletrail.simulation.servers import Traits
 from thistletrail.simulation.streams import Stream
 
-MESSAGES_S = 40.0  # that a door takes in (the operators' figures)
-MEMORY_MB, SOCKETS = 192, 1024  # the limits of the scored days (the deployment page)
-EFFECTS = {True: "idempotency_key", False: "read_like"}
+QUOTA_MESSAGES_PER_S = 40.0  # the intake of a gateway, as the operators state it
+# The limits of a gateway's process, as in the deployment page.
+MEMORY_LIMIT_MB = 192
+SOCKET_LIMIT = 1024
+IDEMPOTENCY_SETTINGS = {True: "idempotency_key", False: "read_like"}
 
 
-class Instant:
-    """The network as the model's clients see it: real sockets take their own time."""
+class NoNetworkDelay:
+    """A network without delay for the simulation's clients: real sockets take time of their own."""
 
     def to_client_us(self) -> float:
         return 0.0
 
 
 class World:
-    """The parts of a run that the model's customers and servers ask of their day."""
+    """The attributes of a simulation run that the simulation's customers and scan servers use."""
 
     def __init__(self, scenario: Scenario, seed: int, clock: Any) -> None:  # noqa: ANN401 - simulated or real
         self.scenario, self.seed, self.clock = scenario, seed, clock
@@ -38,20 +40,20 @@
         )
         self.traits = Traits(scenario, self.streams["servers"])
         self.plans = [PlanFigures(plan, scenario.stretch, self.streams["demand"]) for plan in scenario.plans]
-        self.network = Instant()
+        self.network = NoNetworkDelay()
         self.doors: list[Any] = list(range(scenario.doors))
         self.demand = Demand(self)  # type: ignore[arg-type]
         self.clients: Any = None
-        self.kept = Takeover(self)  # type: ignore[arg-type] - of the model alone: here doors and steward are real
+        self.kept = Takeover(self)  # type: ignore[arg-type] - unused: gateways and lease service are real
 
     def capacity(self) -> float:
-        """Of all scan servers, in cores at the usual speed."""
+        """Return the capacity of all scan servers, in cores of normal speed."""
         return self.scenario.servers.count * self.traits.cores * self.traits.speed
 
     def settings(self, number: int) -> dict[str, Any]:
-        """What a front door is told at its start, by the protocol's names."""
+        """Return the settings of a gateway at its start, by the names of the protocol."""
         scenario, prices = self.scenario, self.scenario.prices
-        stretch = scenario.stretch * 1000
+        us_per_ms = scenario.stretch * 1000  # of stretched time
         return {
             "me": number,
             "balancers": scenario.doors,
@@ -61,13 +63,13 @@
             "categories": [
                 {
                     "name": rule.name,
-                    "on-time-us": round(rule.aim_ms * stretch),
-                    "deadline-us": round(rule.deadline_ms * stretch),
+                    "on-time-us": round(rule.aim_ms * us_per_ms),
+                    "deadline-us": round(rule.deadline_ms * us_per_ms),
                     "points": rule.worth,
                     "late-worth": rule.late_worth,
-                    "idempotency": EFFECTS[rule.keyed],
+                    "idempotency": IDEMPOTENCY_SETTINGS[rule.keyed],
                     "group": "zone" if rule.keyed else "all",
-                    "window-us": round(rule.window_ms * stretch),
+                    "window-us": round(rule.window_ms * us_per_ms),
                 }
                 for rule in scenario.classes
             ],
@@ -95,7 +97,7 @@
                 "may-probe": True,
                 "peers": True,
             },
-            "extra": {"mail-per-s": MESSAGES_S},
+            "extra": {"mail-per-s": QUOTA_MESSAGES_PER_S},
             "prices": {
                 "cross-zone": prices.cross_zone,
                 "handshake": prices.handshake,
@@ -116,12 +118,12 @@
 
 
 def zone_name(zone: int) -> str:
-    """A zone by its name in settings and list."""
+    """Return the name of a zone in settings and endpoint lists."""
     return f"zone-{zone}"
 
 
-class Asked:
-    """One entry of a load: what a customer asks, or how its requests are spread from then on."""
+class LoadEntry:
+    """One entry of a load: a request of a customer, or new weights of the gateways for its requests."""
 
     __slots__ = ("at_us", "cumulative", "customer", "kind", "work_us")
 
@@ -138,31 +140,31 @@
 
 
 class Load(Demand):
-    """The customers, played ahead in simulated time, so that each run of a plan and seed asks the same."""
+    """Generates the demand of the customers in simulated time, the same for each run of a plan and seed."""
 
     def __init__(self, world: World, part: int) -> None:
         super().__init__(world)  # type: ignore[arg-type]
-        world.clients, self.asked = self, []
+        world.clients, self.entries = self, []
         self.stream = Stream(world.seed, f"demand/{part}")
         self.work = Stream(world.seed, f"asks/{part}")
         self.names = iter(range((part << 20) + 1, (part + 1) << 20))
-        # Drawn alike for all parts: a class's work does not go by who asks.
+        # The same for all parts: the work of a class does not depend on the client process.
         self.means, self.cvs = world.demand.means, world.demand.cvs
 
     def start_operation(self, customer: Customer, kind: int | None = None, work_us: float = 0.0) -> None:
-        """Called by the series of a customer, and then by itself with what was drawn."""
+        """Draw a request of a customer and its work, or record it once they are drawn."""
         if kind is None:
             super().start_operation(customer)
         else:
-            self.asked.append(Asked(self.run.clock.now, customer, kind, work_us))
+            self.entries.append(LoadEntry(self.run.clock.now, customer, kind, work_us))
 
     def shift(self, customer: Customer, first: bool = True) -> None:
         super().shift(customer, first)
-        self.asked.append(Asked(self.run.clock.now, customer, cumulative=customer.cumulative))
+        self.entries.append(LoadEntry(self.run.clock.now, customer, cumulative=customer.cumulative))
 
 
-def load_of(plan: Plan, seed: int, part: int) -> list[Asked]:
-    """What the customers of one client process ask, at times from the run's start, in microseconds."""
+def generate_load(plan: Plan, seed: int, part: int) -> list[LoadEntry]:
+    """Return the load of one client process, at times in microseconds from the start of the run."""
     world = World(plan.fleet, seed, Clock())
     load = Load(world, part)
     load.begin(world.capacity() / plan.clients)
@@ -171,4 +173,4 @@
             world.clock.at(round(fault.at_s * S), load.set_load_factor, 1 + fault.size)
             world.clock.at(round((fault.at_s + fault.for_s) * S), load.set_load_factor, 1.0)
     world.clock.run(world.end_us)
-    return sorted(load.asked, key=lambda asked: asked.at_us)
+    return sorted(load.entries, key=lambda entry: entry.at_us)
