--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -12,7 +12,7 @@
 from thistletrail.benchmarks.cost import config
 from thistletrail.benchmarks.process import ROOT, Tree, free_port, front_door, start_door
 from thistletrail.benchmarks.standins import HOST
-from thistletrail.fault_injection.checks import Seen, check
+from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.fleet import STALE_MS, aged
 from thistletrail.fault_injection.plan import Fault, Plan, load
 from thistletrail.fault_injection.runs import play_once
@@ -23,25 +23,25 @@
 WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 
 
-def play_without_violations(name: str) -> Seen:
+def play_without_violations(name: str) -> RunHistory:
     """Play a plan, assert that no rule is broken, and return its history."""
     seen = play_once(load(name), 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
     return seen
 
 
-def log_of(seen: Seen, gateway: int) -> str:
+def log_of(seen: RunHistory, gateway: int) -> str:
     """All log lines of a gateway."""
     return "\n".join(record["text"] for record in seen.by["door"] if record["door"] == gateway)
 
 
 @pytest.fixture(scope="module")
-def list_restart_history() -> Seen:
+def list_restart_history() -> RunHistory:
     return play_without_violations("again")
 
 
 def test_restarted_gateways_serve_from_their_snapshots_while_the_registry_is_down(
-    list_restart_history: Seen,
+    list_restart_history: RunHistory,
 ) -> None:
     started_at = {
         record["who"]: record["at"] for record in list_restart_history.by["started"] if record["at"] > 0
@@ -54,7 +54,7 @@
         assert "takes up a snapshot of" in log_of(list_restart_history, gateway)
 
 
-def test_endpoint_list_is_read_after_the_registry_restarts(list_restart_history: Seen) -> None:
+def test_endpoint_list_is_read_after_the_registry_restarts(list_restart_history: RunHistory) -> None:
     registry_at = max(
         record["at"] for record in list_restart_history.by["started"] if record["who"] == "list-0"
     )
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -16,8 +16,8 @@
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, inject_crashes, table
 from thistletrail.fault_injection.errors import FaultInjectionError
-from thistletrail.fault_injection.leases import divided
-from thistletrail.fault_injection.plan import as_scenario, known, load
+from thistletrail.fault_injection.leases import lease_summary
+from thistletrail.fault_injection.plan import load, plan_names, to_scenario
 from thistletrail.fault_injection.runs import (
     Run,
     figure_table,
@@ -201,7 +201,7 @@
 def compare(plan: str, seeds: int, first: int) -> None:
     """Play PLAN with real processes and in the simulation, on the same seeds; prints the medians of both."""
     loaded_plan = load(plan)
-    scenario, missing = as_scenario(loaded_plan)
+    scenario, missing = to_scenario(loaded_plan)
     if missing:
         raise FaultInjectionError(
             f"{loaded_plan.name}: the model has no {', nor '.join(dict.fromkeys(missing))}"
@@ -282,7 +282,7 @@
     for seed in range(first, first + seeds):
         result = run(loaded_plan, seed, tree, say, with_baseline=False)
         print_violations(result)
-        count, leases = len(result.violations), divided(result.history)
+        count, leases = len(result.violations), lease_summary(result.history)
         regained = format_value(leases.regained_s)
         has_violations = has_violations or bool(count)
         click.echo(
@@ -347,7 +347,7 @@
 @cli.command("list")
 def list_() -> None:
     """List the plans that come with fault injection."""
-    for name in known():
+    for name in plan_names():
         plan = load(name)
         kinds = ", ".join(dict.fromkeys(fault.kind for fault in plan.faults)) or "no fault"
         click.echo(
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -17,7 +17,7 @@
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.program import Order, ProcessConfig, orders, start
 from thistletrail.fault_injection.realtime import RealClock, now_us, watch_lag
-from thistletrail.fault_injection.world import Asked, World, load_of
+from thistletrail.fault_injection.world import LoadEntry, World, generate_load
 from thistletrail.gateway.resp import encode
 from thistletrail.simulation.clients import ClientRequest, Clients, Customer, Operation
 from thistletrail.simulation.clock import S
@@ -233,7 +233,7 @@
         return encode([b"SVC.QUERY", *arguments, fields])
 
     async def run(self) -> None:
-        load = load_of(self.config.plan, self.config.seed, self.config.number)
+        load = generate_load(self.config.plan, self.config.seed, self.config.number)
         print(f"clients {self.config.number} have {len(load)} entries", flush=True)
         order_reader = self.loop.create_task(orders(self.handle_order))
         self.spawn(watch_lag(self.writer.note))
@@ -246,7 +246,7 @@
             self.world.start_us = order["go"]
             self.has_started.set()
 
-    async def play(self, load: list[Asked]) -> None:
+    async def play(self, load: list[LoadEntry]) -> None:
         """Start each operation at its time, and return when the last one has ended."""
         start_us = self.world.start_us
         for entry in load:
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
 
-from thistletrail.fault_injection.checks import Seen, accounts
+from thistletrail.fault_injection.checks import RunHistory, accounts
 from thistletrail.fault_injection.history import Record
 from thistletrail.simulation.clock import S
 from thistletrail.simulation.service import Point, measure_recovery
@@ -46,11 +46,11 @@
         return asdict(self)
 
 
-def start_us(history: Seen) -> int:
+def start_us(history: RunHistory) -> int:
     return history.by["go"][0]["start_us"]
 
 
-def operations_in_quota(history: Seen) -> list[Point]:
+def operations_in_quota(history: RunHistory) -> list[Point]:
     """The time from the load's start, the worth and the success of each operation inside the ideal quotas."""
     start = start_us(history)
     return [
@@ -69,31 +69,31 @@
     return max((sum(counts_by_tenth[at + n] for n in range(10)) for at in counts_by_tenth), default=0)
 
 
-def records_until_end(history: Seen, kind: str) -> list[Record]:
+def records_until_end(history: RunHistory, kind: str) -> list[Record]:
     """The records of a kind before the load ends: later ones belong to the shutdown of the run."""
     end = history.by["go"][0]["end_us"]
     return [record for record in history.by[kind] if record["at"] < end]
 
 
-def max_opened_per_second(history: Seen, *links: str) -> int:
+def max_opened_per_second(history: RunHistory, *links: str) -> int:
     return max_per_second(
         record["at"] for record in records_until_end(history, "open") if record["link"] in links
     )
 
 
-def max_quota_messages_per_second(history: Seen) -> int:
+def max_quota_messages_per_second(history: RunHistory) -> int:
     records = records_until_end(history, "words")
     return max_per_second([record["at"] for record in records], [record["count"] for record in records])
 
 
-def units_beyond_quotas(history: Seen) -> int:
+def units_beyond_quotas(history: RunHistory) -> int:
     costly = {plan.name for plan in history.plan.fleet.plans if plan.over_cost > plan.over_worth}
     return sum(
         not inside for plan, units in accounts(history)[1].items() if plan in costly for _, inside in units
     )
 
 
-def last_pong_us(history: Seen, fault_us: int) -> int | None:
+def last_pong_us(history: RunHistory, fault_us: int) -> int | None:
     """When the last restarted gateway answered the fleet's PING again, in microseconds, or None."""
     pongs = [
         record["at"]
@@ -103,7 +103,7 @@
     return max(pongs, default=None)
 
 
-def compute_figures(history: Seen, baseline: Seen | None = None) -> Figures:
+def compute_figures(history: RunHistory, baseline: RunHistory | None = None) -> Figures:
     """Compute the figures of a run, compared with its baseline run if there is one."""
     operations, start = operations_in_quota(history), start_us(history)
     offered = sum(worth for _, worth, _ in operations) or 1.0
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -7,7 +7,7 @@
 import io
 from pathlib import Path
 
-from thistletrail.fault_injection.checks import Seen
+from thistletrail.fault_injection.checks import RunHistory
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import count_by_second, operations_in_quota, start_us
 from thistletrail.fault_injection.runs import Run, figure_table
@@ -18,7 +18,7 @@
 COLOURS = {"up": "#8c8", "down": "#d66", "paused": "#dc7"}
 
 
-def fault_spans(history: Seen, length_s: float) -> list[tuple[float, float, str]]:
+def fault_spans(history: RunHistory, length_s: float) -> list[tuple[float, float, str]]:
     """Start, end and kind of each fault, in seconds from the load's start."""
     start = start_us(history)
     ends = {record["number"]: (record["at"] - start) / S for record in history.by["undone"]}
@@ -28,7 +28,7 @@
     ]
 
 
-def gateway_spans(history: Seen, length_s: float) -> list[list[tuple[float, float, str]]]:
+def gateway_spans(history: RunHistory, length_s: float) -> list[list[tuple[float, float, str]]]:
     """For each gateway its spans of being down or paused: start, end (seconds of the load) and state."""
     start = start_us(history)
     gateways = []
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from thistletrail.benchmarks.process import Tree
-from thistletrail.fault_injection.checks import Seen, Violation, check
+from thistletrail.fault_injection.checks import RunHistory, Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import Figures, compute_figures
 from thistletrail.fault_injection.history import read, write
@@ -28,20 +28,20 @@
 
     plan: Plan
     seed: int
-    history: Seen
-    baseline: Seen | None
+    history: RunHistory
+    baseline: RunHistory | None
     figures: Figures
     violations: list[Violation]
 
 
-def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> Seen:
+def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> RunHistory:
     """Play a plan in a temporary folder. On Ctrl-C all processes end before KeyboardInterrupt is raised."""
     with (
         tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         try:
-            return Seen(runner.run(play(plan, seed, tree, Path(folder), say, more)), plan, seed)
+            return RunHistory(runner.run(play(plan, seed, tree, Path(folder), say, more)), plan, seed)
         except asyncio.CancelledError:  # SIGTERM or Ctrl-C; all processes have ended
             raise KeyboardInterrupt from None
 
@@ -55,7 +55,11 @@
     more: dict[str, Any] | None = None,
 ) -> Run:
     """Play a plan, after a baseline run of the same load without faults unless that is disabled."""
-    baseline = play_once(plan.calm, seed, tree, say, more) if with_baseline and plan.calm != plan else None
+    baseline = (
+        play_once(plan.without_faults, seed, tree, say, more)
+        if with_baseline and plan.without_faults != plan
+        else None
+    )
     history = play_once(plan, seed, tree, say, more)
     return Run(plan, seed, history, baseline, compute_figures(history, baseline), check(history))
 
@@ -93,8 +97,10 @@
         seed = int(msgspec.json.decode((folder / RESULT).read_bytes())["seed"])
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError):
         raise FaultInjectionError(f"{folder / RESULT} tells no seed") from None
-    history = Seen(read(folder / HISTORY), plan, seed)
-    baseline = Seen(read(folder / CALM), plan.calm, seed) if (folder / CALM).exists() else None
+    history = RunHistory(read(folder / HISTORY), plan, seed)
+    baseline = (
+        RunHistory(read(folder / CALM), plan.without_faults, seed) if (folder / CALM).exists() else None
+    )
     return Run(plan, seed, history, baseline, compute_figures(history, baseline), check(history))
 
 
