--- a/tests/test_fault_injection_checks.py
+++ b/tests/test_fault_injection_checks.py
@@ -1,4 +1,4 @@
-"""Checkers: a history in order is passed, and each planted violation is found, by its checker alone."""
+"""Checks of histories: a correct history passes, and each planted violation is found by its check alone."""
 
 from collections.abc import Callable
 
@@ -171,14 +171,18 @@
 
 @pytest.mark.parametrize("rule, records", PLANTED)
 def test_a_planted_violation_is_found_and_no_other(rule: str, records: list[Record]) -> None:
-    # What goes beyond a ceiling goes beyond the quota too.
+    # Units beyond a ceiling are beyond the quota as well.
     assert found(*records) in ({rule}, {rule, "quotas"} if rule == "ceilings" else {rule})
 
 
 @pytest.mark.parametrize(
     "records",
     [
-        [*ask("x", 4 * S - MS)[:4], {**NONE, "at": 4 * S + MS}, *KILLED],  # the door died under it
+        [
+            *ask("x", 4 * S - MS)[:4],
+            {**NONE, "at": 4 * S + MS},
+            *KILLED,
+        ],  # the gateway was killed with the request in flight
         [
             *LOST[:4],
             {"at": 11 * S, "kind": "lost", "id": "x"},
@@ -189,7 +193,7 @@
         [told(8 * S, "DRAINING"), *ask("x", 8 * S + 200 * MS)],  # within the grace
         [told(8 * S, "DRAINING"), *ask("x", 9 * S), *fault("pause", 7 * S, 9 * S, "doors-0")],
         [told(8 * S, "DRAINING"), told(9 * S, "SERVING"), *ask("x", 9 * S + 500 * MS)],
-        [told(1, "DRAINING"), told(2, "SERVING"), *KILLED],  # a new process knows nothing of it
+        [told(1, "DRAINING"), told(2, "SERVING"), *KILLED],  # a new process was not notified
         [*LOST, *again("x", 8 * S + 60 * MS)],  # its zone drops the repeat
         [*ask("x", 8 * S, how="full"), *again("x", 8 * S + 60 * MS, server="servers-1", zone=1)],  # never ran
         [
@@ -203,7 +207,7 @@
             {"at": 11 * S, "kind": "lost", "id": "x"},
             {**NONE, "how": "gone", "at": 10 * S},
             {"at": 9 * S, "kind": "stalled", "us": 600 * MS},
-        ],  # the fault injection itself was late
+        ],  # the event loop of fault injection was late
         [
             log(8 * S, "request x was left without an answer", "ERROR"),
             *fault("pause", 6 * S, 8 * S, "doors-0"),
@@ -224,7 +228,7 @@
 def test_kept_work_that_runs_again_under_its_key_is_found_where_it_is_kept(
     later: Callable[[], list[Record]], said: str
 ) -> None:
-    """Another request under the key of one that was served: without anything kept, a client's own affair."""
+    """Another request has the key of a served one; without stored work items that is allowed."""
     records = [{**record, "key": "r1"} if "key" in record else record for record in later()]
     history = merge([CALM, records])
     assert CHECKS["kept_work"](RunHistory(history, PLAN)) == []
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -1,4 +1,4 @@
-"""Budgets in a history: what may be believed in is added up, planted faults are found, real stewards hold."""
+"""Budget leases in a history: sums of held shares, planted violations, and runs with real lease services."""
 
 import sys
 
@@ -64,8 +64,8 @@
 
 
 HALF = WHOLE // 2
-FIRST = [*renewal(S, 0, 1, 10, WHOLE), *renewal(2 * S, 0, 2, 11, HALF, 10)]  # it is told to shrink, and ...
-AGREED = asked(3 * S, 0, 3, 11)  # ... has done so
+FIRST = [*renewal(S, 0, 1, 10, WHOLE), *renewal(2 * S, 0, 2, 11, HALF, 10)]  # the second grant is smaller
+AGREED = asked(3 * S, 0, 3, 11)  # the gateway confirms the smaller grant
 
 
 def test_a_part_is_believed_in_until_its_lease_is_over_or_a_later_one_is_in_hand() -> None:
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -1,4 +1,4 @@
-"""Front doors by `run` at a list service that is emptied, moved away from, or cut off from a zone."""
+"""Gateways with a registry that is emptied, replaced by another one, or cut off from a zone."""
 
 import sys
 from itertools import pairwise
--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -1,4 +1,4 @@
-"""Plans: what is read, what is refused, and that one means the same to fault injection, doors and model."""
+"""Plans: what is accepted and rejected, and that gateways and simulation read the same from one."""
 
 import random
 from dataclasses import replace
--- a/tests/test_fault_injection_relay.py
+++ b/tests/test_fault_injection_relay.py
@@ -1,4 +1,4 @@
-"""Relays on sockets: what each fault of a link does to connections and datagrams, and what it leaves."""
+"""Relays on real sockets: the effect of each fault of a link on connections and datagrams."""
 
 import asyncio
 import contextlib
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -43,7 +43,7 @@
     "tests/test_allowances.py": 3,
     "tests/test_benchmarks_work.py": 3,
     "tests/test_fault_injection_checks.py": 1,
-    "tests/test_fault_injection_leases.py": 24,
+    "tests/test_fault_injection_leases.py": 23,
     "tests/test_simulation_leased.py": 1,
     "tests/test_takeover.py": 4,
     "thistletrail/benchmarks/__main__.py": 2,
