--- a/thistletrail/leasing/model_checking/command.py
+++ b/thistletrail/leasing/model_checking/command.py
@@ -117,7 +117,7 @@
 
 
 def check_both_initial_states(
-    title: str, nothing_held_text: str, check: Callable[[bool], CheckResult]
+    title: str, empty_state_text: str, check: Callable[[bool], CheckResult]
 ) -> list[CheckResult]:
     """Check the states near both initial states, print the results, and return them."""
     results = []
@@ -125,7 +125,7 @@
         began_s = time.process_time()
         result = check(first_gateway_holds_all)
         elapsed_s = time.process_time() - began_s
-        initial_state = "the first gateway holds all" if first_gateway_holds_all else nothing_held_text
+        initial_state = "the first gateway holds all" if first_gateway_holds_all else empty_state_text
         print_result(
             f"{title}, {initial_state}: {result.states} states to depth {result.depth}, {elapsed_s:.1f} s",
             result,
