--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,7 +11,7 @@
 
 from thistletrail.benchmarks.process import ROOT, Tree
 from thistletrail.fault_injection.checks import RunHistory, check
-from thistletrail.fault_injection.deaths import (
+from thistletrail.fault_injection.crash_injection import (
     EFFECTS,
     LEASE_MS,
     POINTS,
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -50,7 +50,7 @@
     "thistletrail/benchmarks/leases.py": 5,
     "thistletrail/benchmarks/work.py": 13,
     "thistletrail/fault_injection/__main__.py": 5,
-    "thistletrail/fault_injection/deaths.py": 2,
+    "thistletrail/fault_injection/crash_injection.py": 2,
     "thistletrail/fault_injection/fleet.py": 15,
     "thistletrail/fault_injection/leases.py": 3,
     "thistletrail/fault_injection/plan.py": 11,
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -385,7 +385,7 @@
     async def start_scan(self, member: Member) -> Process:
         relay = self.relay("servers-list", member.name, "list-0", self.members["list-0"].process.address)
         return await self.start_helper_program(
-            member, "thistletrail.fault_injection.scan", service=text(relay.address)
+            member, "thistletrail.fault_injection.stub_scan_server", service=text(relay.address)
         )
 
     async def start_clients(self, member: Member) -> Process:
@@ -393,7 +393,9 @@
             text(self.relay("clients-doors", member.name, door.name, door.process.address).address)
             for door in self.members_of("doors")
         )
-        return await self.start_helper_program(member, "thistletrail.fault_injection.clients", doors=doors)
+        return await self.start_helper_program(
+            member, "thistletrail.fault_injection.load_generator", doors=doors
+        )
 
     async def start_gateway(self, member: Member) -> Process:
         number = member.number
