--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -103,7 +103,8 @@
 def test_each_run_of_a_plan_and_seed_asks_the_same_and_a_fault_changes_nothing_of_it() -> None:
     def asked(of: Plan, seed: int, part: int = 0) -> list[tuple]:
         return [
-            (one.at_us, one.customer.name, one.kind, one.work_us) for one in generate_load(of, seed, part)
+            (one.at_us, one.customer.name, one.class_index, one.work_us)
+            for one in generate_load(of, seed, part)
         ]
 
     killed = plan(Fault(kind="kill"), Fault(kind="cut"))
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -13,7 +13,7 @@
 from thistletrail.benchmarks.process import ROOT, Tree, free_port, front_door, start_door
 from thistletrail.benchmarks.standins import HOST
 from thistletrail.fault_injection.checks import RunHistory, check
-from thistletrail.fault_injection.fleet import STALE_MS, aged
+from thistletrail.fault_injection.fleet import STALE_MS, with_earlier_timestamp
 from thistletrail.fault_injection.plan import Fault, Plan, load
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.fault_injection.world import Load, World
@@ -67,7 +67,7 @@
     data = (ROOT / "tests" / "data" / "a1df16a" / "gateway" / "state" / "door").read_bytes()
     fresh = decode_snapshot(data)
     assert fresh.policy.customers and fresh.policy.ejected_servers
-    assert decode_snapshot(aged(data, STALE_MS)) == replace(
+    assert decode_snapshot(with_earlier_timestamp(data, STALE_MS)) == replace(
         fresh, written_at_ms=fresh.written_at_ms - STALE_MS
     )
 
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -283,11 +283,11 @@
         result = run(loaded_plan, seed, tree, say, with_baseline=False)
         print_violations(result)
         count, leases = len(result.violations), lease_summary(result.history)
-        regained = format_value(leases.regained_s)
+        regained = format_value(leases.median_regrant_s)
         has_violations = has_violations or bool(count)
         click.echo(
-            f"{seed:4}  {leases.most_held:9.3f}  {regained:>10}  {leases.unregained:12}  "
-            f"{leases.renewals:8}  {leases.stewards:8}  {result.figures.served:6.3f}  {count:6}"
+            f"{seed:4}  {leases.max_granted_fraction:9.3f}  {regained:>10}  {leases.not_regranted:12}  "
+            f"{leases.renewals:8}  {leases.lease_services:8}  {result.figures.served:6.3f}  {count:6}"
         )
     if has_violations:
         sys.exit(EXIT_RULE_BROKEN)
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -13,7 +13,7 @@
 from itertools import pairwise
 
 from thistletrail.fault_injection.history import Record
-from thistletrail.fault_injection.leases import overcommitted
+from thistletrail.fault_injection.leases import find_overcommitments
 from thistletrail.fault_injection.plan import ON_LINKS, Plan
 from thistletrail.fault_injection.world import World
 from thistletrail.gateway.snapshot_store import MAX_POLICY_AGE_S
@@ -368,7 +368,7 @@
 
     Nothing is excused: the rule holds for gateways that are down, paused or partitioned, too.
     """
-    return [Violation("budgets", at, text) for at, text in overcommitted(history)]
+    return [Violation("budgets", at, text) for at, text in find_overcommitments(history)]
 
 
 def further(history: RunHistory) -> list[Violation]:
--- a/thistletrail/fault_injection/endpoint_list_rewriter.py
+++ b/thistletrail/fault_injection/endpoint_list_rewriter.py
@@ -1,7 +1,7 @@
-"""An endpoint list on its way from the registry to one gateway: every scan server gets its relay's address.
+"""Rewrites the endpoint list from the registry to a gateway: each scan server gets its relay's address.
 
-As the platform's discovery does, each gateway receives other addresses for the same instances. The lifecycles
-of an update are recorded in the history when its line is written to the gateway.
+As with the platform's discovery, each gateway receives different addresses for the same instances. The
+lifecycles of an update are recorded in the history when its line is written to the gateway.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 import h11
 import msgspec
 
-from thistletrail.fault_injection.relay import Notes
+from thistletrail.fault_injection.relay import Records
 
 MAX_LINE_BYTES = 1 << 22
-"""Maximum size of one update; one with two thousand entries takes a fifth of it."""
+"""Maximum size of one update; one with 2,000 entries has a fifth of it."""
 
 AddressOf = Callable[[str, str], str]
 """Returns the relay's address for an instance, from its id and the address at which it listens."""
 
 
 class EndpointListRewriter:
-    """One response of the registry to a gateway: parsed, rewritten and passed on in chunks."""
+    """One response of the registry to a gateway: parsed, rewritten and forwarded in chunks."""
 
     def __init__(self, gateway: str, address_of: AddressOf) -> None:
-        """`gateway` is the name under which the history records what it received."""
+        """`gateway` is the gateway's name in the history."""
         self._gateway = gateway
         self._address_of = address_of
         self._incomplete_line = b""
@@ -34,12 +34,12 @@
         self._http.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
         self._http.send(h11.EndOfMessage())
 
-    def feed(self, data: bytes) -> list[tuple[bytes, Notes]]:
-        """Return the bytes to pass on, each with the history records of what they contain.
+    def feed(self, data: bytes) -> list[tuple[bytes, Records]]:
+        """Return the chunks to forward, each with the history records of what they contain.
 
-        Raises `ValueError` if the data are not a response of the registry.
+        Raises `ValueError` if the data are not a valid response of the registry.
         """
-        output: list[tuple[bytes, Notes]] = []
+        output: list[tuple[bytes, Records]] = []
         try:
             self._http.receive_data(data)
             while (event := self._http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
@@ -48,28 +48,28 @@
             raise ValueError(str(error)) from error
         return output
 
-    def _rewrite_event(self, event: object) -> list[tuple[bytes, Notes]]:
+    def _rewrite_event(self, event: object) -> list[tuple[bytes, Records]]:
         if isinstance(event, h11.Response):
             head = b"HTTP/1.1 %d OK\r\nTransfer-Encoding: chunked\r\n\r\n" % event.status_code
             return [(head, [])]
         if isinstance(event, h11.Data):
             *lines, self._incomplete_line = (self._incomplete_line + bytes(event.data)).split(b"\n")
             if len(self._incomplete_line) > MAX_LINE_BYTES:
-                raise ValueError(f"a line of the registry has more than {MAX_LINE_BYTES} bytes")
+                raise ValueError(f"an update of the registry has more than {MAX_LINE_BYTES} bytes")
             return [self._rewrite_line(line) for line in lines]
         if isinstance(event, h11.EndOfMessage):
             return self._rewrite_end()
         return []
 
-    def _rewrite_end(self) -> list[tuple[bytes, Notes]]:
-        output: list[tuple[bytes, Notes]] = []
+    def _rewrite_end(self) -> list[tuple[bytes, Records]]:
+        output: list[tuple[bytes, Records]] = []
         if self._incomplete_line:
             output.append(self._rewrite_line(self._incomplete_line))
             self._incomplete_line = b""
         output.append((b"0\r\n\r\n", []))
         return output
 
-    def _rewrite_line(self, line: bytes) -> tuple[bytes, Notes]:
+    def _rewrite_line(self, line: bytes) -> tuple[bytes, Records]:
         """Return the chunk with the rewritten line, and its history record unless the line is empty."""
         records: list[dict[str, object]] = []
         if line.strip():
@@ -83,7 +83,7 @@
         return b"%x\r\n%b\r\n" % (len(line), line), records
 
     def _history_record(self, update: dict[str, Any]) -> dict[str, object]:
-        """Return the record in the form of the stored histories, whose names stay as they are."""
+        """Return the history record of an update; its field names are those of the stored histories."""
         entries = update.get("instances", ())
         return {
             "kind": "told",
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a run and the relays between them: starts, restarts and ends them."""
+"""The processes of a run and the relays between them: starts, restarts and terminates them."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.history import Writer
-from thistletrail.fault_injection.leases import Renewals
+from thistletrail.fault_injection.leases import RenewalRelay
 from thistletrail.fault_injection.plan import Fault, Plan
 from thistletrail.fault_injection.program import ProcessConfig
-from thistletrail.fault_injection.relay import Address, Peers, Relay, Requests, State
+from thistletrail.fault_injection.relay import Address, LinkState, PeerRelays, Relay, RequestRelay
 from thistletrail.fault_injection.world import MEMORY_LIMIT_MB, SOCKET_LIMIT, World
 from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
 from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
@@ -35,22 +35,22 @@
 from thistletrail.leasing.journal import begin_history
 from thistletrail.simulation.clock import Clock
 
-START_TIMEOUT_S = 30.0  # for all processes to serve: dozens start at once on few cores
-END_TIMEOUT_S = 6.0  # from SIGTERM to SIGKILL: the drain of a gateway takes up to 3.5 s
-LEASE_MS = 3000  # of the leases that the lease service grants
+START_TIMEOUT_S = 30.0  # until all processes serve: dozens start at once on few cores
+EXIT_TIMEOUT_S = 6.0  # from SIGTERM to SIGKILL: the drain of a gateway takes up to 3.5 s
+LEASE_MS = 3000  # duration of the leases that the lease service grants
 # The last octet of the address of the first process of each kind.
 SERVICE_OCTETS = {"list": 251, "follower": 252, "steward": 253}
-STALE_MS = 3_600_000  # the age added to a stale snapshot
+STALE_MS = 3_600_000  # added to the age of a stale snapshot
 
 
-def aged(data: bytes, by_ms: int) -> bytes:
-    """Return a gateway's snapshot with a timestamp that is earlier by `by_ms`."""
+def with_earlier_timestamp(data: bytes, by_ms: int) -> bytes:
+    """Return an encoded snapshot of a gateway with a timestamp that is earlier by `by_ms`."""
     snapshot = decode_snapshot(data)
     return encode_snapshot(replace(snapshot, written_at_ms=snapshot.written_at_ms - by_ms))
 
 
 class Member:
-    """One process of the fleet, which may be down at the moment."""
+    """A process of the fleet, which may be down at the moment."""
 
     def __init__(
         self, kind: str, number: int, zone: int, folder: Path, start: Callable[[Member], Awaitable[Process]]
@@ -58,72 +58,75 @@
         self.kind, self.number, self.zone, self.folder, self.start_process = kind, number, zone, folder, start
         self.name = f"{kind}-{number}"
         self.process: Process | None = None
-        self.listen_address: Address = ("", 0)  # of a lease service; chosen before the process starts
-        self.is_end_expected = False  # the run has ended the process, or is about to
+        self.listen_address: Address = ("", 0)  # lease services only; chosen before the process starts
+        self.is_exit_expected = False  # the run has terminated the process, or is about to
         self.cold = False
-        self.clock_s = 0.0
-        self.watch_task: asyncio.Task[None] | None = None
-        self.restart_lock = asyncio.Lock()  # held from the end by a fault until it serves again
+        self.clock_offset_s = 0.0
+        self.exit_task: asyncio.Task[None] | None = None
+        self.restart_lock = asyncio.Lock()  # locked from a kill by a fault until it serves again
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
-    def state(self) -> Path:
+    def state_folder(self) -> Path:
         """The folder of the stored state, which all lease services share."""
         folder = self.folder if self.kind != "steward" else self.folder.with_name("steward-0")
         return folder / "state"
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether the process has started and not exited."""
         return self.process is not None and self.process.process.returncode is None
 
-    def send_signal(self, number: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal to the process, unless it has exited."""
         with contextlib.suppress(ProcessLookupError):
-            self.process.process.send_signal(number)
+            self.process.process.send_signal(signal_number)
 
     def send_order(self, **values: object) -> None:
-        """Write an order as a JSON line to the standard input of the process, if it runs."""
-        if self.running:
+        """Write an order as a JSON line to the standard input of the process, if it is running."""
+        if self.is_running:
             self.process.process.stdin.write(msgspec.json.encode(values) + b"\n")
 
-    def fill_disk(self, full: bool) -> None:
-        """Make all writes to files fail, or succeed again, by the limit on the size of files."""
+    def set_disk_full(self, is_full: bool) -> None:
+        """Make all writes to files fail, or succeed again, by the process's limit on the size of files."""
         with contextlib.suppress(ProcessLookupError):
             _, hard_limit = resource.prlimit(self.process.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(
-                self.process.process.pid, resource.RLIMIT_FSIZE, (0 if full else hard_limit, hard_limit)
+                self.process.process.pid, resource.RLIMIT_FSIZE, (0 if is_full else hard_limit, hard_limit)
             )
 
-    def apply_state_fault(self, how: str) -> None:
-        """Change the stored state while the process is down, by the value of `Fault.state`."""
-        if how == "none":
-            shutil.rmtree(self.state, ignore_errors=True)
-        elif how == "old":
-            shutil.rmtree(self.state, ignore_errors=True)
-            if self.copy_folder.exists():
-                shutil.copytree(self.copy_folder, self.state)
-        elif how == "stale" and (self.state / "door").exists():
-            path = self.state / "door"
-            path.write_bytes(aged(path.read_bytes(), STALE_MS))
-        elif how == "damaged":
-            for path in sorted(path for path in self.state.rglob("*") if path.is_file()):
+    def apply_state_fault(self, state_fault: str) -> None:
+        """Change the stored state while the process is down; `state_fault` is a value of `Fault.state`."""
+        if state_fault == "none":
+            shutil.rmtree(self.state_folder, ignore_errors=True)
+        elif state_fault == "old":
+            shutil.rmtree(self.state_folder, ignore_errors=True)
+            if self.state_copy_folder.exists():
+                shutil.copytree(self.state_copy_folder, self.state_folder)
+        elif state_fault == "stale" and (self.state_folder / "door").exists():
+            path = self.state_folder / "door"
+            path.write_bytes(with_earlier_timestamp(path.read_bytes(), STALE_MS))
+        elif state_fault == "damaged":
+            for path in sorted(path for path in self.state_folder.rglob("*") if path.is_file()):
                 data = bytearray(path.read_bytes())
                 if data:
                     data[len(data) // 2] ^= 0xFF
                     path.write_bytes(data)
 
     @property
-    def copy_folder(self) -> Path:
+    def state_copy_folder(self) -> Path:
+        """The folder of the copy that `copy_state` makes."""
         return self.folder / "copy"
 
     def copy_state(self) -> None:
         """Copy the stored state, for a later fault with an old state."""
-        shutil.rmtree(self.copy_folder, ignore_errors=True)
-        if self.state.exists():
-            shutil.copytree(self.state, self.copy_folder, ignore_dangling_symlinks=True)
+        shutil.rmtree(self.state_copy_folder, ignore_errors=True)
+        if self.state_folder.exists():
+            shutil.copytree(self.state_folder, self.state_copy_folder, ignore_dangling_symlinks=True)
 
 
 class Fleet:
-    """All members of the fleet, the relays between them, and the state of each link."""
+    """All processes of a run, the relays between them, and the state of each link."""
 
     def __init__(self, plan: Plan, seed: int, tree: Tree, folder: Path, more: dict[str, Any]) -> None:
         """`more` is added to the configuration of each gateway."""
@@ -134,107 +137,130 @@
         self.world = World(plan.fleet, seed, Clock())
         self.members: dict[str, Member] = {}
         self.relays: dict[tuple[str, str, str], Relay] = {}
-        self.states: dict[tuple[str, str, str], State] = {}
+        self.link_states: dict[tuple[str, str, str], LinkState] = {}
         self.active_link_faults: list[tuple[int, Fault]] = []
         self.random = random.Random(f"{seed}/doors")
-        self.crashed: list[str] = []
+        self.unexpected_exits: list[str] = []  # one message each
         self.added_server_count = 0
         net, pid = plan.fleet.net, os.getpid()
-        # Each process that restarts at its address has a host of its own: on a shared one, a connection of
-        # another process could take its port.
-        self.prefix = f"127.{64 + (pid >> 8) % 128}.{pid % 256}"
-        hosts = [f"{self.prefix}.{number + 1}" for number in range(plan.fleet.doors)]
+        # Each process that restarts at its address has an IP address of its own: on a shared one, another
+        # process's connection could take its port.
+        self.address_prefix = f"127.{64 + (pid >> 8) % 128}.{pid % 256}"
+        hosts = [f"{self.address_prefix}.{number + 1}" for number in range(plan.fleet.doors)]
         self.listen_addresses = [(host, free_port(host=host)) for host in hosts]
         self.peer_listen_addresses = [(host, free_port(socket.SOCK_DGRAM, host)) for host in hosts]
-        self.peers = Peers(self.peer_listen_addresses, self.peer_state, self.writer)
-        self.add("list", 0, 0, self.start_list)
+        self.peers = PeerRelays(self.peer_listen_addresses, self.peer_link_state, self.writer)
+        self.add_member("list", 0, 0, self.start_registry)
         if plan.follower:
-            self.add("follower", 0, 0, self.start_follower)
+            self.add_member("follower", 0, 0, self.start_registry_follower)
         if plan.needs_lease_service:
             for number in range(plan.stewards):
-                self.add("steward", number, 0, self.start_steward)
+                self.add_member("steward", number, 0, self.start_lease_service)
         for number in range(plan.fleet.servers.count):
-            self.add("servers", number, number % net.zones, self.start_scan)
+            self.add_member("servers", number, number % net.zones, self.start_stub_scan_server)
         for number in range(plan.fleet.doors):
-            self.add("doors", number, number % net.zones, self.start_gateway)
+            self.add_member("doors", number, number % net.zones, self.start_gateway)
         for number in range(plan.clients):
-            self.add("clients", number, -1, self.start_clients)
+            self.add_member("clients", number, -1, self.start_load_generator)
 
-    def add(self, kind: str, number: int, zone: int, start: Callable[[Member], Awaitable[Process]]) -> Member:
+    def add_member(
+        self, kind: str, number: int, zone: int, start: Callable[[Member], Awaitable[Process]]
+    ) -> Member:
+        """Add a process that is not started yet; `kind` is one of `plan.ProcessKind`."""
         member = Member(kind, number, zone, self.folder / f"{kind}-{number}", start)
         self.members[member.name] = member
         return member
 
     def members_of(self, kind: str) -> list[Member]:
+        """Return the members of a kind, in order of their numbers."""
         return [member for member in self.members.values() if member.kind == kind]
 
     # --- links ---
 
-    def link_state(self, link: str, near: str, far: str) -> State:
-        """Return the state of the link between two members, by their names; it is created on first use."""
-        state = self.states.get((link, near, far))
+    def link_state(self, link: str, source: str, destination: str) -> LinkState:
+        """Return the state of the link between two members, by their names; it is created on first use.
+
+        `source` is the connecting one.
+        """
+        state = self.link_states.get((link, source, destination))
         if state is None:
-            state = self.states[link, near, far] = State(random.Random(f"{self.seed}/{link}/{near}/{far}"))
-            self.update_link_state(link, near, far)
+            state = self.link_states[link, source, destination] = LinkState(
+                random.Random(f"{self.seed}/{link}/{source}/{destination}")
+            )
+            self.update_link_state(link, source, destination)
         return state
 
-    def peer_state(self, one: int, other: int) -> State:
-        return self.link_state("doors-doors", f"doors-{one}", f"doors-{other}")
+    def peer_link_state(self, lower: int, higher: int) -> LinkState:
+        """Return the state of the link between two gateways, by their numbers, the lower one first."""
+        return self.link_state("doors-doors", f"doors-{lower}", f"doors-{higher}")
 
-    def hits_link(self, index: int, fault: Fault, near: str, far: str) -> bool:
-        """Whether a fault on links hits this one.
+    def affects_link(self, index: int, fault: Fault, source: str, destination: str) -> bool:
+        """Return whether a fault on links applies to this one.
 
-        Each link has a random generator of its own, so that the order of the calls changes nothing.
+        Each pair of a fault and a link has a random generator of its own, so that the order of the calls
+        does not matter.
         """
-        sides = [self.members[near], self.members[far]]
-        if fault.zone is not None and len({side.zone == fault.zone for side in sides}) == 1:
+        members = [self.members[source], self.members[destination]]
+        if fault.zone is not None and len({member.zone == fault.zone for member in members}) == 1:
             return False
-        if fault.numbers and sides[0].number not in fault.numbers:
+        if fault.numbers and members[0].number not in fault.numbers:
             return False
-        return random.Random(f"{self.seed}/{index}/{near}/{far}").random() < fault.part
+        return random.Random(f"{self.seed}/{index}/{source}/{destination}").random() < fault.part
 
-    def update_link_state(self, link: str, near: str, far: str) -> None:
-        """Set the state of a link by the faults that are active now."""
-        state = self.states[link, near, far]
+    def update_link_state(self, link: str, source: str, destination: str) -> None:
+        """Set the state of a link to the faults that are active now."""
+        state = self.link_states[link, source, destination]
         state.clear()
         for index, fault in self.active_link_faults:
-            if fault.link == link and self.hits_link(index, fault, near, far):
+            if fault.link == link and self.affects_link(index, fault, source, destination):
                 state.apply(fault.kind, fault.way, fault.size)
         state.notify()
 
     def update_link_states(self, link: str) -> None:
-        for key in [key for key in self.states if key[0] == link]:
+        """Set the states of all links of a kind to the faults that are active now."""
+        for key in [key for key in self.link_states if key[0] == link]:
             self.update_link_state(*key)
 
-    def relay(self, link: str, near: str, far: str, target: Address, kind: type[Relay] = Relay) -> Relay:
+    def relay(
+        self, link: str, source: str, destination: str, target: Address, relay_class: type[Relay] = Relay
+    ) -> Relay:
         """Return the relay from one member to another, with its target set; it is created on first use."""
-        relay = self.relays.get((link, near, far))
+        relay = self.relays.get((link, source, destination))
         if relay is None:
             make_filter = (
-                (lambda: EndpointListRewriter(near, lambda name, at: self.address_of(near, name, at)))
+                (
+                    lambda: EndpointListRewriter(
+                        source, lambda name, address: self.address_of(source, name, address)
+                    )
+                )
                 if link in ("doors-list", "doors-follower")
                 else None
             )
-            relay = self.relays[link, near, far] = kind(
-                link, (near, far), self.link_state(link, near, far), target, self.writer, make_filter
+            relay = self.relays[link, source, destination] = relay_class(
+                link,
+                (source, destination),
+                self.link_state(link, source, destination),
+                target,
+                self.writer,
+                make_filter,
             )
         relay.target = target
         return relay
 
-    def address_of(self, door: str, server: str, listen_address: str) -> str:
+    def address_of(self, gateway: str, server: str, listen_address: str) -> str:
         """Return the address at which a gateway reaches a scan server, for its endpoint list."""
         if server not in self.members:
             return listen_address
         host, _, port = listen_address.rpartition(":")
-        relay = self.relay("doors-servers", door, server, (host, int(port)), Requests)
-        if not self.members[server].running:
+        relay = self.relay("doors-servers", gateway, server, (host, int(port)), RequestRelay)
+        if not self.members[server].is_running:
             relay.refuse()
         return text(relay.address)
 
     def set_reachable(self, member: Member, is_reachable: bool) -> None:
-        """Accept connections to a member, or refuse them while it is down."""
-        for (_, _, far), relay in self.relays.items():
-            if far == member.name:
+        """Make all relays to a member accept connections, or refuse them while it is down."""
+        for (_, _, destination), relay in self.relays.items():
+            if destination == member.name:
                 relay.open() if is_reachable else relay.refuse()
 
     # --- starts ---
@@ -243,23 +269,25 @@
         """Return the address at which a service listens: any free port at first, then the same one again."""
         if member.process:
             return text(member.process.address)
-        return text((f"{self.prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
+        return text((f"{self.address_prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
 
-    async def start_list(self, member: Member) -> Process:
+    async def start_registry(self, member: Member) -> Process:
+        """Start the registry with its stored state."""
         arguments = (
             "-m",
             "thistletrail.registry",
             "--data",
-            str(member.state),
+            str(member.state_folder),
             "--listen",
             self.listen_argument(member),
         )
-        if member.process is None:  # first start: gateways start once the scan servers have registered
+        if member.process is None:  # first start: gateways start after the scan servers have registered
             arguments = (*arguments, "--fill", "0")
         process, _ = await start_program(arguments, member.folder / "log")
         return process
 
-    async def start_follower(self, member: Member) -> Process:
+    async def start_registry_follower(self, member: Member) -> Process:
+        """Start the follower of the registry, which reads it through a relay."""
         relay = self.relay("follower-list", member.name, "list-0", self.members["list-0"].process.address)
         arguments = (
             "-m",
@@ -272,10 +300,10 @@
         process, _ = await start_program(arguments, member.folder / "log")
         return process
 
-    async def start_steward(self, member: Member) -> Process:
+    async def start_lease_service(self, member: Member) -> Process:
         """Start a lease service; the first one writes the configuration, and serves before this returns.
 
-        Among several, any one may become the leader later.
+        If the plan has several, each may become the leader later.
         """
         folder = self.members["steward-0"].folder
         config, secret = folder / "budgets.toml", folder / "secret"
@@ -306,13 +334,13 @@
                 )
             )
             secret.write_text(f"{random.Random(self.seed).getrandbits(256):064x}")
-            begin_history(member.state, read_config(config))
+            begin_history(member.state_folder, read_config(config))
         arguments = (
             "-m",
             "thistletrail.leasing",
             "serve",
             "--data",
-            str(member.state),
+            str(member.state_folder),
             "--config",
             str(config),
             "--secret",
@@ -334,28 +362,33 @@
             process = await start_quiet(arguments, member.folder / "log", member.listen_address)
         return process
 
-    def lease_service_settings(self, door: str) -> dict[str, Any]:
-        """Return the part of a gateway's configuration with the addresses of the lease services.
+    def lease_service_settings(self, gateway: str) -> dict[str, Any]:
+        """Return the keys of a gateway's configuration for budget leases and work leases.
 
-        The addresses are those of the relays; the first one goes round by the gateway's number.
+        The addresses of the lease services are those of the relays; which one is first rotates by the
+        gateway's number.
         """
         if not self.plan.needs_lease_service:
             return {}
         lease_services = self.members_of("steward")
         relays = [
-            text(self.relay("doors-steward", door, service.name, service.process.address, Renewals).address)
+            text(
+                self.relay(
+                    "doors-steward", gateway, service.name, service.process.address, RenewalRelay
+                ).address
+            )
             for service in lease_services
         ]
-        first = self.members[door].number % len(relays)
+        first = self.members[gateway].number % len(relays)
         connection = {
             "addresses": ",".join(relays[first:] + relays[:first]),
             "secret_file": str(lease_services[0].folder / "secret"),
         }
-        leased = {**connection, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
+        budget_lease_settings = {**connection, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
         has_lease_keys = self.tree.has_lease_keys
         budget_key = "budget_leases" if has_lease_keys else "steward"
         work_key = "work_leases" if has_lease_keys else "takeover"
-        config: dict[str, Any] = {budget_key: leased} if self.plan.steward else {}
+        config: dict[str, Any] = {budget_key: budget_lease_settings} if self.plan.steward else {}
         if self.plan.further:
             rate, burst = self.plan.further
             config[budget_key]["further_attempts"] = {"rate": rate, "burst": int(burst)}
@@ -363,8 +396,8 @@
             config[work_key] = {**connection, "classes": list(self.plan.takeover)}
         return config
 
-    async def start_helper_program(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
-        """Start one of the programs of fault injection itself, with its configuration in `told.json`."""
+    async def start_helper_process(self, member: Member, module: str, **values: Any) -> Process:  # noqa: ANN401
+        """Start a stub scan server or a load generator, with its configuration in the file `told.json`."""
         config = ProcessConfig(
             plan=self.plan,
             seed=self.seed,
@@ -372,7 +405,7 @@
             name=member.name,
             history=str(self.folder / "history" / f"{member.name}.jsonl"),
             cold=member.cold,
-            clock_s=member.clock_s,
+            clock_s=member.clock_offset_s,
             **values,
         )
         path = member.folder / "told.json"
@@ -382,31 +415,34 @@
         )
         return process
 
-    async def start_scan(self, member: Member) -> Process:
+    async def start_stub_scan_server(self, member: Member) -> Process:
+        """Start a stub scan server, which registers through a relay."""
         relay = self.relay("servers-list", member.name, "list-0", self.members["list-0"].process.address)
-        return await self.start_helper_program(
+        return await self.start_helper_process(
             member, "thistletrail.fault_injection.stub_scan_server", service=text(relay.address)
         )
 
-    async def start_clients(self, member: Member) -> Process:
-        doors = tuple(
-            text(self.relay("clients-doors", member.name, door.name, door.process.address).address)
-            for door in self.members_of("doors")
+    async def start_load_generator(self, member: Member) -> Process:
+        """Start a load generator, which connects to the gateways through relays."""
+        gateway_addresses = tuple(
+            text(self.relay("clients-doors", member.name, gateway.name, gateway.process.address).address)
+            for gateway in self.members_of("doors")
         )
-        return await self.start_helper_program(
-            member, "thistletrail.fault_injection.load_generator", doors=doors
+        return await self.start_helper_process(
+            member, "thistletrail.fault_injection.load_generator", doors=gateway_addresses
         )
 
     async def start_gateway(self, member: Member) -> Process:
+        """Start a gateway, and wait until it answers PING."""
         number = member.number
-        sources = [("list-0", "doors-list")]
-        if self.plan.follower:  # every other gateway asks the follower first
-            sources.insert(1 - number % 2, ("follower-0", "doors-follower"))
+        registries = [("list-0", "doors-list")]
+        if self.plan.follower:  # the first address of every other gateway
+            registries.insert(1 - number % 2, ("follower-0", "doors-follower"))
         if not self.tree.many_lists:
-            del sources[1:]
+            del registries[1:]
         relays = [
-            self.relay(link, member.name, source, self.members[source].process.address)
-            for source, link in sources
+            self.relay(link, member.name, registry, self.members[registry].process.address)
+            for registry, link in registries
         ]
         config = {
             "name": member.name,
@@ -418,8 +454,8 @@
             "known": {},
             "peers": [text(address) for address in self.peers.addresses_for(number)],
             "settings": self.world.settings(number),
-            "clock_offset_ms": round(member.clock_s * 1000),
-            **({"state_dir": str(member.state)} if self.plan.state else {}),
+            "clock_offset_ms": round(member.clock_offset_s * 1000),
+            **({"state_dir": str(member.state_folder)} if self.plan.state else {}),
             **self.lease_service_settings(member.name),
             **self.more,
         }
@@ -433,29 +469,37 @@
         return process
 
     async def start(self, member: Member) -> None:
-        """Start or restart a member, and wait until it serves."""
+        """Start or restart a member, and wait until it serves.
+
+        Raises `FaultInjectionError` if the process does not start.
+        """
         try:
             process = await member.start_process(member)
         except BenchError as error:
             raise FaultInjectionError(f"{member.name}: {error}") from error
-        member.process, member.is_end_expected = process, False
+        member.process, member.is_exit_expected = process, False
         self.writer.note("started", who=member.name, cold=member.cold)
         if member.kind == "doors":
             self.writer.note("pong", door=member.number)
         self.set_reachable(member, True)
-        member.watch_task = self.loop.create_task(self.watch(member, process))
+        member.exit_task = self.loop.create_task(self.record_exit(member, process))
 
-    async def watch(self, member: Member, process: Process) -> None:
-        """Record the end of a process, and whether it was expected."""
-        code = await process.process.wait()
+    async def record_exit(self, member: Member, process: Process) -> None:
+        """Wait for the exit of a process; record it, and whether it was expected."""
+        exit_code = await process.process.wait()
         if member.process is process:
             self.set_reachable(member, False)
-            self.writer.note("died", who=member.name, meant=member.is_end_expected, code=code)
-            if not member.is_end_expected:
-                self.crashed.append(f"{member.name} has ended by itself ({code}): {process.last_line()}")
+            self.writer.note("died", who=member.name, meant=member.is_exit_expected, code=exit_code)
+            if not member.is_exit_expected:
+                self.unexpected_exits.append(
+                    f"{member.name} exited unexpectedly with code {exit_code}: {process.last_line()}"
+                )
 
     async def start_all(self) -> None:
-        """Start all members, in the order in which they need each other; the load begins later."""
+        """Start all members in the order of their dependencies; the load begins later.
+
+        Raises TimeoutError if they do not all serve in time.
+        """
         async with asyncio.timeout(START_TIMEOUT_S + 0.5 * len(self.members)):
             await self.peers.start()
             await self.start(self.members["list-0"])
@@ -473,36 +517,37 @@
             for member in members:
                 group.create_task(self.start(member))
 
-    # --- ends ---
+    # --- termination ---
 
     def kill(self, member: Member) -> None:
-        member.is_end_expected = True
+        """Send SIGKILL to a member, and make the relays refuse connections to it."""
+        member.is_exit_expected = True
         self.set_reachable(member, False)
         member.process.kill()
 
-    async def end(self) -> None:
-        """Send SIGTERM to all running processes, and wait for their ends; `close` kills those that remain."""
-        running = [member for member in self.members.values() if member.running]
+    async def terminate(self) -> None:
+        """Send SIGTERM to all running processes, and wait for their exit; `close` kills those that remain."""
+        running = [member for member in self.members.values() if member.is_running]
         for member in running:
-            member.is_end_expected = True
+            member.is_exit_expected = True
             member.send_signal(signal.SIGCONT)
             member.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(END_TIMEOUT_S):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 for member in running:
                     await member.process.process.wait()
 
     async def close(self) -> None:
         """Kill all processes and close all sockets."""
         for member in self.members.values():
-            member.is_end_expected = True
+            member.is_exit_expected = True
             if member.process is not None:
                 member.process.kill()
         for member in self.members.values():
             if member.process is not None:
                 await member.process.process.wait()
-            if member.watch_task is not None:
-                await member.watch_task
+            if member.exit_task is not None:
+                await member.exit_task
         for relay in self.relays.values():
             relay.close()
         self.peers.record_counts()
--- a/thistletrail/fault_injection/realtime.py
+++ b/thistletrail/fault_injection/realtime.py
@@ -6,7 +6,7 @@
 
 
 def now_us() -> int:
-    """Microseconds of the monotonic clock, which all processes of the machine share."""
+    """Return the time of the monotonic clock, which all processes of the machine share, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
@@ -14,10 +14,11 @@
 MIN_RECORDED_LAG_US = 100_000
 
 
-async def watch_lag(record: Callable[..., None]) -> None:
-    """Record when this process's event loop lagged.
+async def record_event_loop_lag(record: Callable[..., None]) -> None:
+    """Record each time at which this process's event loop was late, until cancelled.
 
-    What a lagging process observed then is no evidence against the processes under test.
+    `record` is `history.Writer.note`. What a process observes while its event loop is late is no evidence
+    against the processes under test.
     """
     while True:
         due_us = now_us() + LAG_CHECK_INTERVAL_US
@@ -27,7 +28,7 @@
 
 
 class RealClock:
-    """`simulation.clock.Clock` on an event loop, where time passes by itself."""
+    """The interface of `simulation.clock.Clock` on an event loop, where time passes by itself."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
--- a/thistletrail/fault_injection/relay.py
+++ b/thistletrail/fault_injection/relay.py
@@ -1,8 +1,9 @@
 """Relays between every two processes, which forward their data and apply the faults of the link.
 
-A relay has an address of its own, which the connecting side gets in place of the other's. Data are forwarded
-in order, with the delay that the state of the link asks for. The bytes in the queue are bounded: a side that
-sends more is not read until the queue has shrunk. Everything runs on one event loop.
+Each relay listens at an address of its own, which the connecting process gets in place of the target's. Data
+are forwarded in order, with the delay that the state of the link requires. The bytes in the queue are
+bounded: a connection that sends more is not read until the queue has shrunk. All relays run on one event
+loop.
 """
 
 from __future__ import annotations
@@ -20,194 +21,202 @@
 
 HOST = "127.0.0.1"
 Address = tuple[str, int]
-THERE, BACK = 0, 1  # directions: from the connecting side, and to it
-MAX_QUEUED_BYTES = 1 << 18  # in one direction of a connection: four of the longest values
-RETRANSMISSION_DELAY_US = 200_000  # of a lost chunk of TCP: the minimum retransmission time-out
-MAX_REORDER_DELAY_US = 30_000  # of a datagram that others overtake: the usual delays between peers
-# Marks in a queue, compared by identity: the sender has finished, has closed the connection, or has reset it.
+FORWARD, BACKWARD = 0, 1  # directions: from the connecting process, and to it
+MAX_QUEUED_BYTES = 1 << 18  # per direction of a connection: four values of maximum size
+RETRANSMISSION_DELAY_US = 200_000  # delay of a lost chunk of TCP: the minimum retransmission time-out
+MAX_REORDER_DELAY_US = 30_000  # added to a reordered datagram: the usual delays between peers
+# Markers in a queue, compared by identity: the sender has sent EOF, closed the connection, or reset it.
 FINISH, CLOSE, RESET = b"finish", b"end", b"reset"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a value of SO_LINGER
 DATAGRAM_COUNT_INTERVAL_US = 100_000
 
 
-class State:
-    """The present faults of the link between a pair of processes, by direction."""
+class LinkState:
+    """The active faults of the link between two processes; each list has one value per direction."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.on_change: set[Callable[[], None]] = set()
+        self.change_callbacks: set[Callable[[], None]] = set()
         self.clear()
 
     def clear(self) -> None:
         """Remove all faults."""
-        self.cut = [False, False]
-        self.hold = [False, False]
+        self.is_cut = [False, False]
+        self.is_on_hold = [False, False]
         self.delay_us = [0, 0]
-        self.lose = [0.0, 0.0]
-        self.repeat = [0.0, 0.0]
-        self.reorder = [0.0, 0.0]
-        self.limit = [0.0, 0.0]  # bytes a second; 0: unlimited
-        self.broken = [0.0, 0.0]  # share of the chunks that are cut in the middle
+        self.loss_probability = [0.0, 0.0]
+        self.repeat_probability = [0.0, 0.0]
+        self.reorder_probability = [0.0, 0.0]
+        self.bytes_per_s = [0.0, 0.0]  # 0: unlimited
+        self.break_probability = [0.0, 0.0]  # for a chunk to be cut in the middle
 
     def apply(self, kind: str, way: str, size: float) -> None:
-        """Add a fault of a plan; where there is one of its kind already, the larger value holds."""
+        """Add a fault of a plan; if one of its kind is active already, the larger value applies.
+
+        The arguments are the fields of `plan.Fault` of the same names.
+        """
         values, value = {
-            "cut": (self.cut, True),
-            "hold": (self.hold, True),
+            "cut": (self.is_cut, True),
+            "hold": (self.is_on_hold, True),
             "delay": (self.delay_us, round(size * 1000)),
-            "lose": (self.lose, size),
-            "repeat": (self.repeat, size),
-            "reorder": (self.reorder, size),
-            "limit": (self.limit, size),
-            "break": (self.broken, size),
+            "lose": (self.loss_probability, size),
+            "repeat": (self.repeat_probability, size),
+            "reorder": (self.reorder_probability, size),
+            "limit": (self.bytes_per_s, size),
+            "break": (self.break_probability, size),
         }[kind]
-        for direction in {"both": (THERE, BACK), "there": (THERE,), "back": (BACK,)}[way]:
+        for direction in {"both": (FORWARD, BACKWARD), "there": (FORWARD,), "back": (BACKWARD,)}[way]:
             values[direction] = max(values[direction], value)
 
     def notify(self) -> None:
-        """Call all callbacks, after the state has changed."""
-        for callback in list(self.on_change):
+        """Call all callbacks; to be called after each change of the state."""
+        for callback in list(self.change_callbacks):
             callback()
 
 
-Notes = Sequence[dict[str, object]]  # history records, each with its kind
+Records = Sequence[dict[str, object]]  # history records, each with its kind
 
 
 class Filter(Protocol):
-    """Rewrites the data on their way to the connecting side."""
+    """Rewrites the data that a target sends to the connecting process."""
 
-    def feed(self, data: bytes) -> list[tuple[bytes, Notes]]:
+    def feed(self, data: bytes) -> list[tuple[bytes, Records]]:
         """Return chunks to forward, each with the records to write once it is forwarded."""
 
 
 class Flow:
-    """One direction of one connection, with a queue of the data that are not due yet."""
+    """One direction of a relayed connection, with a queue of the data that are not due yet."""
 
-    def __init__(self, state: State, way: int, reader: Side, writer: Side) -> None:
-        self.state, self.way, self.reader, self.writer = state, way, reader, writer
-        self.queue: deque[tuple[int, bytes, list[dict[str, object]]]] = deque()
+    def __init__(self, state: LinkState, direction: int, source: Side, destination: Side) -> None:
+        self.state, self.direction = state, direction
+        self.source, self.destination = source, destination
+        self.queue: deque[tuple[int, bytes, Records]] = deque()  # (due time in us, data or marker, records)
         self.queued_bytes = self.due_us = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.has_lost_data = False  # the connection cannot continue after the cut
-        self.finished = False  # the end of the data has been forwarded
-        state.on_change.add(self.flush)
-
-    def push(self, data: bytes, notes: Notes = ()) -> None:
-        """Queue received data, with the faults of the link."""
-        state, way = self.state, self.way
-        if state.cut[way]:
+        self.has_lost_data = False  # data were dropped by a cut: the connection cannot continue after it
+        self.is_finished = False  # EOF has been forwarded
+        state.change_callbacks.add(self.flush)
+
+    def push(self, data: bytes, records: Records = ()) -> None:
+        """Queue received data, and apply the faults of the link to them."""
+        state, direction = self.state, self.direction
+        if state.is_cut[direction]:
             self.has_lost_data = True
             return
-        is_broken = state.broken[way] and state.rng.random() < state.broken[way]
+        is_broken = (
+            state.break_probability[direction] and state.rng.random() < state.break_probability[direction]
+        )
         if is_broken:
-            data, notes = data[: len(data) // 2], ()
-        due_us = max(self.due_us, now_us() + state.delay_us[way])
-        if state.limit[way]:
-            due_us += round(len(data) / state.limit[way] * 1e6)
-        if state.lose[way] and state.rng.random() < state.lose[way]:
+            data, records = data[: len(data) // 2], ()
+        due_us = max(self.due_us, now_us() + state.delay_us[direction])
+        if state.bytes_per_s[direction]:
+            due_us += round(len(data) / state.bytes_per_s[direction] * 1e6)
+        if state.loss_probability[direction] and state.rng.random() < state.loss_probability[direction]:
             due_us += RETRANSMISSION_DELAY_US
         self.due_us = due_us
-        self.queue.append((due_us, data, notes))
+        self.queue.append((due_us, data, records))
         self.queued_bytes += len(data)
         if self.queued_bytes > MAX_QUEUED_BYTES:
-            self.reader.pause_reading()
+            self.source.pause_reading()
         if is_broken:
-            self.mark(RESET)
+            self.queue_marker(RESET)
         self.flush()
 
-    def mark(self, mark: bytes) -> None:
-        """Queue a mark for what the sender did after the data that it has sent."""
-        self.queue.append((self.due_us, mark, ()))
+    def queue_marker(self, marker: bytes) -> None:
+        """Queue a marker behind the received data: `FINISH`, `CLOSE` or `RESET`."""
+        self.queue.append((self.due_us, marker, ()))
         self.flush()
 
     def flush(self) -> None:
-        """Forward what is due, unless the link is held."""
+        """Forward the data that are due, unless the link is on hold."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
-        cut = self.state.cut
-        if all(cut) or (self.has_lost_data and not cut[self.way]):
-            self.reader.abort()
-            self.writer.abort()
+        is_cut = self.state.is_cut
+        if all(is_cut) or (self.has_lost_data and not is_cut[self.direction]):
+            self.source.abort()
+            self.destination.abort()
             return
-        while self.queue and not self.state.hold[self.way] and self.writer.is_writable:
-            due_us, data, notes = self.queue[0]
+        while self.queue and not self.state.is_on_hold[self.direction] and self.destination.is_writable:
+            due_us, data, records = self.queue[0]
             if (wait_us := due_us - now_us()) > 0:
-                self.timer = self.reader.loop.call_later(wait_us / 1e6, self.flush)
+                self.timer = self.source.loop.call_later(wait_us / 1e6, self.flush)
                 return
             self.queue.popleft()
             if data is RESET:
-                self.writer.abort()
-            elif data is CLOSE or (data is FINISH and self.writer.out.finished):
-                self.writer.transport.close()
-                self.reader.transport.close()
+                self.destination.abort()
+            elif data is CLOSE or (data is FINISH and self.destination.outgoing.is_finished):
+                self.destination.transport.close()
+                self.source.transport.close()
             elif data is FINISH:
-                self.finished = True
-                self.writer.finish()
+                self.is_finished = True
+                self.destination.finish()
             else:
                 self.queued_bytes -= len(data)
-                self.writer.write(data)
-                for note in notes:
-                    self.reader.relay.note(**note)
+                self.destination.write(data)
+                for record in records:
+                    self.source.relay.note(**record)
         if self.queued_bytes <= MAX_QUEUED_BYTES // 2:
-            self.reader.resume_reading()
+            self.source.resume_reading()
 
     def close(self) -> None:
-        self.state.on_change.discard(self.flush)
+        """Stop following the state of the link; queued data are not forwarded any more."""
+        self.state.change_callbacks.discard(self.flush)
         if self.timer:
             self.timer.cancel()
 
 
 class Side(asyncio.Protocol):
-    """One of the two connections that make up a relayed connection."""
+    """One of the two TCP connections that make up a relayed connection."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay, self.loop = relay, relay.loop
         self.transport: asyncio.Transport | None = None
-        self.out: Flow | None = None  # the data read from this side
-        self.into: Flow | None = None  # the data to write to this side
+        self.outgoing: Flow | None = None  # the data read from this side
+        self.incoming: Flow | None = None  # the data to write to this side
         self.is_writable = self.is_reading_paused = False
         self.filter: Filter | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport, self.is_writable = transport, True
-        if self.into:
-            self.into.flush()
+        if self.incoming:
+            self.incoming.flush()
 
     def data_received(self, data: bytes) -> None:
         if self.filter is None:
             self.relay.on_data(self, data)
-            self.out.push(data)
+            self.outgoing.push(data)
             return
         try:
-            for piece, notes in self.filter.feed(data):
-                self.out.push(piece, notes)
-        except ValueError:  # the gateway could not read it either
-            self.out.mark(RESET)
+            for chunk, records in self.filter.feed(data):
+                self.outgoing.push(chunk, records)
+        except ValueError:  # malformed: the gateway could not read it either
+            self.outgoing.queue_marker(RESET)
 
     def eof_received(self) -> bool:
-        self.out.mark(FINISH)
+        self.outgoing.queue_marker(FINISH)
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
         self.is_writable = False
-        if self.out:
-            self.out.mark(RESET if error else CLOSE)
-        if self.into:
-            self.into.close()
+        if self.outgoing:
+            self.outgoing.queue_marker(RESET if error else CLOSE)
+        if self.incoming:
+            self.incoming.close()
 
     def pause_writing(self) -> None:
         self.is_writable = False
 
     def resume_writing(self) -> None:
         self.is_writable = True
-        if self.into:
-            self.into.flush()
+        if self.incoming:
+            self.incoming.flush()
 
     def write(self, data: bytes) -> None:
         self.transport.write(data)
 
     def finish(self) -> None:
+        """Send EOF, unless the connection is closing."""
         if self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
 
@@ -231,23 +240,25 @@
 
 
 class Relay:
-    """The address at which one process reaches another."""
+    """Relays the connections from one process to another, at an address of its own."""
 
     def __init__(
         self,
         link: str,
         sides: tuple[str, str],
-        state: State,
+        state: LinkState,
         target: Address,
         writer: Writer,
         make_filter: Callable[[], Filter] | None = None,
     ) -> None:
-        """`sides` are the names of the two processes, the connecting one first."""
+        """`sides` are the names of the two processes, the connecting one first.
+
+        `target` is the address of the second one. `make_filter` creates a filter for the data that it sends,
+        one per connection.
+        """
         self.link, self.sides, self.state, self.target = link, sides, state, target
         self.writer, self.make_filter = writer, make_filter
         self.loop = asyncio.get_running_loop()
-        self.server: asyncio.Server | None = None
-        self.sides_open: set[Side] = set()
         # Reserves the port while the target is down: connections are refused, as by a host that is up.
         self.reservation = socket.socket()
         self.reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -258,10 +269,11 @@
         self.open()
 
     def note(self, kind: str, **values: object) -> None:
+        """Write a record to the history; `values` are its fields."""
         self.writer.note(kind, **values)
 
     def open(self) -> None:
-        """Listen for connections; those not accepted yet wait in the backlog of the system."""
+        """Listen for connections; those not accepted yet wait in the backlog of the listening socket."""
         if not self.is_refusing:
             return
         self.is_refusing = False
@@ -274,19 +286,20 @@
         self.loop.add_reader(listener, self.accept)
 
     def refuse(self) -> None:
-        """Refuse connections: the target is down."""
+        """Refuse new connections, as if the target were down."""
         if not self.is_refusing:
             self.is_refusing = True
             self.loop.remove_reader(self.listener)
             self.listener.close()
 
     def accept(self) -> None:
+        """Accept all waiting connections; they are reset while the link is cut in a direction."""
         while True:
             try:
                 accepted, _ = self.listener.accept()
             except OSError:
                 return
-            if any(self.state.cut):
+            if any(self.state.is_cut):
                 accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 accepted.close()
                 continue
@@ -297,35 +310,40 @@
 
     async def connect(self, accepted: socket.socket) -> None:
         """Connect an accepted connection to the target, and relay between the two."""
-        near, far = Side(self), Side(self)
-        near.out = far.into = Flow(self.state, THERE, near, far)
-        far.out = near.into = Flow(self.state, BACK, far, near)
+        connecting_side, target_side = Side(self), Side(self)
+        connecting_side.outgoing = target_side.incoming = Flow(
+            self.state, FORWARD, connecting_side, target_side
+        )
+        target_side.outgoing = connecting_side.incoming = Flow(
+            self.state, BACKWARD, target_side, connecting_side
+        )
         if self.make_filter:
-            far.filter = self.make_filter()
+            target_side.filter = self.make_filter()
         self.note("open", link=self.link, sides=self.sides)
-        await self.loop.create_connection(lambda: near, sock=accepted)
+        await self.loop.create_connection(lambda: connecting_side, sock=accepted)
         try:
-            await self.loop.create_connection(lambda: far, *self.target)
+            await self.loop.create_connection(lambda: target_side, *self.target)
         except OSError:
-            near.abort()
-            near.out.close()
+            connecting_side.abort()
+            connecting_side.outgoing.close()
             return
-        if near.transport.is_closing():
-            far.abort()
+        if connecting_side.transport.is_closing():
+            target_side.abort()
 
     def on_data(self, side: Side, data: bytes) -> None:
-        """Called with all data of a side that has no filter; for subclasses."""
+        """Do nothing; a subclass may inspect the data of a side without a filter, before they are queued."""
 
     def close(self) -> None:
+        """Stop listening, and release the address."""
         self.refuse()
         self.reservation.close()
 
 
-class Requests(Relay):
-    """From a gateway to a scan server: records each request that it sends."""
+class RequestRelay(Relay):
+    """Relays from a gateway to a scan server, and records each request that the gateway sends."""
 
     def on_data(self, side: Side, data: bytes) -> None:
-        if side.filter is None and data.startswith(b"*") and side.out.way == THERE:
+        if side.filter is None and data.startswith(b"*") and side.outgoing.direction == FORWARD:
             lines = data.split(b"\r\n", 7)
             if len(lines) > 6:
                 self.note(
@@ -333,10 +351,10 @@
                 )
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    """Receives what one gateway sends to another, at the address at which the sender sees the receiver."""
+class PeerSocket(asyncio.DatagramProtocol):
+    """Receives the datagrams of one gateway to another, at the address that the sender has for the other."""
 
-    def __init__(self, relays: Peers, sender: int, receiver: int) -> None:
+    def __init__(self, relays: PeerRelays, sender: int, receiver: int) -> None:
         self.relays, self.sender, self.receiver = relays, sender, receiver
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -344,89 +362,100 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        if address == self.relays.doors[self.sender]:  # others are not of the fleet
+        if address == self.relays.gateway_addresses[self.sender]:  # other senders are not in the fleet
             self.relays.forward(self.sender, self.receiver, data)
 
     def error_received(self, error: OSError) -> None:
-        """Ignore that the receiver is down: its datagrams get lost."""
+        """Ignore errors: the receiver is down, and its datagrams are lost."""
 
 
-class Peers:
+class PeerRelays:
     """Relays the datagrams between all gateways.
 
-    Each gateway sees another at one address, to which it sends and from which it receives.
+    Each gateway has one address for each peer, to which it sends and from which it receives.
     """
 
-    def __init__(self, doors: list[Address], state: Callable[[int, int], State], writer: Writer) -> None:
-        """`doors` are the gateways' addresses; `state` takes two numbers of gateways, the lower one first."""
-        self.doors, self.state, self.writer = doors, state, writer
+    def __init__(
+        self, gateway_addresses: list[Address], link_state: Callable[[int, int], LinkState], writer: Writer
+    ) -> None:
+        """`link_state` takes the numbers of two gateways, the lower one first."""
+        self.gateway_addresses, self.link_state, self.writer = gateway_addresses, link_state, writer
         self.loop = asyncio.get_running_loop()
-        # By the sending gateway, and the one that it sees at this socket.
-        self.sockets: dict[tuple[int, int], Datagrams] = {}
-        self.counts: Counter[tuple[int, str]] = Counter()  # by interval and fate
+        # By the numbers of the sending gateway, and of the peer whose address this socket has for it.
+        self.sockets: dict[tuple[int, int], PeerSocket] = {}
+        self.counts: Counter[tuple[int, str]] = Counter()  # by number of the interval, and `lost` or `passed`
 
     async def start(self) -> None:
-        for sender in range(len(self.doors)):
-            for receiver in range(len(self.doors)):
+        """Open one socket for each ordered pair of gateways."""
+        for sender in range(len(self.gateway_addresses)):
+            for receiver in range(len(self.gateway_addresses)):
                 if sender != receiver:
-                    _, datagrams = await self.loop.create_datagram_endpoint(
-                        lambda sender=sender, receiver=receiver: Datagrams(self, sender, receiver),
+                    _, peer_socket = await self.loop.create_datagram_endpoint(
+                        lambda sender=sender, receiver=receiver: PeerSocket(self, sender, receiver),
                         local_addr=(HOST, 0),
                     )
-                    self.sockets[sender, receiver] = datagrams
+                    self.sockets[sender, receiver] = peer_socket
 
-    def addresses_for(self, door: int) -> list[Address]:
-        """Return the addresses of all gateways as one of them sees them."""
+    def addresses_for(self, gateway: int) -> list[Address]:
+        """Return the addresses that a gateway has for all gateways: its own, and sockets of the relays."""
         return [
-            self.doors[number]
-            if number == door
-            else self.sockets[door, number].transport.get_extra_info("sockname")
-            for number in range(len(self.doors))
+            self.gateway_addresses[number]
+            if number == gateway
+            else self.sockets[gateway, number].transport.get_extra_info("sockname")
+            for number in range(len(self.gateway_addresses))
         ]
 
     def forward(self, sender: int, receiver: int, data: bytes) -> None:
-        """Forward a datagram with the faults of the link."""
-        state = self.state(min(sender, receiver), max(sender, receiver))
-        way, rng = (THERE if sender < receiver else BACK), state.rng
-        is_lost = state.cut[way] or (state.lose[way] and rng.random() < state.lose[way])
+        """Forward a datagram, and apply the faults of the link to it."""
+        state = self.link_state(min(sender, receiver), max(sender, receiver))
+        direction, rng = (FORWARD if sender < receiver else BACKWARD), state.rng
+        is_lost = state.is_cut[direction] or (
+            state.loss_probability[direction] and rng.random() < state.loss_probability[direction]
+        )
         interval = now_us() // DATAGRAM_COUNT_INTERVAL_US
         self.counts[interval, "lost" if is_lost else "passed"] += 1
         if is_lost:
             return
-        for _ in range(1 + (state.repeat[way] > 0 and rng.random() < state.repeat[way])):
-            delay_us = state.delay_us[way]
-            if state.reorder[way] and rng.random() < state.reorder[way]:
+        for _ in range(
+            1
+            + (state.repeat_probability[direction] > 0 and rng.random() < state.repeat_probability[direction])
+        ):
+            delay_us = state.delay_us[direction]
+            if state.reorder_probability[direction] and rng.random() < state.reorder_probability[direction]:
                 delay_us += round(rng.random() * MAX_REORDER_DELAY_US)
-            if state.limit[way]:
-                delay_us += round(len(data) / state.limit[way] * 1e6)
-            if state.hold[way]:
-                self.deliver_after_hold(state, way, sender, receiver, data)
+            if state.bytes_per_s[direction]:
+                delay_us += round(len(data) / state.bytes_per_s[direction] * 1e6)
+            if state.is_on_hold[direction]:
+                self.deliver_after_hold(state, direction, sender, receiver, data)
             elif delay_us:
                 self.loop.call_later(delay_us / 1e6, self.deliver, sender, receiver, data)
             else:
                 self.deliver(sender, receiver, data)
 
-    def deliver_after_hold(self, state: State, way: int, sender: int, receiver: int, data: bytes) -> None:
-        """Deliver a datagram once the link is not held any more."""
+    def deliver_after_hold(
+        self, state: LinkState, direction: int, sender: int, receiver: int, data: bytes
+    ) -> None:
+        """Deliver a datagram once the link is not on hold any more."""
 
         def release() -> None:
-            if not state.hold[way]:
-                state.on_change.discard(release)
+            if not state.is_on_hold[direction]:
+                state.change_callbacks.discard(release)
                 self.deliver(sender, receiver, data)
 
-        state.on_change.add(release)
+        state.change_callbacks.add(release)
 
     def deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        # Sent from the address at which the receiver sees the sender.
+        """Send a datagram to the receiver, from the address that the receiver has for the sender."""
         transport = self.sockets[receiver, sender].transport
         if not transport.is_closing():
-            transport.sendto(data, self.doors[receiver])
+            transport.sendto(data, self.gateway_addresses[receiver])
 
     def record_counts(self) -> None:
-        """Write the counts of datagrams to the history."""
+        """Write the counts of lost and passed datagrams to the history, by interval."""
         for (interval, fate), count in sorted(self.counts.items()):
             self.writer.note("words", at=interval * DATAGRAM_COUNT_INTERVAL_US, fate=fate, count=count)
 
     def close(self) -> None:
-        for datagrams in self.sockets.values():
-            datagrams.transport.close()
+        """Close all sockets."""
+        for peer_socket in self.sockets.values():
+            peer_socket.transport.close()
--- a/thistletrail/fault_injection/stub_scan_server.py
+++ b/thistletrail/fault_injection/stub_scan_server.py
@@ -1,8 +1,9 @@
 """A stub scan server: a process that runs the simulation's scan server in real time on a socket.
 
 Its argument is the path of its configuration. It registers with the registry, serves the protocol's commands,
-and records each attempt that it receives completely and the outcome. Orders come as JSON lines: `bad`, `fast`
-and `slow` change how it serves; `drain` and `leave` are sent on to the registry.
+and records each attempt that it receives completely and its outcome. Orders are JSON lines on standard input:
+`bad` (share of errors), `fast` (errors without delay) and `slow` (factor of the service time) change how it
+serves; `drain` and `leave` are forwarded to the registry.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from thistletrail.benchmarks.standins import VALUE
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.plan import Plan
-from thistletrail.fault_injection.program import Order, ProcessConfig, orders, start
+from thistletrail.fault_injection.program import Order, ProcessConfig, handle_orders, run_program
 from thistletrail.fault_injection.realtime import RealClock, now_us
 from thistletrail.fault_injection.relay import HOST
 from thistletrail.fault_injection.world import World, zone_name
@@ -28,7 +29,7 @@
 from thistletrail.simulation.streams import Stream
 
 MIN_SERVICE_TIME_US = 500.0
-# Of the fields `name=value` in a command, after its name, the customer and the id.
+# Position of the argument `name=value,...`, after the command's name, the customer and the id.
 FIELDS_INDEX = 3
 
 
@@ -42,20 +43,20 @@
 
 
 class Connection(asyncio.Protocol):
-    """A gateway's connection; commands are answered in order."""
+    """A connection of a gateway; its commands are answered in order."""
 
-    def __init__(self, program: StubScanServer) -> None:
-        self.program, self.reader = program, CommandReader()
+    def __init__(self, stub: StubScanServer) -> None:
+        self.stub, self.reader = stub, CommandReader()
         self.transport: asyncio.Transport | None = None
         self.queue: list[list[bytes]] = []
         self.active: ActiveAttempt | None = None
-        self.is_new, self.is_accepted = True, False
+        self.is_new, self.is_accepted = True, False  # new: its first attempt pays for the handshake
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.is_accepted = self.program.server.connect()
-        self.program.connections.add(self)
-        if not self.program.server.is_alive:
+        self.is_accepted = self.stub.server.connect()
+        self.stub.connections.add(self)
+        if not self.stub.server.is_alive:
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -69,18 +70,20 @@
         self.serve_next()
 
     def serve_next(self) -> None:
+        """Handle the queued commands until one is an attempt; the next follow once it is answered."""
         while self.queue and self.active is None and not self.transport.is_closing():
-            self.program.handle_command(self, self.queue.pop(0))
+            self.stub.handle_command(self, self.queue.pop(0))
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.program.connections.discard(self)
+        self.stub.connections.discard(self)
         if self.is_accepted:
-            self.program.server.disconnect()
+            self.stub.server.disconnect()
         if self.active is not None:
-            self.program.finish(self.active, "gone")
-            self.program.server.cancel(self.active.work)
+            self.stub.finish(self.active, "gone")
+            self.stub.server.cancel(self.active.work)
 
     def write(self, data: bytes) -> None:
+        """Write an answer, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
@@ -93,7 +96,7 @@
         self.config, self.loop = config, asyncio.get_running_loop()
         self.clock = RealClock(self.loop)
         world = World(plan.fleet, config.seed, self.clock)
-        self.classes = {rule.name: n for n, rule in enumerate(plan.fleet.classes)}
+        self.class_indexes = {rule.name: n for n, rule in enumerate(plan.fleet.classes)}
         self.means, self.cvs = world.demand.means, world.demand.cvs
         self.stream = Stream(config.seed, f"server/{config.name}")
         self.zone = config.number % plan.fleet.net.zones
@@ -109,10 +112,11 @@
         )
         self.writer = Writer(Path(config.history))
         self.connections: set[Connection] = set()
-        self.serial = itertools.count(now_us())  # starts at the time, so unique also across restarts
+        self.serials = itertools.count(now_us())  # begins at the present time: unique also across restarts
         self.registration: Registration | None = None
 
     async def run(self) -> None:
+        """Listen, register, and handle orders until standard input ends or the order `leave` is handled."""
         listener = await self.loop.create_server(lambda: Connection(self), HOST, 0)
         address = "{}:{}".format(*listener.sockets[0].getsockname())
         started_ms = round((time.time() + self.config.clock_s) * 1000) if self.config.cold else 0
@@ -132,9 +136,10 @@
         )
         await self.registration.start()
         print(f"scan server {self.config.name} serves at {address}", flush=True)
-        await orders(self.handle_order)
+        await handle_orders(self.handle_order)
 
     async def handle_order(self, order: Order) -> None:
+        """Apply an order; the order `leave` ends the process after it has deregistered."""
         self.server.advance()
         self.server.error_share = order.get("bad", self.server.error_share)
         self.server.fails_fast = order.get("fast", self.server.fails_fast)
@@ -152,7 +157,7 @@
     # --- requests ---
 
     def handle_command(self, connection: Connection, arguments: list[bytes]) -> None:
-        """Answer PING, or start to serve and record an attempt."""
+        """Answer PING; record an attempt and start to serve it; answer an error to any other command."""
         if arguments[0] == b"PING":
             connection.write(b"+PONG\r\n")
             return
@@ -161,12 +166,14 @@
             self.writer.note("unread", server=self.config.name, words=repr(arguments)[:200])
             return
         fields = dict(field.partition("=")[::2] for field in arguments[FIELDS_INDEX].decode().split(","))
-        kind = self.classes[fields["c"]]
-        work_us = max(MIN_SERVICE_TIME_US, self.stream.lognormal(self.means[kind], self.cvs[kind]))
+        class_index = self.class_indexes[fields["c"]]
+        work_us = max(
+            MIN_SERVICE_TIME_US, self.stream.lognormal(self.means[class_index], self.cvs[class_index])
+        )
         handshake_us = self.server.traits.handshake_us if connection.is_new else 0.0
         connection.is_new = False
         work = Work(work_us, now_us() + int(fields["d"]) * 1000, self.on_work_end)
-        connection.active = work.served = ActiveAttempt(connection, next(self.serial), work)
+        connection.active = work.served = ActiveAttempt(connection, next(self.serials), work)
         self.writer.note(
             "came",
             server=self.config.name,
@@ -186,34 +193,36 @@
             for other in list(self.connections):
                 other.transport.abort()
 
-    def finish(self, attempt: ActiveAttempt, how: str) -> None:
+    def finish(self, attempt: ActiveAttempt, outcome: str) -> None:
+        """Record the outcome of an attempt, and release its connection for the next one."""
         attempt.connection.active = None
-        self.writer.note("left", server=self.config.name, serial=attempt.serial, how=how)
+        self.writer.note("left", server=self.config.name, serial=attempt.serial, how=outcome)
 
-    def on_work_end(self, work: Work, how: str) -> None:
-        """Answer an attempt that the simulated scan server has finished."""
+    def on_work_end(self, work: Work, outcome: str) -> None:
+        """Write the answer of an attempt that the simulated scan server has finished."""
         attempt: ActiveAttempt = work.served
         connection = attempt.connection
         if connection.active is not attempt:
             return  # its connection is closed
-        self.finish(attempt, how)
-        if how == "served":
+        self.finish(attempt, outcome)
+        if outcome == "served":
             connection.write(b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(VALUE), VALUE))
-        elif how in ("error", "full"):
-            connection.write(b"-ERR failed\r\n" if how == "error" else b"-BUSY\r\n")
+        elif outcome in ("error", "full"):
+            connection.write(b"-ERR failed\r\n" if outcome == "error" else b"-BUSY\r\n")
         else:
             connection.transport.abort()
         self.loop.call_soon(connection.serve_next)
 
 
 async def main(config: ProcessConfig) -> None:
-    program = StubScanServer(config)
+    """Run a stub scan server, and stop its registration at the end."""
+    stub = StubScanServer(config)
     try:
-        await program.run()
+        await stub.run()
     finally:
-        if program.registration is not None:
-            await program.registration.aclose()
+        if stub.registration is not None:
+            await stub.registration.aclose()
 
 
 if __name__ == "__main__":
-    start(main)
+    run_program(main)
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -1,4 +1,7 @@
-"""Values that all processes of a run draw alike from plan and seed: quota plans, traits and load."""
+"""Values that each process of a run draws for itself, with the same result for the same plan and seed.
+
+These are the figures of the quota plans, the traits of the scan servers, and the load.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +16,23 @@
 from thistletrail.simulation.servers import Traits
 from thistletrail.simulation.streams import Stream
 
-QUOTA_MESSAGES_PER_S = 40.0  # the intake of a gateway, as the operators state it
-# The limits of a gateway's process, as in the deployment page.
+QUOTA_MESSAGES_PER_S = 40.0  # that a gateway accepts, as the operators state it
+# Limits of a gateway's process, as in the deployment documentation.
 MEMORY_LIMIT_MB = 192
 SOCKET_LIMIT = 1024
 IDEMPOTENCY_SETTINGS = {True: "idempotency_key", False: "read_like"}
 
 
 class NoNetworkDelay:
-    """A network without delay for the simulation's clients: real sockets take time of their own."""
+    """The network of the simulation's clients, without a delay: real sockets add their own."""
 
     def to_client_us(self) -> float:
+        """Return the simulated delay between a client and its gateway, in microseconds."""
         return 0.0
 
 
 class World:
-    """The attributes of a simulation run that the simulation's customers and scan servers use."""
+    """Stands for a simulation run: has the attributes that the simulation's clients and scan servers use."""
 
     def __init__(self, scenario: Scenario, seed: int, clock: Any) -> None:  # noqa: ANN401 - simulated or real
         self.scenario, self.seed, self.clock = scenario, seed, clock
@@ -51,9 +55,9 @@
         return self.scenario.servers.count * self.traits.cores * self.traits.speed
 
     def settings(self, number: int) -> dict[str, Any]:
-        """Return the settings of a gateway at its start, by the names of the protocol."""
+        """Return the initial settings of a gateway, under their names in the protocol."""
         scenario, prices = self.scenario, self.scenario.prices
-        us_per_ms = scenario.stretch * 1000  # of stretched time
+        us_per_ms = scenario.stretch * 1000  # the scenario's times are stretched
         return {
             "me": number,
             "balancers": scenario.doors,
@@ -123,50 +127,57 @@
 
 
 class LoadEntry:
-    """One entry of a load: a request of a customer, or new weights of the gateways for its requests."""
+    """One entry of a load: an operation of a customer, or new weights of the gateways for its requests.
+
+    `at_us` is the time from the start of the run. New weights are given by `cumulative`, which is None for an
+    operation; `class_index` is the operation's request class.
+    """
 
-    __slots__ = ("at_us", "cumulative", "customer", "kind", "work_us")
+    __slots__ = ("at_us", "class_index", "cumulative", "customer", "work_us")
 
     def __init__(
         self,
         at_us: int,
         customer: Customer,
-        kind: int = 0,
+        class_index: int = 0,
         work_us: float = 0.0,
         cumulative: list[float] | None = None,
     ) -> None:
-        self.at_us, self.customer, self.kind = at_us, customer, kind
+        self.at_us, self.customer, self.class_index = at_us, customer, class_index
         self.work_us, self.cumulative = work_us, cumulative
 
 
 class Load(Demand):
     """Generates the demand of the customers in simulated time, the same for each run of a plan and seed."""
 
-    def __init__(self, world: World, part: int) -> None:
+    def __init__(self, world: World, process_number: int) -> None:
         super().__init__(world)  # type: ignore[arg-type]
         world.clients, self.entries = self, []
-        self.stream = Stream(world.seed, f"demand/{part}")
-        self.work = Stream(world.seed, f"asks/{part}")
-        self.names = iter(range((part << 20) + 1, (part + 1) << 20))
-        # The same for all parts: the work of a class does not depend on the client process.
+        self.stream = Stream(world.seed, f"demand/{process_number}")
+        self.work = Stream(world.seed, f"asks/{process_number}")
+        self.names = iter(range((process_number << 20) + 1, (process_number + 1) << 20))
+        # The same in all processes: the work of a class does not depend on the load generator.
         self.means, self.cvs = world.demand.means, world.demand.cvs
 
-    def start_operation(self, customer: Customer, kind: int | None = None, work_us: float = 0.0) -> None:
-        """Draw a request of a customer and its work, or record it once they are drawn."""
-        if kind is None:
+    def start_operation(
+        self, customer: Customer, class_index: int | None = None, work_us: float = 0.0
+    ) -> None:
+        """Draw the class and work of an operation; called again with both, add it to the load."""
+        if class_index is None:
             super().start_operation(customer)
         else:
-            self.entries.append(LoadEntry(self.run.clock.now, customer, kind, work_us))
+            self.entries.append(LoadEntry(self.run.clock.now, customer, class_index, work_us))
 
     def shift(self, customer: Customer, first: bool = True) -> None:
+        """Draw a customer's weights of the gateways, except on the first call, and add them to the load."""
         super().shift(customer, first)
         self.entries.append(LoadEntry(self.run.clock.now, customer, cumulative=customer.cumulative))
 
 
-def generate_load(plan: Plan, seed: int, part: int) -> list[LoadEntry]:
-    """Return the load of one client process, at times in microseconds from the start of the run."""
+def generate_load(plan: Plan, seed: int, process_number: int) -> list[LoadEntry]:
+    """Return the load of one load generator, in order of time."""
     world = World(plan.fleet, seed, Clock())
-    load = Load(world, part)
+    load = Load(world, process_number)
     load.begin(world.capacity() / plan.clients)
     for fault in plan.faults:
         if fault.kind == "burst":
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -250,7 +250,7 @@
     def time_out_request(self, request: ClientRequest) -> None:
         if request.is_over:
             return
-        was_owed = request.gateway.client_gone(request)
+        was_owed = request.gateway.on_client_timeout(request)
         self.receive(request, "gone", "no answer in time" if was_owed else "answer too late", 0)
 
     def receive(self, request: ClientRequest, result: str, cause: str, retry_after_us: int) -> None:
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -363,7 +363,7 @@
             "",
         )
 
-    def client_gone(self, request: ClientRequest) -> bool:
+    def on_client_timeout(self, request: ClientRequest) -> bool:
         """Handle a client that disconnects. Return whether it was still owed an answer."""
         state = self.open_requests.get(request.id)
         if state is None or state.is_answered or self.engine is None:
