--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,8 +17,8 @@
     POINTS,
     CrashFleet,
     InjectedCrash,
+    format_crash_table,
     inject_crashes,
-    table,
 )
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
@@ -78,11 +78,11 @@
     )
     assert "2 times" in ran_twice.violation
     assert "2 zones" in ran_in_two_zones.violation
-    assert "was kept" in lost_outcome.violation
+    assert "was stored" in lost_outcome.violation
     assert not InjectedCrash(
         POINTS[3], "keyed", "k", 0, reached=True, execution_zones=[0], final_outcome="served"
     ).violation
-    assert "| after the write | keyed | 1 | 0 | 0 | 1 | 1 | 1 |" in table([ran_in_two_zones])
+    assert "| after the write | keyed | 1 | 0 | 0 | 1 | 1 | 1 |" in format_crash_table([ran_in_two_zones])
 
 
 # --- single scenarios ---
@@ -116,13 +116,13 @@
 
 def test_gateway_paused_past_its_lease_fails_its_request_and_sends_no_further_attempt(tmp_path: Path) -> None:
     async def scenario(fleet: CrashFleet) -> None:
-        fleet.held_keys.add("k")
+        fleet.unanswered_keys.add("k")
         first_task = asyncio.create_task(
             fleet.send(0, fleet.encode("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S)
         )
         await wait_until(lambda: fleet.attempts["k"])
         fleet.gateways[0].process.send_signal(signal.SIGSTOP)
-        fleet.held_keys.clear()
+        fleet.unanswered_keys.clear()
         assert await fleet.send(1, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
         fleet.gateways[0].process.send_signal(signal.SIGCONT)
         assert await first_task == "failed"
@@ -152,13 +152,13 @@
     tmp_path: Path,
 ) -> None:
     async def scenario(fleet: CrashFleet) -> None:
-        fleet.held_keys.add("k")
+        fleet.unanswered_keys.add("k")
         first_task = asyncio.create_task(
             fleet.send(0, fleet.encode("keyed", "k", "a1", BODY), ANSWER_TIMEOUT_S)
         )
         await wait_until(lambda: fleet.attempts["k"])
         fleet.cut_off_gateways.add(0)
-        fleet.held_keys.clear()
+        fleet.unanswered_keys.clear()
         assert await fleet.send(1, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
         assert await first_task == "failed"
         # The cut-off gateway serves new requests, which are not recorded.
@@ -211,7 +211,7 @@
 def test_requests_are_served_once_after_all_gateways_are_killed_and_restarted(tmp_path: Path) -> None:
     async def scenario(fleet: CrashFleet) -> None:
         keys = [f"k{n}" for n in range(CONCURRENT_REQUESTS)]
-        fleet.held_keys.update(keys)
+        fleet.unanswered_keys.update(keys)
         requests = [
             fleet.send(n % 4, fleet.encode("keyed", key, f"a{key}", BODY, 4000), ANSWER_TIMEOUT_S)
             for n, key in enumerate(keys)
@@ -221,7 +221,7 @@
         for gateway in fleet.gateways:
             gateway.kill()
         assert await asyncio.gather(*first_tasks) == ["closed"] * CONCURRENT_REQUESTS
-        fleet.held_keys.clear()
+        fleet.unanswered_keys.clear()
         await asyncio.gather(*(fleet.start_gateway(gateway) for gateway in range(4)))
         retries = [
             fleet.send(n % 3, fleet.encode("keyed", key, f"b{key}", BODY), ANSWER_TIMEOUT_S)
@@ -236,14 +236,14 @@
 
 def test_drain_releases_a_request_that_outlasts_it_to_another_gateway(tmp_path: Path) -> None:
     async def scenario(fleet: CrashFleet) -> None:
-        fleet.held_keys.add("k")
+        fleet.unanswered_keys.add("k")
         first_task = asyncio.create_task(
             fleet.send(0, fleet.encode("keyed", "k", "a1", BODY, 8000), ANSWER_TIMEOUT_S)
         )
         await wait_until(lambda: fleet.attempts["k"])
         fleet.gateways[0].process.send_signal(signal.SIGTERM)
         assert await first_task == "refused"
-        fleet.held_keys.clear()
+        fleet.unanswered_keys.clear()
         assert await fleet.send(1, fleet.encode("keyed", "k", "a2", BODY), ANSWER_TIMEOUT_S) == "served"
         assert await fleet.gateways[0].process.wait() == 0
 
@@ -271,13 +271,13 @@
     async def scenario(fleet: CrashFleet) -> None:
         for number in range(4):
             key = f"k{number}"
-            fleet.held_keys.add(key)
+            fleet.unanswered_keys.add(key)
             first_task = asyncio.create_task(
                 fleet.send(0, fleet.encode("keyed", key, f"a{key}", BODY), ANSWER_TIMEOUT_S)
             )
             await wait_until(lambda key=key: fleet.attempts[key])
             first_task.cancel()  # its connection closes while another client sends the same key
-            fleet.held_keys.clear()
+            fleet.unanswered_keys.clear()
             retry = fleet.encode("keyed", key, f"b{key}", BODY)
             assert await fleet.send(1 + number % 3, retry, ANSWER_TIMEOUT_S) == "served"
 
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -14,7 +14,7 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import ROOT, prepare, revision
 from thistletrail.command_line import HELP, Group, end_on_signals
-from thistletrail.fault_injection.crash_injection import EFFECTS, POINTS, inject_crashes, table
+from thistletrail.fault_injection.crash_injection import EFFECTS, POINTS, format_crash_table, inject_crashes
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.leases import lease_summary
 from thistletrail.fault_injection.plan import load, plan_names, to_scenario
@@ -321,7 +321,7 @@
                 )
             )
         say(f"seed {seed}: {len(crashes)} deaths so far")
-    click.echo(table(crashes))
+    click.echo(format_crash_table(crashes))
     for crash in crashes:
         if crash.violation:
             click.echo(f"broken: {crash.point}: {crash.violation}")
--- a/thistletrail/fault_injection/crash_injection.py
+++ b/thistletrail/fault_injection/crash_injection.py
@@ -1,9 +1,9 @@
 """Crash injection: kills gateways at chosen points of a work item and checks runs and outcomes.
 
 The gateways and the lease service are real processes. This program relays between each gateway and the lease
-service, and plays the scan servers and the clients, so it sees the progress of each work item and kills its
-gateway at the chosen point. The client then retries at other gateways with the same idempotency key until it
-gets the outcome.
+service, and acts as the scan servers and the clients, so it observes the progress of each work item and kills
+its gateway at the chosen point. The client then retries at other gateways with the same idempotency key until
+it gets the outcome.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 EFFECTS = ("keyed", "unsafe")
 ZONES = 2
 REQUEST_DEADLINE_MS = 3000
-SERVICE_TIME_S = 0.02  # of a scan server
+EXECUTION_TIME_S = 0.02
 # Longer than a work lease, and shorter than the idempotency window for which an outcome is stored.
 CLIENT_RETRY_TIMEOUT_S = 6.0
 CLIENT_RETRY_INTERVAL_S = 0.05
 LOG_POLL_INTERVAL_S = 0.02
 RECORDED_TEXT = "work is recorded by the lease service"  # logged on a gateway's first answer from it
-FIRST_ATTEMPT_TIMEOUT_S = 2.0  # a crash whose point is not reached by then is not injected
+FIRST_ATTEMPT_TIMEOUT_S = 2.0  # a crash whose point is not reached in this time is not injected
 IDEMPOTENCY_WINDOW_MS = 8000
 LEASE_MS = 1000
 SMALL_BODY_BYTES = 256
@@ -56,13 +56,13 @@
 
 @dataclass
 class InjectedCrash:
-    """The crash of a gateway at one point of a work item, and what became of the work item."""
+    """The crash of a gateway at one point of a work item, and the executions and outcome of the work item."""
 
     point: str
     effect: str
     key: str
     gateway: int
-    reached: bool = False  # False: the work item ended before the point
+    reached: bool = False  # False: the work item ended before the point, and the gateway was not killed
     execution_zones: list[int] = field(default_factory=list)  # the zone of each execution
     first_outcome: str = ""  # outcome of the first request
     final_outcome: str = ""  # outcome that the client got in the end
@@ -70,14 +70,14 @@
 
     @property
     def violation(self) -> str:
-        """The violated rule in one sentence; empty if no rule was violated."""
+        """The violated rule in one sentence, or an empty string."""
         if self.effect == "unsafe" and len(self.execution_zones) > 1:
             return f"{self.key} may not be repeated, and ran {len(self.execution_zones)} times"
         if len(set(self.execution_zones)) > 1:
             return f"{self.key} ran in {len(set(self.execution_zones))} zones"
         outcome_is_stored = self.point in POINTS[5:] and self.effect == "keyed"
         if outcome_is_stored and (self.final_outcome != "served" or len(self.execution_zones) > 1):
-            return f"{self.key}: its outcome was kept, and its client got '{self.final_outcome}'"
+            return f"{self.key}: its outcome was stored, and its client got '{self.final_outcome}'"
         return ""
 
 
@@ -107,6 +107,7 @@
                 self.execute(arguments)
 
     def execute(self, arguments: list[bytes]) -> None:
+        """Execute a command and answer it, unless its key's answer is withheld or a crash is due."""
         if arguments[0] == b"PING":
             self.transport.write(b"+PONG\r\n")
             return
@@ -122,10 +123,11 @@
         crash = self.fleet.pending_crashes.get(key)
         if crash is not None and crash.point == "after the write":
             self.fleet.crash(crash)
-        elif key not in self.fleet.held_keys:
-            loop.call_later(SERVICE_TIME_S, self.answer)
+        elif key not in self.fleet.unanswered_keys:
+            loop.call_later(EXECUTION_TIME_S, self.write_answer)
 
-    def answer(self) -> None:
+    def write_answer(self) -> None:
+        """Write the answer of an execution, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
 
@@ -137,6 +139,7 @@
         self.fleet, self.gateway, self.request = fleet, gateway, b""
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Relay a connection of the gateway, unless the gateway is cut off or the lease service is down."""
         if self.gateway in self.fleet.cut_off_gateways:
             writer.close()
             return
@@ -158,6 +161,7 @@
         writer: asyncio.StreamWriter,
         should_forward: Callable[[bytes], bool],
     ) -> None:
+        """Forward one direction of a connection until its end, or until `should_forward` is false."""
         with contextlib.suppress(OSError):
             while data := await reader.read(1 << 20):
                 if not should_forward(data):
@@ -180,21 +184,21 @@
         self.request = b""
         return True
 
-    def crash_if_due(self, ops: dict[str, bytes]) -> bool:
+    def crash_if_due(self, operations: dict[str, bytes]) -> bool:
         """Inject the crash that is due, if any, and return whether one was.
 
-        `ops` gives for each point the operation that the outstanding request must contain.
+        `operations` gives for each point the operation that the outstanding request must contain.
         """
         for crash in self.fleet.crashes_pending_at(self.gateway):
-            op = ops.get(crash.point)
-            if op and self.is_outstanding(crash, op):
+            operation = operations.get(crash.point)
+            if operation and self.is_outstanding(crash, operation):
                 self.fleet.crash(crash)
                 return True
         return False
 
-    def is_outstanding(self, crash: InjectedCrash, op: bytes) -> bool:
-        """Whether the outstanding request contains the operation for the work item."""
-        return op in self.request and crash.key.encode() in self.request
+    def is_outstanding(self, crash: InjectedCrash, operation: bytes) -> bool:
+        """Return whether the outstanding request contains the operation for the work item."""
+        return operation in self.request and crash.key.encode() in self.request
 
 
 class CrashFleet:
@@ -204,21 +208,22 @@
         self.tree, self.folder, self.random, self.takeover = tree, folder, random.Random(seed), takeover
         self.pending_crashes: dict[str, InjectedCrash] = {}  # by key
         self.execution_zones: dict[str, list[int]] = defaultdict(list)
-        self.executed: set[tuple[int, str]] = set()
+        self.executed: set[tuple[int, str]] = set()  # (zone, key)
         self.attempts: dict[str, list[tuple[int, int]]] = defaultdict(list)  # by key: (gateway, zone)
-        self.held_keys: set[str] = set()  # the scan servers do not answer these
+        self.unanswered_keys: set[str] = set()  # executed by the scan servers without an answer
         self.fatal_keys: set[str] = set()  # each gateway that sends one of these is killed
-        self.cut_off_gateways: set[int] = set()  # from the lease service
+        self.cut_off_gateways: set[int] = set()  # their connections to the lease service are closed
         self.tasks: list[asyncio.Future[None]] = []
         self.gateways: list[Process | None] = [None] * gateway_count
         self.configs: list[dict[str, Any]] = []
-        self.serial, self.seed = 0, seed
+        self.crash_count, self.seed = 0, seed
         self.servers: list[asyncio.Server] = []
 
-    # --- start and end ---
+    # --- start and termination ---
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
+        """Start the processes and relays, and kill and close them at the end of the context."""
         try:
             await self.start()
             yield
@@ -234,6 +239,7 @@
             await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def start(self) -> None:
+        """Start the lease service, the relays and the scan servers, and then the gateways."""
         loop = asyncio.get_running_loop()
         budgets, secret = self.folder / "budgets.toml", self.folder / "secret"
         budgets.write_text(f"budgets = []\nwork_lease_ms = {LEASE_MS}\n")
@@ -260,7 +266,7 @@
         self.lease_service = await start_steward(self.folder)
 
     def config(self, number: int, scans: list[Address], relay: Address, secret: Path) -> dict[str, Any]:
-        """The configuration of a gateway: the whole fleet is known, and discovery is unreachable."""
+        """Return the configuration of a gateway: it lists all scan servers; discovery is unreachable."""
         instances = [
             {
                 "instanceId": f"s-{n}",
@@ -332,6 +338,11 @@
         }
 
     async def start_gateway(self, number: int) -> None:
+        """Start or restart a gateway, and wait until it serves.
+
+        With takeover, wait also until the lease service records its work, unless the gateway is cut off from
+        it. Raises `BenchError` if the gateway exits before.
+        """
         folder = self.folder / f"door-{number}"
         folder.mkdir(exist_ok=True)
         lines_before = self.count_in_log(number)
@@ -352,7 +363,7 @@
         return log.read_text(errors="replace").count(log_text) if log.exists() else 0
 
     async def work_counts(self) -> dict[str, int]:
-        """The lease service's counts of work items so far."""
+        """Return the lease service's counts of work items, by the names in its status."""
         secret = (self.folder / "secret").read_bytes()
         url = f"http://{text(self.lease_service.address)}/status"
         async with (
@@ -364,6 +375,7 @@
     # --- crashes ---
 
     def crashes_pending_at(self, gateway: int) -> list[InjectedCrash]:
+        """Return the pending crashes of a gateway."""
         return [crash for crash in self.pending_crashes.values() if crash.gateway == gateway]
 
     def crash(self, crash: InjectedCrash) -> None:
@@ -373,7 +385,7 @@
             self.gateways[crash.gateway].kill()
 
     def crash_in_write(self, data: bytes) -> InjectedCrash | None:
-        """The pending crash "in the write" whose request these bytes belong to, or None."""
+        """Return the pending crash "in the write" whose request these bytes belong to, or None."""
         return next(
             (
                 crash
@@ -384,23 +396,27 @@
         )
 
     def work_key(self, arguments: list[bytes]) -> str:
-        """The idempotency key of a request, or its id if it has none."""
-        fields = dict(part.partition("=")[::2] for part in arguments[3].decode().split(","))
+        """Return the idempotency key of a request, or its id if it has none."""
+        fields = dict(pair.partition("=")[::2] for pair in arguments[3].decode().split(","))
         return fields.get("k") or arguments[2].decode()
 
-    def request_for(self, crash: InjectedCrash, name: str) -> bytes:
+    def request_for(self, crash: InjectedCrash, request_id: str) -> bytes:
+        """Return the encoded request of a crash's work item."""
         size = LARGE_BODY_BYTES if crash.point == "in the write" else SMALL_BODY_BYTES
-        return self.encode(crash.effect, crash.key if crash.effect == "keyed" else "", name, b"b" * size)
+        return self.encode(
+            crash.effect, crash.key if crash.effect == "keyed" else "", request_id, b"b" * size
+        )
 
     def encode(
-        self, effect: str, key: str, name: str, body: bytes, deadline_ms: int = REQUEST_DEADLINE_MS
+        self, effect: str, key: str, request_id: str, body: bytes, deadline_ms: int = REQUEST_DEADLINE_MS
     ) -> bytes:
-        """Encode a SVC.SUBMIT command."""
+        """Encode a SVC.SUBMIT command; without an idempotency key if `key` is empty."""
         fields = f"c={CLASSES[effect]},t=standard,d={deadline_ms},units=1,spread={len(self.gateways)},first=0"
         fields += f",k={key}" if key else ""
-        return encode([b"SVC.SUBMIT", b"%016x" % 7, name.encode(), fields.encode(), body])
+        return encode([b"SVC.SUBMIT", b"%016x" % 7, request_id.encode(), fields.encode(), body])
 
     async def send(self, gateway: int, command: bytes, timeout_s: float) -> str:
+        """Send a command over a new connection; return its outcome, "unreached" or "unanswered"."""
         try:
             caller = await Caller.open(self.gateways[gateway].address)
         except OSError:
@@ -414,8 +430,8 @@
 
     async def inject_crash(self, point: str, effect: str, gateway: int) -> InjectedCrash:
         """Send a work item, crash its gateway at the point, retry for the outcome, restart the gateway."""
-        self.serial += 1
-        crash = InjectedCrash(point, effect, f"{self.seed:04x}{self.serial:012x}", gateway)
+        self.crash_count += 1
+        crash = InjectedCrash(point, effect, f"{self.seed:04x}{self.crash_count:012x}", gateway)
         self.pending_crashes[crash.key] = crash
         crash.first_outcome = await self.send(
             gateway, self.request_for(crash, crash.key), FIRST_ATTEMPT_TIMEOUT_S
@@ -424,16 +440,16 @@
             self.crash(crash)
         self.pending_crashes.pop(crash.key, None)
         loop = asyncio.get_running_loop()
-        end = loop.time() + CLIENT_RETRY_TIMEOUT_S
-        if effect == "unsafe":  # without a key it cannot be retried; its executions are counted
+        retries_end = loop.time() + CLIENT_RETRY_TIMEOUT_S
+        if effect == "unsafe":  # it has no key, so it cannot be retried; its executions are counted
             await asyncio.sleep(2 * LEASE_MS / 1000)
             crash.final_outcome = crash.first_outcome
-        while effect == "keyed" and crash.final_outcome != "served" and loop.time() < end:
+        while effect == "keyed" and crash.final_outcome != "served" and loop.time() < retries_end:
             crash.retries += 1
             others = [number for number in range(len(self.gateways)) if number != gateway]
-            name = f"{crash.key}t{crash.retries}"
+            request_id = f"{crash.key}t{crash.retries}"
             crash.final_outcome = await self.send(
-                self.random.choice(others), self.request_for(crash, name), CLIENT_RETRY_TIMEOUT_S
+                self.random.choice(others), self.request_for(crash, request_id), CLIENT_RETRY_TIMEOUT_S
             )
             await asyncio.sleep(CLIENT_RETRY_INTERVAL_S)
         if crash.reached:
@@ -456,7 +472,7 @@
 ) -> list[InjectedCrash]:
     """Inject `count` crashes at each point for each effect.
 
-    Only the first half of the gateways is crashed. Raises FaultInjectionError if a process does not start.
+    Only the first half of the gateways is crashed. Raises `FaultInjectionError` if a process does not start.
     """
     fleet = CrashFleet(tree, folder, seed, gateway_count, takeover)
     remaining = [(point, effect) for _ in range(count) for point in points for effect in effects]
@@ -484,8 +500,8 @@
     return crashes
 
 
-def table(crashes: list[InjectedCrash]) -> str:
-    """A Markdown table by point and effect: crashes, executions and outcomes."""
+def format_crash_table(crashes: list[InjectedCrash]) -> str:
+    """Return a Markdown table of crashes, executions and outcomes, by point and effect."""
     lines = [
         "| point | class | deaths | ran once | never | more often | ended well | wrong |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
