--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -1,4 +1,4 @@
-"""Runs of real processes: the plan `short` breaks no rule, and no process outlives its run."""
+"""Runs of real processes: the plan `short` violates no rule, and no process remains after its run."""
 
 import os
 import signal
@@ -18,12 +18,12 @@
 
 GATEWAY_COMMAND = f"exec {sys.executable} -m thistletrail.gateway"
 WORKING_TREE = Tree(ROOT, GATEWAY_COMMAND, tells_costs=True)
-EXIT_TIMEOUT_S = 20.0  # for processes to end; exceeded only on a fault
+EXIT_TIMEOUT_S = 20.0  # until all processes have exited; exceeded only on a failure
 MARK_VARIABLE = "FAULT_INJECTION_TEST_MARK"
 
 
 def processes_with_mark(mark: str) -> set[int]:
-    """The ids of the processes that carry a mark in their environment."""
+    """Return the ids of the processes that have a mark in their environment."""
     process_ids = set()
     for folder in Path("/proc").iterdir():
         if folder.name.isdigit() and int(folder.name) != os.getpid():
@@ -38,23 +38,27 @@
 
 @pytest.fixture(scope="module")
 def short_run() -> Run:
+    """One run of the plan `short`, with its baseline run."""
     return run(load("short"), 1, WORKING_TREE, lambda text: None)
 
 
-def test_short_plan_breaks_no_rule(short_run: Run) -> None:
+def test_short_plan_violates_no_rule(short_run: Run) -> None:
     assert short_run.violations == []
-    count = Counter(record["who"].partition("-")[0] for record in short_run.history.by["started"])
-    assert count == {"doors": 4 + 2, "servers": 4 + 1, "list": 2, "follower": 1, "clients": 1}
+    start_counts = Counter(record["who"].partition("-")[0] for record in short_run.history.by["started"])
+    assert start_counts == {"doors": 4 + 2, "servers": 4 + 1, "list": 2, "follower": 1, "clients": 1}
     assert all(record["meant"] for record in short_run.history.by["died"])
     assert {record["fault"] for record in short_run.history.by["undone"]} == {"kill", "replace"}
     assert len(short_run.history.by["pong"]) >= 4 + 2
 
 
 def test_short_plan_records_what_each_process_observed(short_run: Run) -> None:
-    requests, ended = short_run.history.by["try"], {record["id"] for record in short_run.history.by["end"]}
-    assert len(requests) > 100 and {record["id"] for record in requests} <= ended
-    drained = [record for record in short_run.history.by["told"] if "DRAINING" in record["servers"].values()]
-    assert {record["door"] for record in drained} == {f"doors-{n}" for n in range(4)}
+    requests = short_run.history.by["try"]
+    ended_ids = {record["id"] for record in short_run.history.by["end"]}
+    assert len(requests) > 100 and {record["id"] for record in requests} <= ended_ids
+    updates_with_drain = [
+        record for record in short_run.history.by["told"] if "DRAINING" in record["servers"].values()
+    ]
+    assert {record["door"] for record in updates_with_drain} == {f"doors-{n}" for n in range(4)}
     assert {record["door"] for record in short_run.history.by["door"]} == {0, 1, 2, 3}
     # The baseline run has the same operations.
     customers = [
@@ -78,7 +82,7 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_no_process_is_left_after_fault_injection_is_ended(signal_number: int) -> None:
-    """SIGKILL stands for a crash of the fault injection itself."""
+    """SIGKILL simulates a crash of the fault injection itself."""
     mark = f"{os.getpid()}-{signal_number}"
     code = (
         "from thistletrail.command_line import end_on_signals\nend_on_signals()\n"
@@ -112,9 +116,9 @@
 def test_failed_start_is_reported_in_one_line_and_leaves_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = f"{os.getpid()}-failed"
     monkeypatch.setenv(MARK_VARIABLE, mark)
-    broken = Tree(ROOT, "echo 'it cannot be' >&2; exit 3", tells_costs=True)
-    with pytest.raises(FaultInjectionError, match=r"doors-.: .*it cannot be") as error_info:
-        play_once(load("short"), 1, broken, lambda text: None)
+    tree_with_broken_gateway = Tree(ROOT, "echo 'no such module' >&2; exit 3", tells_costs=True)
+    with pytest.raises(FaultInjectionError, match=r"doors-.: .*no such module") as error_info:
+        play_once(load("short"), 1, tree_with_broken_gateway, lambda text: None)
     assert "\n" not in str(error_info.value)
     assert processes_with_mark(mark) == set()
 
