--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -24,7 +24,7 @@
 from thistletrail.gateway.config import flatten
 from thistletrail.policy.settings_codec import SettingValues, read_settings
 from thistletrail.simulation.clock import Clock
-from thistletrail.simulation.day import SimulationRun
+from thistletrail.simulation.run import SimulationRun
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.service import measure_recovery
 
--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -54,7 +54,7 @@
     WorkRequest,
     WorkResponse,
 )
-from thistletrail.simulation.ledger import TokenBucket
+from thistletrail.simulation.quota_accounts import TokenBucket
 from thistletrail.write_ahead_log.record_file import CorruptFileError, WriteFailedError
 
 SECRET = "not for anybody else"
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -20,11 +20,11 @@
 from thistletrail.policy.engine import PolicyEngine
 from thistletrail.policy.events import Event, RequestArrived
 from thistletrail.simulation import scenario as scenarios
-from thistletrail.simulation.books import Accounting
+from thistletrail.simulation.accounting import Accounting
 from thistletrail.simulation.clock import MS, Clock, S
-from thistletrail.simulation.day import SimulationRun, play
 from thistletrail.simulation.errors import ModelError
-from thistletrail.simulation.ledger import Account, TokenBucket
+from thistletrail.simulation.quota_accounts import Account, TokenBucket
+from thistletrail.simulation.run import SimulationRun, play
 from thistletrail.simulation.scenario import Demand, Net, Scenario, ScenarioFault, Servers
 from thistletrail.simulation.search import random_scenario
 from thistletrail.simulation.servers import ScanServer, Traits, Work
@@ -288,7 +288,7 @@
         def handle(self, now_us: int, event: Event) -> list[Action]:
             return change_actions(event, super().handle(now_us, event))
 
-    monkeypatch.setattr("thistletrail.simulation.doors.PolicyEngine", ChangedEngine)
+    monkeypatch.setattr("thistletrail.simulation.gateways.PolicyEngine", ChangedEngine)
     return set(play(scenario, 1).books.violation_counts)
 
 
--- a/tests/test_simulation_experiment.py
+++ b/tests/test_simulation_experiment.py
@@ -258,12 +258,12 @@
 
 
 def test_an_exception_in_the_policy_counts_as_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
-    from thistletrail.simulation import doors
+    from thistletrail.simulation import gateways
 
     def fail(self: object, now_us: int, event: object) -> list:
         raise ZeroDivisionError("as the test wants")
 
-    monkeypatch.setattr(doors.PolicyEngine, "handle", fail, raising=False)
+    monkeypatch.setattr(gateways.PolicyEngine, "handle", fail, raising=False)
     assert search.first_broken_rule(TINY, 1) == "fault: ZeroDivisionError: as the test wants"
 
 
--- a/tests/test_simulation_leased.py
+++ b/tests/test_simulation_leased_budgets.py
@@ -8,8 +8,7 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT
-from thistletrail.simulation import day as days
-from thistletrail.simulation.day import SimulationRun
+from thistletrail.simulation.run import SimulationRun, play
 from thistletrail.simulation.scenario import PLANS, Demand, Net, Scenario, ScenarioFault, Servers, dump, parse
 
 # Ceilings below the quotas, so that the ceilings limit the customers.
@@ -32,7 +31,7 @@
 
 @pytest.fixture(scope="module")
 def runs() -> list[SimulationRun]:
-    return [days.play(FLEET, seed) for seed in range(1, 5)]
+    return [play(FLEET, seed) for seed in range(1, 5)]
 
 
 def test_restarted_gateways_are_granted_shares_again_and_no_ceiling_is_exceeded(
@@ -50,8 +49,8 @@
 
 
 def test_runs_are_reproducible_and_without_leases_nothing_is_renewed(runs: list[SimulationRun]) -> None:
-    assert days.play(FLEET, 1).result() == runs[0].result()
-    fixed = days.play(msgspec.structs.replace(FLEET, leased=False), 1)
+    assert play(FLEET, 1).result() == runs[0].result()
+    fixed = play(msgspec.structs.replace(FLEET, leased=False), 1)
     assert fixed.leases.renewals == 0 and not fixed.leases.holders
 
 
@@ -62,9 +61,7 @@
     monkeypatch.setattr(
         "thistletrail.leasing.budget_state.divisible_total", lambda limits, *_: 8 * limits.total
     )
-    assert any(
-        "a ceiling was passed" in days.play(FLEET, seed).books.violation_counts for seed in range(1, 5)
-    )
+    assert any("a ceiling was passed" in play(FLEET, seed).books.violation_counts for seed in range(1, 5))
 
 
 def test_the_leases_command_compares_fixed_shares_with_leases(tmp_path: Path) -> None:
@@ -100,7 +97,7 @@
         name="fleet", doors=17, length_s=8, servers=Servers(count=12), demand=Demand(load=(0.5, 0.5))
     )
     leased = msgspec.structs.replace(fixed, leased_quotas=True)
-    fixed_run, leased_run = days.play(fixed, seed), days.play(leased, seed)
+    fixed_run, leased_run = play(fixed, seed), play(leased, seed)
     assert not leased_run.books.violation_counts and leased_run.books.check() == []
     assert fixed_run.prices()["over_quota"] > 0 and leased_run.prices()["over_quota"] == 0
     kinds = {name.split("/")[0] for name in leased_run.leases.state.budgets}
--- a/tests/test_simulation_recovery.py
+++ b/tests/test_simulation_recovery.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from thistletrail.simulation.day import SimulationRun, play
+from thistletrail.simulation.run import SimulationRun, play
 from thistletrail.simulation.scenario import Demand, Net, Scenario, ScenarioFault, Servers
 
 FLEET = Scenario(
--- a/tests/test_simulation_back.py
+++ b/tests/test_simulation_restarts.py
@@ -7,8 +7,8 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT
-from thistletrail.simulation.back import Case, play_seed, scenario_for, table_rows
 from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.restarts import Case, play_seed, scenario_for, table_rows
 from thistletrail.simulation.scenario import Demand, Scenario, ScenarioFault, Servers, dump
 
 FLEET = Scenario(
--- a/tests/test_simulation_kept.py
+++ b/tests/test_simulation_work_takeover.py
@@ -8,10 +8,9 @@
 import pytest
 
 from thistletrail.benchmarks.process import ROOT
-from thistletrail.simulation import day as days
-from thistletrail.simulation.day import SimulationRun
-from thistletrail.simulation.kept import WORK_LEASE_US
+from thistletrail.simulation.run import SimulationRun, play
 from thistletrail.simulation.scenario import Demand, Net, Scenario, ScenarioFault, Servers, dump
+from thistletrail.simulation.work_takeover import WORK_LEASE_US
 
 FLEET = Scenario(
     name="kept",
@@ -32,7 +31,7 @@
 def runs() -> dict[bool, list[SimulationRun]]:
     return {
         has_takeover: [
-            days.play(msgspec.structs.replace(FLEET, takeover=has_takeover), seed) for seed in range(1, 9)
+            play(msgspec.structs.replace(FLEET, takeover=has_takeover), seed) for seed in range(1, 9)
         ]
         for has_takeover in (False, True)
     }
@@ -59,8 +58,8 @@
 
 def test_without_faults_takeover_changes_nothing() -> None:
     without_faults = msgspec.structs.replace(FLEET, troubles=(), length_s=5)
-    baseline = days.play(without_faults, 1).result()
-    assert days.play(msgspec.structs.replace(without_faults, takeover=True), 1).result() == baseline
+    baseline = play(without_faults, 1).result()
+    assert play(msgspec.structs.replace(without_faults, takeover=True), 1).result() == baseline
     assert WORK_LEASE_US < 2_000_000  # otherwise a work item would have no time left after its takeover
 
 
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -44,7 +44,7 @@
     "tests/test_benchmarks_work.py": 3,
     "tests/test_fault_injection_checks.py": 1,
     "tests/test_fault_injection_leases.py": 23,
-    "tests/test_simulation_leased.py": 1,
+    "tests/test_simulation_leased_budgets.py": 1,
     "thistletrail/benchmarks/__main__.py": 2,
     "thistletrail/benchmarks/holders.py": 1,
     "thistletrail/benchmarks/leases.py": 5,
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -27,7 +27,7 @@
     run,
     store_run,
 )
-from thistletrail.simulation import day as days
+from thistletrail.simulation import run as simulation
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import EXIT_RULE_BROKEN
 
@@ -218,7 +218,7 @@
 
 def simulated_figures(scenario: Any, seed: int) -> dict[str, object]:  # noqa: ANN401 - a Scenario
     """The figures of one simulated run, under the names of `Figures` where both have them."""
-    day = days.play(scenario, seed)
+    day = simulation.play(scenario, seed)
     result = day.result()
     points = day.books.points
     offered = sum(worth for _, worth, _ in points) or 1.0
@@ -228,7 +228,7 @@
         **{how: result["ends"].get(how, 0) for how in ("refused", "failed", "gone")},
     }
     if scenario.troubles:
-        recovery = day.recovery(days.play(days.without_faults(scenario), seed))
+        recovery = day.recovery(simulation.play(simulation.without_faults(scenario), seed))
         figures |= {
             "full_s": recovery["full_s"],
             "full_after_pong_s": recovery["full_after_back_s"],
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -18,7 +18,7 @@
 from thistletrail.fault_injection.world import World
 from thistletrail.gateway.snapshot_store import MAX_POLICY_AGE_S
 from thistletrail.simulation.clock import MS, Clock, S
-from thistletrail.simulation.ledger import Account, TokenBucket
+from thistletrail.simulation.quota_accounts import Account, TokenBucket
 
 NEVER_US = 1 << 62
 POSSIBLY_EXECUTED_OUTCOMES = ("served", "error", "gone", "lost", "silent")
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from thistletrail.fault_injection.plan import Plan
-from thistletrail.simulation.books import Accounting
+from thistletrail.simulation.accounting import Accounting
 from thistletrail.simulation.clients import Customer, Demand, PlanFigures
 from thistletrail.simulation.clock import Clock, S
-from thistletrail.simulation.kept import Takeover
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.servers import Traits
 from thistletrail.simulation.streams import Stream
+from thistletrail.simulation.work_takeover import Takeover
 
 QUOTA_MESSAGES_PER_S = 40.0  # the intake of a gateway, as the operators state it
 # The limits of a gateway's process, as in the deployment page.
--- a/thistletrail/simulation/__main__.py
+++ b/thistletrail/simulation/__main__.py
@@ -16,7 +16,6 @@
 import msgspec
 
 from thistletrail.command_line import HELP, Group, end_on_signals
-from thistletrail.simulation.day import encode_line, play, without_faults
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import (
     EXIT_RULE_BROKEN,
@@ -27,6 +26,7 @@
     revision_tree,
     set_constant,
 )
+from thistletrail.simulation.run import encode_line, play, without_faults
 from thistletrail.simulation.scenario import StoredState, bundled_scenario_names, dump, load
 
 
@@ -294,7 +294,7 @@
 
     All runs of a seed are compared with one run without faults.
     """
-    from thistletrail.simulation.back import play_all, table_rows
+    from thistletrail.simulation.restarts import play_all, table_rows
 
     known_states = {name: name for name in get_args(StoredState)}
     killed_shares = parse_list(parts, parse_share, "shares")
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -7,17 +7,17 @@
 from bisect import bisect
 from typing import TYPE_CHECKING
 
-from thistletrail.simulation.books import GAINED, LATE, OVER, SERVED
+from thistletrail.simulation.accounting import GAINED, LATE, OVER, SERVED
 from thistletrail.simulation.clock import MS, S
-from thistletrail.simulation.ledger import Account
+from thistletrail.simulation.decision_recorder import RequestDecision
+from thistletrail.simulation.quota_accounts import Account
 from thistletrail.simulation.scenario import Clients as ClientsSpec
 from thistletrail.simulation.streams import Stream
-from thistletrail.simulation.watched import RequestDecision
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
-    from thistletrail.simulation.kept import WorkItem
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
+    from thistletrail.simulation.work_takeover import WorkItem
 
 # For this long after a gateway's start, units that it forwards beyond the quota are put down to the restart.
 RECENT_START_US = 5 * S
--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/endpoint_list.py
@@ -10,8 +10,8 @@
 from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 # By value: `compare` runs older revisions of the policy here, in which the member has another name.
 SERVING = ServerState("up")
--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/faults.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING, get_args
 
 from thistletrail.policy.events import ServerState
-from thistletrail.simulation.catalog import SERVING
 from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.endpoint_list import SERVING
 from thistletrail.simulation.scenario import FaultKind, ScenarioFault
 from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
     from thistletrail.simulation.clients import Customer
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 # A planned restart of a real gateway takes this long.
 RESTART_S = 0.4
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/gateways.py
@@ -43,15 +43,15 @@
     TimerFired,
 )
 from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
-from thistletrail.simulation.catalog import SERVING
 from thistletrail.simulation.clients import ClientRequest
 from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.decision_recorder import DecisionRecorder, RequestDecision
+from thistletrail.simulation.endpoint_list import SERVING
 from thistletrail.simulation.servers import ScanServer, Work
-from thistletrail.simulation.watched import DecisionRecorder, RequestDecision
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.kept import WorkItem
+    from thistletrail.simulation.run import SimulationRun
+    from thistletrail.simulation.work_takeover import WorkItem
 
 # A gateway closes a connection that has been idle for this share of the server's idle time-out, as the
 # gateway process does.
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased_budgets.py
@@ -18,8 +18,8 @@
 from thistletrail.simulation.clock import MS
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 # Two ways on a machine's network, and a sync of the write-ahead log.
 RENEWAL_DELAY_US = 4 * MS
--- a/thistletrail/simulation/network.py
+++ b/thistletrail/simulation/network.py
@@ -11,8 +11,8 @@
 from thistletrail.simulation.streams import Stream
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 
 class Network:
--- a/thistletrail/simulation/back.py
+++ b/thistletrail/simulation/restarts.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from thistletrail.process_lifetime import die_with_parent
-from thistletrail.simulation.day import play, without_faults
 from thistletrail.simulation.errors import ModelError
 from thistletrail.simulation.experiment import Interval, bootstrap, compared_figures
+from thistletrail.simulation.run import play, without_faults
 from thistletrail.simulation.scenario import Scenario, StoredState
 
 REFERENCE_STATE: StoredState = "none"  # the other states are compared with it, on the same seeds
--- a/thistletrail/simulation/day.py
+++ b/thistletrail/simulation/run.py
@@ -8,19 +8,19 @@
 import msgspec
 
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
-from thistletrail.simulation.books import WEIGHTS, Accounting
-from thistletrail.simulation.catalog import EndpointList
+from thistletrail.simulation.accounting import WEIGHTS, Accounting
 from thistletrail.simulation.clients import Clients, Demand, PlanFigures
 from thistletrail.simulation.clock import MS, Clock, S
-from thistletrail.simulation.doors import ANSWER_GRACE_US, Gateway
-from thistletrail.simulation.kept import Takeover
-from thistletrail.simulation.leased import BudgetLeases
+from thistletrail.simulation.endpoint_list import EndpointList
+from thistletrail.simulation.faults import FaultInjector
+from thistletrail.simulation.gateways import ANSWER_GRACE_US, Gateway
+from thistletrail.simulation.leased_budgets import BudgetLeases
 from thistletrail.simulation.network import Network
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.servers import ScanServer, Traits
 from thistletrail.simulation.service import Recovery, measure_recovery
 from thistletrail.simulation.streams import Stream
-from thistletrail.simulation.troubles import FaultInjector
+from thistletrail.simulation.work_takeover import Takeover
 
 START_US = 1_000 * S  # not 0: a server's start time of 0 means that it started long ago
 TAIL_S = 1.0  # simulated past the deadline of the last request
--- a/thistletrail/simulation/search.py
+++ b/thistletrail/simulation/search.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from thistletrail.simulation.day import play
 from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.faults import KINDS
+from thistletrail.simulation.run import play
 from thistletrail.simulation.scenario import Clients, Demand, Net, Scenario, ScenarioFault, Servers, dump
 from thistletrail.simulation.streams import Stream
-from thistletrail.simulation.troubles import KINDS
 
 # The scenarios are small, so that many of them can be played.
 MAX_GATEWAYS = 12
--- a/thistletrail/simulation/kept.py
+++ b/thistletrail/simulation/work_takeover.py
@@ -14,8 +14,8 @@
 
 if TYPE_CHECKING:
     from thistletrail.simulation.clients import ClientRequest, Operation
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import OpenRequest
+    from thistletrail.simulation.gateways import OpenRequest
+    from thistletrail.simulation.run import SimulationRun
     from thistletrail.simulation.servers import ScanServer
 
 WORK_LEASE_US = S
