--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulation: its components by the pages, its sums and rules, and that a run is reproducible."""
+"""The simulation: its components, its accounting, the rules that it checks, and reproducible runs."""
 
 import itertools
 from itertools import pairwise
@@ -67,8 +67,8 @@
         ('name = "x"\n[demand]\nload = [0.9, 0.1]', "load goes from 0.9 down to 0.1"),
         ('name = "x"\n[[troubles]]\nkind = "meteor"', "meteor"),
         ('name = "x"\n[[troubles]]\nkind = "zone_cut"\nzone = 7', "zone 7 of 2"),
-        ('name = "x"\nlength_s = 3\n[[troubles]]\nkind = "burst"\nat_s = 4', "after the day's end"),
-        ('name = "x"\nclasses = []', "a class"),
+        ('name = "x"\nlength_s = 3\n[[troubles]]\nkind = "burst"\nat_s = 4', "after the end of the run"),
+        ('name = "x"\nclasses = []', "one class"),
         ("name = ", "Invalid value"),
         ("doors = 3", "name"),
         ("\xff", "x.toml"),
@@ -271,9 +271,9 @@
     accounting = Accounting(("a",), ("p",))
     accounting.requests = 2
     accounting.end_request("refused", "cap")
-    assert accounting.check() == ["tries that ended are not those that were begun"]
+    assert accounting.check() == ["the number of ended requests is not that of sent requests"]
     accounting.results["refused"] += 1
-    assert "refusals by cause do not add up to the tries refused" in accounting.check()
+    assert "rejections by cause do not add up to the rejected requests" in accounting.check()
     accounting.units_beyond = 1
     accounting.offered[0, 0, 0] = 5.0
     assert len(accounting.check()) == 3
@@ -349,8 +349,10 @@
 
     def no_limits(event: Event, actions: list[Action]) -> list[Action]:
         if isinstance(event, RequestArrived):
-            kept = [action for action in actions if isinstance(action, SetTimer | SendPeerMessage)]
-            return [*kept, StartAttempt(event.id, "s-0001", 0)]
+            timers_and_messages = [
+                action for action in actions if isinstance(action, SetTimer | SendPeerMessage)
+            ]
+            return [*timers_and_messages, StartAttempt(event.id, "s-0001", 0)]
         return [action for action in actions if isinstance(action, SetTimer | SendPeerMessage)]
 
     heavy_demand = Demand(load=(1.0, 1.0), full=(0, 0), heavy=(1, 1), heavy_x=(5, 5))
@@ -400,9 +402,10 @@
 def test_servers_of_a_lost_zone_come_back_cold_and_get_requests_again() -> None:
     lost = ScenarioFault(kind="zone_loss", at_s=1, for_s=2, part=0, size=0.9, zone=1)
     run = play(msgspec.structs.replace(SMALL, length_s=12, troubles=(lost,)), 1)
-    back = [server for server in run.servers.values() if server.zone == 1]
-    assert back and all(server.is_alive and server.started_us == run.start_us + 3 * S for server in back)
-    assert all(server.served > 0 for server in back)
+    restarted = [server for server in run.servers.values() if server.zone == 1]
+    restart_us = run.start_us + 3 * S
+    assert restarted and all(server.is_alive and server.started_us == restart_us for server in restarted)
+    assert all(server.served > 0 for server in restarted)
     assert not run.accounting.violation_counts
 
 
--- a/tests/test_simulation_leased_budgets.py
+++ b/tests/test_simulation_leased_budgets.py
@@ -89,7 +89,7 @@
         check=False,
     )
     assert completed.returncode == 0 and "refused, ceiling half unused" in completed.stdout
-    assert "asks of the steward" in completed.stdout
+    assert "renewals at the lease service per operation" in completed.stdout
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_simulation_recovery.py
+++ b/tests/test_simulation_recovery.py
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_gateways_with_a_snapshot_do_not_grant_the_burst_again(seed: int) -> None:
-    """All gateways die at once, with customers beyond their quotas: only snapshots tell what was used."""
+    """All gateways die at once, with customers beyond their quotas: only snapshots record what was used."""
     heavy_demand = {"demand": Demand(load=(0.5, 0.5), heavy=(0.9, 0.9), heavy_x=(2, 3))}
     faults = {
         state: ScenarioFault(kind="kill_doors", at_s=4, part=1, back_s=(0.5, 1), state=state)
--- a/tests/test_simulation_restarts.py
+++ b/tests/test_simulation_restarts.py
@@ -35,14 +35,14 @@
 
 
 def test_a_scenario_that_kills_no_gateways_is_rejected() -> None:
-    with pytest.raises(SimulationError, match="does not kill doors"):
+    with pytest.raises(SimulationError, match="does not kill gateways"):
         scenario_for(msgspec.structs.replace(FLEET, troubles=()), Case(0.5, "none", 1))
 
 
 @pytest.mark.parametrize(
     "arguments, exit_code, message",
     [
-        (["--parts", "1", "--seeds", "2", "--jobs", "2"], 0, "after the last door"),
+        (["--parts", "1", "--seeds", "2", "--jobs", "2"], 0, "after the last gateway, s"),
         (["--parts", "0"], 2, "not a list of shares"),
         (["--parts", "1,1"], 2, "not a list of shares"),
         (["--states", "old"], 2, "not a list of states"),
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -44,7 +44,6 @@
     "tests/test_benchmarks_work.py": 3,
     "tests/test_fault_injection_checks.py": 1,
     "tests/test_fault_injection_leases.py": 23,
-    "tests/test_simulation_leased_budgets.py": 1,
     "thistletrail/benchmarks/__main__.py": 2,
     "thistletrail/benchmarks/holders.py": 1,
     "thistletrail/benchmarks/leases.py": 5,
@@ -58,7 +57,6 @@
     "thistletrail/fault_injection/plans/quotas.toml": 3,
     "thistletrail/fault_injection/plans/stewards.toml": 11,
     "thistletrail/fault_injection/soak.py": 8,
-    "thistletrail/simulation/__main__.py": 1,
 }
 
 
--- a/thistletrail/simulation/__main__.py
+++ b/thistletrail/simulation/__main__.py
@@ -113,7 +113,7 @@
     for name in bundled_scenario_names():
         scenario = load(name)
         click.echo(
-            f"{name:10} {scenario.doors} doors, {scenario.servers.count} servers, {scenario.length_s:g} s"
+            f"{name:10} {scenario.doors} gateways, {scenario.servers.count} servers, {scenario.length_s:g} s"
         )
 
 
@@ -162,6 +162,7 @@
 
 
 def print_comparison(totals: list[dict[str, object]], old: str, new: str) -> None:
+    """Print the mean of each figure on both sides, and the median of the paired differences."""
     click.echo(f"{'figure':28} {old:>10.10} {new:>10.10}  median of the paired differences [95%]")
     for name, old_mean, new_mean, interval in comparison_rows(totals, old, new):
         click.echo(f"{name:28} {old_mean:10.4f} {new_mean:10.4f}  {interval}")
@@ -225,7 +226,7 @@
     sides, seed_range = ("lost", "kept"), range(first, first + seeds)
     totals_by_scenario = run_with_field_off_and_on("takeover", sides, scenarios, seed_range, jobs, out)
     for name, totals in zip(scenarios, totals_by_scenario, strict=True):
-        click.echo(f"{name}: work in hand lost against kept")
+        click.echo(f"{name}: requests in flight when a gateway died, lost against kept")
         print_comparison(totals, *sides)
         takeover_counts = Counter()
         for total in totals:
@@ -244,19 +245,21 @@
     field = "leased_quotas" if quotas else "leased"
     totals_by_scenario = run_with_field_off_and_on(field, sides, scenarios, seed_range, jobs, out)
     for name, totals in zip(scenarios, totals_by_scenario, strict=True):
-        click.echo(f"{name}: {'ceilings and quotas' if quotas else 'ceilings'} by fixed parts against leases")
+        click.echo(
+            f"{name}: {'ceilings and quotas' if quotas else 'ceilings'} by fixed shares against leases"
+        )
         print_comparison(totals, *sides)
         renewals_per_operation = sum(total["leases"] for total in totals) / sum(
             total["asks"] for total in totals[1::2]
         )
-        click.echo(f"asks of the steward, for each of a client's: {renewals_per_operation:.3f}")
+        click.echo(f"renewals at the lease service per operation: {renewals_per_operation:.3f}")
 
 
 def parse_list(text: str, parse: Callable[[str], object], what: str) -> list:
     """Return the parsed items of a comma-separated list.
 
     Raises:
-        SimulationError: the list is empty, an item is not one of `what`, or an item is there twice.
+        SimulationError: the list is empty, an item is not one of `what`, or an item is repeated.
     """
     try:
         values = [parse(item.strip()) for item in text.split(",") if item.strip()]
@@ -307,11 +310,11 @@
         snapshot_states,
         range(first, first + seeds),
         jobs,
-        lambda seed: click.echo(f"seed {seed} is played", err=True),
+        lambda seed: click.echo(f"seed {seed}: all runs have ended", err=True),
     )
-    click.echo(f"{'share':6}{'state':6}{'figure':20}{'mean':>10}  difference to none, by pairs [95%]")
+    click.echo(f"{'share':6}{'state':6}{'figure':26}{'mean':>10}  difference to none, by pairs [95%]")
     for share, state, name, mean, difference in table_rows(figures):
-        click.echo(f"{share:<6g}{state:6}{name:20}{mean:10.4f}  {difference or ''}")
+        click.echo(f"{share:<6g}{state:6}{name:26}{mean:10.4f}  {difference or ''}")
     if any(case_figures["broken rules"] for case_figures in figures.values()):
         sys.exit(EXIT_RULE_BROKEN)
 
@@ -385,7 +388,7 @@
     from thistletrail.simulation.search import search
 
     result = search(seed, out, seconds, count, lambda text: click.echo(text, err=True))
-    click.echo(f"{result.played} scenarios played, {len(result.saved)} kept")
+    click.echo(f"{result.played} scenarios run, {len(result.saved)} saved")
     for path in result.saved:
         click.echo(str(path))
     if result.saved:
--- a/thistletrail/simulation/accounting.py
+++ b/thistletrail/simulation/accounting.py
@@ -1,7 +1,8 @@
 """The accounting of a run: each rejection, each unit beyond quota and each loss has exactly one cause.
 
 Amounts add up: the causes of rejections to the rejected requests, those of units beyond quota to the units,
-and those of losses to the worth offered less the worth earned. `check` says where they do not.
+and those of losses to the worth offered less the worth earned. `check` returns a line for each sum that is
+wrong.
 """
 
 from __future__ import annotations
@@ -10,10 +11,10 @@
 
 from thistletrail.simulation.service import Point
 
-# Log lines and violations that are kept; all violations are counted.
+# Limits on the log lines and violations that are stored; all violations are counted.
 MAX_LOG_LINES, MAX_VIOLATIONS = 200, 100
-# The brief's window of the worst service, and its weights of the whole run, of the worst window and of the
-# worst-served plan.
+# From the operators' brief: the window of the worst service in seconds, and the weights of the whole run, of
+# the worst window and of the worst-served plan.
 WINDOW_S = 10
 WEIGHTS = (0.55, 0.2, 0.25)
 
@@ -50,14 +51,16 @@
         self.log_lines: list[tuple[int, int, str]] = []  # second, gateway and text
         self.second = 0
 
-    # --- entries ---
+    # --- recording ---
 
     def record_violation(self, rule: str, where: str) -> None:
+        """Count a violation of a rule. Store the first MAX_VIOLATIONS with their second and place."""
         self.violation_counts[rule] += 1
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append((self.second, rule, where))
 
     def add_log_line(self, gateway: int, text: str) -> None:
+        """Store a gateway's log line with its second, up to MAX_LOG_LINES."""
         if len(self.log_lines) < MAX_LOG_LINES:
             self.log_lines.append((self.second, gateway, text))
 
@@ -67,10 +70,12 @@
         self.peer_bytes += size
 
     def count_handshake(self) -> None:
+        """Count a handshake with a server that has ended, whether or not it succeeded."""
         self.handshakes += 1
         self.handshakes_by_second[self.second] += 1
 
     def end_request(self, result: str, cause: str) -> None:
+        """Count a request by its result, and a rejected one also by second and cause."""
         self.results[result] += 1
         if result == "refused":
             self.refused[self.second, cause] += 1
@@ -105,7 +110,7 @@
         )
 
     def share(self, **only: int) -> float:
-        """Return the share of the worth offered that was earned, of all or as `only` says."""
+        """Return the share of the worth offered that was earned, of all operations or as `only` selects."""
         offered = self.total(self.offered, **only)
         return min(1.0, self.total(self.earned, **only) / offered) if offered else 1.0
 
@@ -137,12 +142,12 @@
         """Return a line for each sum that does not add up."""
         wrong = []
         if sum(self.refused.values()) != self.results["refused"]:
-            wrong.append("refusals by cause do not add up to the tries refused")
+            wrong.append("rejections by cause do not add up to the rejected requests")
         if sum(self.over_quota.values()) != self.units_beyond:
             wrong.append("units beyond quota by cause do not add up")
         gap = sum(self.offered.values()) - sum(self.earned.values())
         if abs(sum(self.lost.values()) - gap) > 1e-6 * max(1.0, abs(gap)):
             wrong.append("losses by cause do not add up to what was offered less what was earned")
         if sum(self.results.values()) != self.requests:
-            wrong.append("tries that ended are not those that were begun")
+            wrong.append("the number of ended requests is not that of sent requests")
         return wrong
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -19,7 +19,7 @@
     from thistletrail.simulation.run import SimulationRun
     from thistletrail.simulation.work_takeover import WorkItem
 
-# For this long after a gateway's start, units that it forwards beyond the quota are put down to the restart.
+# Units that a gateway forwards beyond the quota within this time of its start are attributed to the restart.
 RECENT_START_US = 5 * S
 # Causes of a rejection that follow from an earlier request of the operation that was not served.
 LATE_CAUSES = ("late on arrival", "late retry")
@@ -88,7 +88,7 @@
         self.requests = 0  # number sent so far
         self.is_in_ideal_quota = False  # as one gateway that saw all requests would decide
         self.zones: frozenset[int] = frozenset()  # the zones in which it has run
-        self.cause = "a slow answer"  # why the last request that was not served was not
+        self.cause = "a slow answer"  # why the latest request that was not served failed
         self.objective_end_us = self.end_us = now_us
 
 
@@ -133,6 +133,7 @@
     # --- requests ---
 
     def start_operation(self, customer: Customer, class_index: int, work_us: float) -> None:
+        """Send the first request of a new operation; its work is in microseconds of one core."""
         run, now_us = self.run, self.run.clock.now
         worth = run.scenario.classes[class_index].worth * run.plans[customer.plan].price
         operation = Operation(customer, class_index, work_us, worth, now_us)
@@ -163,6 +164,7 @@
         return gateways[self.stream.choice(running)]
 
     def send_request(self, operation: Operation, previous: Gateway | None) -> None:
+        """Send an operation's next request; `previous` is the gateway of the request before it."""
         run, now_us = self.run, self.run.clock.now
         operation.requests += 1
         gateway = self.choose_gateway(operation.customer, previous)
@@ -251,10 +253,11 @@
         return f"{room}, {'ceiling, ' if decision.reason == 'ceiling' else ''}{decision.basis}"
 
     def time_out_request(self, request: ClientRequest) -> None:
+        """End a request at the end of the time that its client waits, unless it has ended before."""
         if request.is_over:
             return
-        was_owed = request.gateway.on_client_disconnect(request)
-        self.receive(request, "gone", "no answer in time" if was_owed else "answer too late", 0)
+        was_unanswered = request.gateway.on_client_disconnect(request)
+        self.receive(request, "gone", "no answer in time" if was_unanswered else "answer too late", 0)
 
     def receive(self, request: ClientRequest, result: str, cause: str, retry_after_us: int) -> None:
         """End a request at its client, and retry if the client may."""
@@ -324,7 +327,8 @@
     def __init__(self, spec: object, stretch: float, stream: Stream) -> None:
         self.rate = stream.uniform_in(spec.rate) / stretch
         self.price, self.over_worth, self.over_cost = spec.price, spec.over_worth, spec.over_cost
-        # The bench page asks for a burst of at least 2 of the largest requests, 4 where there is a ceiling.
+        # The operators' page on the benchmark asks for a burst of at least 2 of the largest requests, 4 where
+        # there is a ceiling.
         min_burst = 4 if spec.ceiling else 2
         self.burst = float(max(min_burst, round(self.rate * stretch * stream.uniform_in(spec.burst_s))))
         multiple = stream.uniform_in(spec.ceiling) if spec.ceiling else 0.0
@@ -362,7 +366,7 @@
         self.in_quota_rate = 0.0  # requests a second of all customers inside their quotas
 
     def begin(self, capacity: float) -> None:
-        """Draw the customers for servers with a capacity of so many cores at the usual speed."""
+        """Draw the customers for servers with this capacity, in cores at the usual speed."""
         spec, stream, scenario = self.spec, self.stream, self.run.scenario
         self.in_quota_rate = stream.uniform_in(spec.load) * capacity * S / self.mean_work_us
         total_share = sum(plan.share for plan in scenario.plans)
@@ -415,7 +419,7 @@
         return customer
 
     def shift(self, customer: Customer, first: bool = True) -> None:
-        """Change, now and then, the gateways that a customer's requests prefer."""
+        """Draw new weights of a customer's gateways at intervals; the first call only schedules it."""
         if not first:
             customer.draw_weights(self.stream, self.skew)
         self.run.clock.after(self.stream.uniform_in(self.spec.shift_s) * S, self.shift, customer, False)
@@ -433,7 +437,7 @@
         self.restart_arrivals(customer)
 
     def restart_arrivals(self, customer: Customer) -> None:
-        """Restart a customer's arrivals at its present rate. A Poisson process has no memory to lose."""
+        """Restart a customer's arrivals at its present rate, as a Poisson process is memoryless."""
         customer.arrival_epoch += 1
         self.schedule_arrival(customer, customer.arrival_epoch)
 
@@ -442,6 +446,7 @@
         return self.load_factor * (1 + self.swing)
 
     def schedule_arrival(self, customer: Customer, epoch: int) -> None:
+        """Schedule the next arrival at the highest rate of the swing; `arrive` then drops some of them."""
         rate = customer.rate * self.max_factor()
         if rate > 0:
             self.run.clock.after(self.stream.exponential(S / rate), self.arrive, customer, epoch)
--- a/thistletrail/simulation/decision_recorder.py
+++ b/thistletrail/simulation/decision_recorder.py
@@ -54,7 +54,7 @@
 
     def __init__(self) -> None:
         self.by_request: dict[str, RequestDecision] = {}
-        self.wait_text = ""  # what the request whose expiry was checked last waits for
+        self.wait_text = ""  # what the request of the latest expiry check waits for
 
     def decision_on(self, request: PendingRequest) -> RequestDecision:
         """Return the decision on a request; create one if there is none."""
--- a/thistletrail/simulation/endpoint_list.py
+++ b/thistletrail/simulation/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the registry has it: seconds late, and of running processes only."""
+"""The registry's endpoint list: it learns of changes seconds later, and lists only running processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     def __init__(self, run: SimulationRun) -> None:
         self.run, self.version = run, 1
         self.entries: dict[str, Server] = {}
-        self.extra_delay_us = 0  # added to each gateway's usual lag
+        self.extra_delay_us = 0  # added to each gateway's own delay
         self.initial_entries: tuple[Server, ...] = ()
 
     def entry(self, server: ScanServer, state: ServerState) -> Server:
@@ -33,7 +33,7 @@
         )
 
     def begin(self) -> None:
-        """List the servers of the start, which all gateways know."""
+        """Fill the list with the servers that run at the start, which all gateways know."""
         for server in self.run.servers.values():
             self.entries[server.name] = self.entry(server, SERVING)
         self.initial_entries = tuple(self.entries.values())
@@ -44,10 +44,11 @@
         return EndpointUpdate(EndpointUpdateKind.CACHED, self.version, entries)
 
     def full_list(self) -> EndpointUpdate:
+        """Return the complete list that the registry has now."""
         return EndpointUpdate(EndpointUpdateKind.FULL, self.version, tuple(self.entries.values()))
 
     def report(self, server: ScanServer, state: ServerState, delay_s: tuple[float, float]) -> None:
-        """Report a server's new state to the registry, which notices it after a time drawn from `lag_s`."""
+        """Report a server's new state to the registry, which detects it after a time drawn from `delay_s`."""
         delay_us = self.run.streams["lists"].uniform_in(delay_s) * S
         self.run.clock.after(delay_us, self.publish, self.entry(server, state))
 
--- a/thistletrail/simulation/experiment.py
+++ b/thistletrail/simulation/experiment.py
@@ -90,7 +90,7 @@
                 )
             yield SourceTree(folder, "model")
         else:
-            raise SimulationError(f"there is no revision '{revision}' with a decision module")
+            raise SimulationError(f"there is no revision '{revision}' with a policy")
 
 
 @dataclass(frozen=True)
@@ -146,7 +146,7 @@
         """
         with self.lock:
             if self.stopped.is_set():
-                raise SimulationError("stopped")
+                raise SimulationError("the run was stopped before its end")
             # In a session of its own: Ctrl-C reaches only the parent, which then ends its runs in order.
             process = subprocess.Popen(
                 command,
@@ -163,9 +163,11 @@
             with self.lock:
                 self.running.discard(process)
         if self.stopped.is_set():
-            raise SimulationError("stopped")
+            raise SimulationError("the run was stopped before its end")
         if process.returncode not in (0, EXIT_RULE_BROKEN):
-            error_lines = errors.decode(errors="replace").strip().splitlines() or ["it said nothing"]
+            error_lines = errors.decode(errors="replace").strip().splitlines() or [
+                "nothing on standard error"
+            ]
             raise SimulationError(f"{name}: exit code {process.returncode}: {error_lines[-1]}")
         return output
 
@@ -247,10 +249,10 @@
         "whole": total["whole"],
         "worst_10s": total["worst_10s"],
         "over_quota": total["prices"]["over_quota"],
-        "tries an ask": total["tries"] / operations,
-        "attempts an ask": total["attempts"] / operations,
-        "handshakes an ask": total["handshakes"] / operations,
-        "messages an ask": sent / operations,
+        "requests per operation": total["tries"] / operations,
+        "attempts per operation": total["attempts"] / operations,
+        "handshakes per operation": total["handshakes"] / operations,
+        "messages per operation": sent / operations,
         "messages lost": 1 - messages.get("arrived", 0) / sent if sent else 0.0,
         "refused, ceiling half unused": sum(
             count for cause, count in total["refused"].items() if cause.startswith("half unused, ceiling")
@@ -266,22 +268,22 @@
 def recovery_figures(recovery: dict[str, object] | None) -> dict[str, float]:
     """Return the figures of the recovery; none if the run had no baseline.
 
-    A run that never reached full service counts as if it had taken all of the time that was left.
+    A run that never reached full service counts as if it had taken all of the remaining time.
     """
     if recovery is None:
         return {}
-    left_s = recovery["left_s"]
-    full_s = recovery["full_s"] if recovery["full_s"] is not None else left_s
+    remaining_s = recovery["left_s"]
+    full_s = recovery["full_s"] if recovery["full_s"] is not None else remaining_s
     after_last_gateway_s = (
-        recovery["full_after_back_s"] if recovery["full_after_back_s"] is not None else left_s
+        recovery["full_after_back_s"] if recovery["full_after_back_s"] is not None else remaining_s
     )
     return {
         "full service, s": full_s,
-        **({"after the last door": after_last_gateway_s} if recovery["came_back"] else {}),
+        **({"after the last gateway, s": after_last_gateway_s} if recovery["came_back"] else {}),
         "worst second": recovery["worst_second"],
         "worth lost": recovery["lost"],
-        "opened to calm": recovery["opened"] / max(1, recovery["opened_calm"]),
-        "pushed over": float(recovery["fallen"]),
+        "handshakes to baseline": recovery["opened"] / max(1, recovery["opened_calm"]),
+        "collapsed servers": float(recovery["fallen"]),
         "beyond quota": float(recovery["beyond"]),
     }
 
@@ -330,4 +332,4 @@
             setattr(module, name, kind(number) if number == kind(number) else number)
             is_known = True
     if not is_known:
-        raise SimulationError(f"the decision module has no constant '{name}' that is a number")
+        raise SimulationError(f"the policy has no constant '{name}' that is a number")
--- a/thistletrail/simulation/faults.py
+++ b/thistletrail/simulation/faults.py
@@ -29,10 +29,10 @@
 SERVER_DRAIN_S = (2.0, 5.4)
 # In a rolling restart a tenth of the gateways restarts at a time.
 RESTART_STEPS = 10
-# The plan of customers that are seen once.
+# The plan of customers that make one request each.
 ONE_SHOT_PLAN = 0
 # The registry learns of a drain at once: only the list takes time.
-DRAIN_NOTICE_S = (0.05, 0.5)
+DRAIN_REPORT_DELAY_S = (0.05, 0.5)
 
 
 class FaultInjector:
@@ -48,6 +48,7 @@
             self.run.clock.at(self.run.start_us + round(fault.at_s * S), KINDS[fault.kind], self, fault)
 
     def after_s(self, delay_s: float, call: Callable[..., None], *args: object) -> None:
+        """Schedule a call after a delay in seconds."""
         self.run.clock.after(delay_s * S, call, *args)
 
     def sample(self, values: list, share: float) -> list:
@@ -62,6 +63,7 @@
     # --- demand ---
 
     def burst(self, fault: ScenarioFault) -> None:
+        """Raise the load of all customers by a share `size` of the usual load."""
         self.run.demand.set_load_factor(1 + fault.size)
         self.after_s(fault.for_s, self.run.demand.set_load_factor, 1.0)
 
@@ -75,6 +77,7 @@
         self.after_s(fault.for_s, self.end_hot_customers, affected)
 
     def end_hot_customers(self, affected: list[Customer]) -> None:
+        """Return customers to their usual rates."""
         for customer in affected:
             customer.rate = customer.usual_rate
             self.run.demand.restart_arrivals(customer)
@@ -84,6 +87,7 @@
         self.next_one_shot(fault, self.run.clock.now + round(fault.for_s * S))
 
     def next_one_shot(self, fault: ScenarioFault, until_us: int, must_request: bool = False) -> None:
+        """Let one customer make its request if `must_request`, and schedule the next one."""
         demand = self.run.demand
         if self.run.clock.now >= min(until_us, self.run.end_us):
             return
@@ -104,6 +108,7 @@
             self.kill_gateway(gateway, fault)
 
     def kill_gateway(self, gateway: Gateway, fault: ScenarioFault) -> None:
+        """Kill a gateway, make its snapshot what `state` says, and schedule its restart."""
         back_s = self.stream.uniform_in(fault.back_s)
         gateway.stop()
         if gateway.stored_snapshot and fault.state != "kept":
@@ -111,9 +116,9 @@
             gateway.stored_snapshot = (
                 (stored_us - STALE_SNAPSHOT_AGE_S * S, snapshot) if fault.state == "stale" else None
             )
-        notice_s = self.stream.uniform_in(self.run.scenario.clients.notice_s)
-        if notice_s < back_s:
-            self.after_s(notice_s, self.run.clients.down.add, gateway.number)
+        detection_s = self.stream.uniform_in(self.run.scenario.clients.notice_s)
+        if detection_s < back_s:
+            self.after_s(detection_s, self.run.clients.down.add, gateway.number)
         self.after_s(back_s, self.start_gateway, gateway)
 
     def start_gateway(self, gateway: Gateway) -> None:
@@ -134,13 +139,13 @@
     def terminate(self, gateways: list[Gateway]) -> None:
         """Start a graceful shutdown of gateways."""
         longest_s = max(self.run.clients.deadlines_us) / S
-        left_s = max(MIN_DRAIN_S, longest_s) + DRAIN_EXTRA_S
+        drain_s = max(MIN_DRAIN_S, longest_s) + DRAIN_EXTRA_S
         for gateway in gateways:
             if gateway.is_alive:
-                gateway.drain(round(left_s * S))
+                gateway.drain(round(drain_s * S))
                 settle_s = self.stream.uniform_in(LOAD_BALANCER_SETTLE_S)
                 self.after_s(settle_s, self.run.clients.down.add, gateway.number)
-                self.check_drained(gateway, gateway.epoch, self.run.clock.now + round(left_s * S))
+                self.check_drained(gateway, gateway.epoch, self.run.clock.now + round(drain_s * S))
 
     def check_drained(self, gateway: Gateway, epoch: int, latest_us: int) -> None:
         """End a draining process once all requests are answered, or when its time is up."""
@@ -164,6 +169,7 @@
             self.after_s(fault.for_s * number / max(1, len(old)), self.replace_server, server)
 
     def replace_server(self, server: ScanServer) -> None:
+        """Add a cold server under a new id in place of one that drains."""
         self.replacement_count += 1
         name = f"{server.name}r{self.replacement_count}"
         new_server = self.run.add_server(name, (server.zone, server.cell), cold=True)
@@ -171,13 +177,15 @@
         self.drain_server(server)
 
     def drain_server(self, server: ScanServer) -> None:
+        """Start to drain a server, and remove it after its drain time."""
         if not server.is_alive or server.is_draining:
             return
         server.is_draining = True
-        self.run.endpoint_list.report(server, ServerState.DRAINING, DRAIN_NOTICE_S)
+        self.run.endpoint_list.report(server, ServerState.DRAINING, DRAIN_REPORT_DELAY_S)
         self.after_s(self.stream.uniform_in(SERVER_DRAIN_S), self.remove_server, server)
 
     def remove_server(self, server: ScanServer) -> None:
+        """Stop a server and report its removal to the registry."""
         if server.is_alive:
             server.stop()
         self.run.endpoint_list.report(server, ServerState.GONE, self.run.scenario.net.list_gone_s)
@@ -189,7 +197,7 @@
             self.after_s(fault.for_s * number / max(1, len(old)), self.drain_server, server)
 
     def zone_loss(self, fault: ScenarioFault) -> None:
-        """Stop a zone's servers, which come back cold, and kill `part` of its gateways.
+        """Stop a zone's servers, which restart cold, and kill `part` of its gateways.
 
         With a `size` above 0.5 the machines vanish in silence, else the processes die. Where there is one
         zone, 30% of the servers are stopped.
@@ -211,6 +219,7 @@
             self.kill_gateway(gateway, fault)
 
     def start_servers(self, affected: list[ScanServer]) -> None:
+        """Start those of the servers that are stopped; they are cold."""
         for server in affected:
             if not server.is_alive:
                 self.run.unresponsive_servers.discard(server.name)
@@ -241,6 +250,7 @@
         self.bad(fault, fails_fast=True)
 
     def end_errors(self, affected: list[ScanServer]) -> None:
+        """End the errors of servers."""
         for server in affected:
             server.error_share, server.fails_fast = 0.0, False
 
@@ -251,6 +261,7 @@
         self.after_s(fault.for_s, self.set_slowdown, affected, 1.0)
 
     def set_slowdown(self, affected: list[ScanServer], factor: float) -> None:
+        """Divide the speed of servers by a factor from now on."""
         for server in affected:
             server.advance()
             server.slowdown = factor
@@ -265,6 +276,7 @@
         self.after_s(fault.for_s, self.set_message_loss, 0.0)
 
     def set_message_loss(self, share: float) -> None:
+        """Set the share of peer messages that are lost in addition to the usual loss."""
         self.run.network.message_loss = share
 
     def drop_answers(self, fault: ScenarioFault) -> None:
@@ -273,6 +285,7 @@
         self.after_s(fault.for_s, self.set_answer_loss, 0.0)
 
     def set_answer_loss(self, share: float) -> None:
+        """Set the share of the servers' answers that are lost."""
         self.run.network.answer_loss = share
 
     def lists_late(self, fault: ScenarioFault) -> None:
@@ -281,7 +294,7 @@
         self.after_s(fault.for_s, self.reduce_list_delay)
 
     def reduce_list_delay(self) -> None:
-        """Reduce the extra lag in small steps, so that no change overtakes one that was sent before."""
+        """Reduce the extra delay in small steps, so that no change overtakes one that was sent before."""
         endpoint_list = self.run.endpoint_list
         step_us = 20 * MS
         endpoint_list.extra_delay_us = max(0, endpoint_list.extra_delay_us - step_us)
--- a/thistletrail/simulation/fidelity.py
+++ b/thistletrail/simulation/fidelity.py
@@ -23,7 +23,7 @@
 
 
 class BenchmarkResult(msgspec.Struct, frozen=True):
-    """The result of one run of a benchmark, or of the simulation in its place."""
+    """The result of one run of a benchmark, or of a run of the simulation."""
 
     bench: str
     kind: str
@@ -151,7 +151,8 @@
     """
     revs = sorted({rev for row in rows for rev in row.benchmark_changes})
     lines = [
-        f"| bench | day | days | rank correlation | {' | '.join(f'{rev} to {base}' for rev in revs)} |",
+        "| benchmark | scenario | seeds | rank correlation "
+        f"| {' | '.join(f'{rev} to {base}' for rev in revs)} |",
         "| " + "--- | " * (4 + len(revs)),
     ]
     for row in rows:
@@ -178,6 +179,6 @@
         "",
         f"All {len(pairs)} changes together: rank correlation "
         f"{spearman(*zip(*pairs, strict=True)):.2f}; the {len(revs)} revisions by their mean over all "
-        f"kinds of day: {spearman(*means):.2f}.",
+        f"scenarios: {spearman(*means):.2f}.",
     ]
     return "\n".join(lines)
--- a/thistletrail/simulation/gateways.py
+++ b/thistletrail/simulation/gateways.py
@@ -57,9 +57,9 @@
 # gateway process does.
 IDLE_TIMEOUT_SHARE = 0.5
 IDLE_SWEEP_INTERVAL_US = S
-# The first answer of the registry. The cached endpoint list is there at once.
+# Delay of the registry's first answer. The cached endpoint list is available at once.
 FIRST_LIST_DELAY_US = 20 * MS
-# The burst that a gateway takes in, in seconds of its rate. The pages state only the rate.
+# The burst of peer messages that a gateway accepts, in seconds of its rate. The pages state only the rate.
 PEER_INTAKE_BURST_S = 0.5
 # The site's settings: a final answer still counts this long after the request's deadline.
 ANSWER_GRACE_US = 8 * MS
@@ -138,7 +138,7 @@
         self.started_us = 0
         # Fill level of the intake of peer messages, and the time at which it was computed.
         self.intake_level, self.intake_updated_us = 0.0, 0
-        # Time and content of the last stored snapshot. It outlives the process.
+        # Time and content of the last stored snapshot, which survives the process.
         self.stored_snapshot: tuple[int, PolicySnapshot] | None = None
         self.list_delay_us = run.streams["lists"].uniform_in(run.scenario.net.list_spread_ms) * MS
         self.reset()
@@ -148,15 +148,16 @@
         self.open_requests: dict[str, OpenRequest] = {}
         self.timer_serials: dict[int, int] = {}  # by token: the serial number of the newest timer
         self.idle_connections: dict[str, list[int]] = {}  # by server: the time at which each became idle
-        self.leaving_since_us: dict[str, int] = {}  # when the gateway learned that a server drains or is gone
+        self.leaving_since_us: dict[str, int] = {}  # when the gateway learned that a server left
         self.listed_servers: set[str] = set()  # all names that any endpoint list has had
         self.start_known_us: dict[str, int] = {}  # when the gateway learned that a server is up
 
     @property
     def is_alive(self) -> bool:
+        """Return whether the process is running."""
         return self.engine is not None
 
-    # --- life cycle ---
+    # --- start and stop ---
 
     def start(self) -> None:
         """Start a new process that has the cached endpoint list and, if there is one, a recent snapshot."""
@@ -185,6 +186,7 @@
             self.handle(SnapshotFound(snapshot, age_us))
 
     def schedule_snapshot(self) -> None:
+        """Schedule the next snapshot after the usual interval with jitter."""
         interval_s = WRITE_INTERVAL_S * self.run.streams["stored"].uniform_between(
             1 - WRITE_JITTER, 1 + WRITE_JITTER
         )
@@ -197,6 +199,7 @@
             self.schedule_snapshot()
 
     def receive_first_list(self, epoch: int) -> None:
+        """Handle the registry's first complete list."""
         if epoch == self.epoch:
             self.on_endpoint_update(self.run.endpoint_list.full_list())
 
@@ -219,15 +222,15 @@
             if not state.is_answered:
                 self.run.clients.gateway_died(state.request)
 
-    def drain(self, left_us: int) -> None:
-        """Start a graceful shutdown (SIGTERM) in which no request takes longer than `left_us`."""
+    def drain(self, remaining_us: int) -> None:
+        """Start a graceful shutdown (SIGTERM) in which no request takes longer than `remaining_us`."""
         if self.engine is not None:
             for state in self.open_requests.values():
-                state.end_us = min(state.end_us, self.run.clock.now + left_us)
-            self.handle(ShutdownStarted(left_us))
+                state.end_us = min(state.end_us, self.run.clock.now + remaining_us)
+            self.handle(ShutdownStarted(remaining_us))
 
     def sweep_idle_connections(self, epoch: int) -> None:
-        """Close connections that have been idle for too long, and drop the pools of servers that are gone."""
+        """Close connections that were idle for too long, and drop the pools of servers that have stopped."""
         if epoch != self.epoch:
             return
         clock, servers = self.run.clock, self.run.servers
@@ -300,8 +303,8 @@
         if self.run.takeover.handle_retry(request):
             return
         now_us = self.run.clock.now
-        left_us = max(0, request.end_us - now_us - int(self.run.scenario.net.way_ms * MS))
-        self.open_requests[request.id] = OpenRequest(request, now_us + left_us)
+        remaining_us = max(0, request.end_us - now_us - int(self.run.scenario.net.way_ms * MS))
+        self.open_requests[request.id] = OpenRequest(request, now_us + remaining_us)
         operation = request.operation
         customer = operation.customer
         self.handle(
@@ -310,7 +313,7 @@
                 operation.class_index,
                 customer.plan,
                 customer.name,
-                left_us,
+                remaining_us,
                 1.0,
                 customer.size,
                 customer.first,
@@ -366,7 +369,7 @@
         )
 
     def on_client_disconnect(self, request: ClientRequest) -> bool:
-        """Handle a client that disconnects. Return whether it was still owed an answer."""
+        """Handle a client that disconnects. Return whether its request was still unanswered."""
         state = self.open_requests.get(request.id)
         if state is None or state.is_answered or self.engine is None:
             return False
@@ -384,14 +387,17 @@
     # --- actions ---
 
     def set_timer(self, action: SetTimer) -> None:
+        """Set the timer of a token; an earlier timer of that token no longer fires."""
         serial = self.timer_serials[action.token] = self.timer_serials.get(action.token, 0) + 1
         self.run.clock.after(action.delay_us, self.fire_timer, self.epoch, action.token, serial)
 
     def fire_timer(self, epoch: int, token: int, serial: int) -> None:
+        """Report a timer to the engine, unless it was replaced or the gateway has restarted."""
         if epoch == self.epoch and self.timer_serials.get(token) == serial:
             self.handle(TimerFired(token))
 
     def send_peer_message(self, action: SendPeerMessage) -> None:
+        """Send quota messages and the health digest to a peer, as datagrams."""
         for data in pack_datagrams(action.quota_messages, action.digest):
             self.run.network.send_datagram(self.number, action.peer, data)
 
@@ -400,9 +406,11 @@
         return self.recorder.by_request.get(request_id) if self.engine else None
 
     def reject_request(self, action: RejectRequest) -> None:
+        """Reject a request, with the time in microseconds after which to retry."""
         self.answer(action.id, "refused", action.retry_after_us)
 
     def fail_request(self, action: FailRequest) -> None:
+        """Answer a request with a failure."""
         self.answer(action.id, "failed", 0)
 
     def answer(self, request_id: str, result: str, retry_after_us: int) -> None:
@@ -442,8 +450,8 @@
             state.in_flight[number] = attempt
             run.clock.after(0, self.end_attempt, self.epoch, state, attempt, AttemptResult.NOT_SENT)
             return
-        left_us = state.end_us - now_us
-        timeout_us = min(left_us, action.timeout_us) if action.timeout_us > 0 else left_us
+        remaining_us = state.end_us - now_us
+        timeout_us = min(remaining_us, action.timeout_us) if action.timeout_us > 0 else remaining_us
         attempt = state.in_flight[number] = Attempt(number, action.server, server, now_us)
         if state.first_server is None or state.attempts_started - 1 == state.attempts_not_run:
             state.first_server, state.first_sent_us = server, now_us
@@ -546,12 +554,14 @@
         self.end_attempt(epoch, state, attempt, RESULTS[result])
 
     def time_out_attempt(self, epoch: int, state: OpenRequest, attempt: Attempt) -> None:
+        """End an attempt whose time is up; it counts as not connected unless the request was fully sent."""
         if attempt.is_over or epoch != self.epoch:
             return
         result = AttemptResult.TIMEOUT if attempt.is_fully_sent else AttemptResult.CONNECT_FAILED
         self.end_attempt(epoch, state, attempt, result)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
+        """Cancel an attempt if it has not ended."""
         state = self.open_requests.get(action.id)
         attempt = state.in_flight.get(action.attempt) if state else None
         if attempt and not attempt.is_over:
@@ -606,9 +616,11 @@
         """Ignore an action: the simulation watches the endpoint list anyway and has no probes or counters."""
 
     def write_log(self, action: WriteLog) -> None:
+        """Record a log line of the engine."""
         self.run.accounting.add_log_line(self.number, action.text)
 
     def close_idle_connections(self, action: CloseIdleConnections) -> None:
+        """Close all idle connections to a server."""
         server = self.run.servers.get(action.server)
         for _ in self.idle_connections.pop(action.server, ()):
             if server:
--- a/thistletrail/simulation/leased_budgets.py
+++ b/thistletrail/simulation/leased_budgets.py
@@ -21,7 +21,7 @@
     from thistletrail.simulation.gateways import Gateway
     from thistletrail.simulation.run import SimulationRun
 
-# Two ways on a machine's network, and a sync of the write-ahead log.
+# Duration of a renewal: a round trip on a machine's network, and a sync of the write-ahead log.
 RENEWAL_DELAY_US = 4 * MS
 # The same as in leasing/client.py.
 RENEWAL_INTERVAL_US, RENEWAL_JITTER = LEASE_MS * MS // 3, 0.25
@@ -50,6 +50,7 @@
             self.run.clock.after(DEMAND_CHECK_INTERVAL_US, holder.check_demand, gateway.epoch)
 
     def limits(self, key: BudgetKey) -> BudgetLimits:
+        """Return the limits of a budget, from the rate and burst of its plan."""
         return BudgetLimits.from_rate(*total_budget(key[0], self.settings.plans[key[2]]))
 
     def renew(self, request: RenewRequest) -> RenewResponse:
@@ -89,6 +90,7 @@
         self.clock.after(DEMAND_CHECK_INTERVAL_US, self.check_demand, epoch)
 
     def demands(self) -> list[BudgetDemand]:
+        """Return the engine's present demand for each budget."""
         return self.gateway.engine.budget_demands(self.clock.now)
 
     def renew(self, epoch: int, serial: int) -> None:
--- a/thistletrail/simulation/network.py
+++ b/thistletrail/simulation/network.py
@@ -18,7 +18,8 @@
 class Network:
     """The network between clients, gateways and scan servers.
 
-    A delay is a mean of the run for a pair of zones, with jitter. Nothing gets in or out of what is cut off.
+    A delay is a mean of the run for a pair of zones, with jitter. No message enters or leaves an isolated
+    zone or reaches an unreachable server.
     """
 
     def __init__(self, run: SimulationRun, clock: Clock, spec: Net, stream: Stream) -> None:
@@ -35,9 +36,11 @@
         self.message_loss = 0.0  # share of peer messages that are lost in addition to `peer_loss`
 
     def are_zones_connected(self, zone: int, other_zone: int) -> bool:
+        """Return whether messages pass between two zones, or within one."""
         return zone == other_zone or not (zone in self.isolated_zones or other_zone in self.isolated_zones)
 
     def is_reachable(self, gateway: Gateway, server: ScanServer) -> bool:
+        """Return whether the network connects a gateway with a server."""
         return server.name not in self.unreachable_servers and self.are_zones_connected(
             gateway.zone, server.zone
         )
@@ -65,6 +68,7 @@
     def finish_handshake(
         self, gateway: Gateway, server: ScanServer, call: Callable[..., None], args: tuple[object, ...]
     ) -> None:
+        """Report whether the connection is up: the server may refuse it or have become unreachable."""
         call(*args, self.is_reachable(gateway, server) and server.connect())
 
     def to_server(
--- a/thistletrail/simulation/report.py
+++ b/thistletrail/simulation/report.py
@@ -58,7 +58,7 @@
     except OSError as error:
         raise SimulationError(f"{path}: cannot be read: {error.strerror}") from error
     if not run.total or not run.seconds:
-        raise SimulationError(f"{path}: these are not the lines of a whole run (was it made with --total?)")
+        raise SimulationError(f"{path}: not the output of a complete run (was it written with --total?)")
     return run
 
 
@@ -94,9 +94,9 @@
         axes[0].plot(times_s, shares, marker=".", label=name)
     axes[0].set(title="served, as a share of the worth offered", ylim=(0, 1.3), xlabel="second")
     for axis, key, title, unit in (
-        (axes[1], "refused", "refusals by cause", "tries a second"),
+        (axes[1], "refused", "rejections by cause", "requests a second"),
         (axes[2], "over", "units beyond quota by cause", "units a second"),
-        (axes[3], "messages", "messages between doors by fate", "messages a second"),
+        (axes[3], "messages", "peer messages by fate", "messages a second"),
     ):
         if rows := counts_by_cause(run, key):
             axis.stackplot(times_s, list(rows.values()), labels=list(rows))
@@ -122,6 +122,7 @@
 
 
 def table_rows(values: dict[str, object], total: float) -> str:
+    """Return HTML rows of cause, value and share of the total, the largest value first."""
     return "".join(
         f"<tr><td>{html.escape(str(cause))}</td><td>{count:.4g}</td>"
         f"<td>{count / total if total else 0:.1%}</td></tr>"
@@ -140,22 +141,24 @@
         **{f"class {name}": share for name, share in total["classes"].items()},
         **{f"price: {name}": price for name, price in total["prices"].items()},
     }
-    parts = [
+    fragments = [
         f"<h2>{html.escape(run.name)}: {html.escape(str(total['scenario']))}, seed {total['seed']}</h2>",
         "<table>",
         *(f"<tr><td>{html.escape(name)}</td><td>{value:.4f}</td></tr>" for name, value in figures.items()),
         "</table>",
     ]
     broken = total["broken"]
-    parts.append(f"<p>{'Rules kept.' if not broken else 'Broken: ' + html.escape(str(broken))}</p>")
+    fragments.append(
+        f"<p>{'No rule was broken.' if not broken else 'Broken rules: ' + html.escape(str(broken))}</p>"
+    )
     for title, key, reference in (
         ("Losses of worth by cause, net", "lost", total["offered"]),
-        ("Refusals by cause", "refused", total["ends"].get("refused", 0)),
+        ("Rejections by cause", "refused", total["ends"].get("refused", 0)),
         ("Units beyond quota by cause", "over", total["units_beyond"]),
     ):
-        parts.append(f"<h3>{title}</h3><table>{table_rows(total[key], reference)}</table>")
-    parts.append(f'<img alt="plots of {html.escape(run.name)}" src="data:image/png;base64,{plots(run)}">')
-    return "\n".join(parts)
+        fragments.append(f"<h3>{title}</h3><table>{table_rows(total[key], reference)}</table>")
+    fragments.append(f'<img alt="plots of {html.escape(run.name)}" src="data:image/png;base64,{plots(run)}">')
+    return "\n".join(fragments)
 
 
 def write(runs: list[Run], out: Path) -> None:
@@ -168,8 +171,8 @@
         [
             "<!doctype html>",
             '<html lang="en"><meta charset="utf-8">',
-            f"<title>Runs of the fleet's model</title><style>{STYLE}</style>",
-            "<h1>Runs of the fleet's model</h1>",
+            f"<title>Simulation runs</title><style>{STYLE}</style>",
+            "<h1>Simulation runs</h1>",
             *map(section, runs),
             "</html>\n",
         ]
--- a/thistletrail/simulation/restarts.py
+++ b/thistletrail/simulation/restarts.py
@@ -40,7 +40,7 @@
     """
     first = scenario.troubles[0] if scenario.troubles else None
     if first is None or first.kind != "kill_doors":
-        raise SimulationError(f"{scenario.name}: its first trouble does not kill doors")
+        raise SimulationError(f"{scenario.name}: its first fault does not kill gateways")
     fault = msgspec.structs.replace(first, part=case.killed_share, state=case.state)
     return msgspec.structs.replace(scenario, stored=True, troubles=(fault, *scenario.troubles[1:]))
 
@@ -100,13 +100,13 @@
     "whole",
     "over_quota",
     "units beyond quota",
-    "messages an ask",
+    "messages per operation",
     "full service, s",
-    "after the last door",
+    "after the last gateway, s",
     "worst second",
     "worth lost",
-    "opened to calm",
-    "pushed over",
+    "handshakes to baseline",
+    "collapsed servers",
     "broken rules",
 )
 
--- a/thistletrail/simulation/run.py
+++ b/thistletrail/simulation/run.py
@@ -1,4 +1,4 @@
-"""One simulated run of a scenario: builds the fleet, plays it to its end and reports the figures."""
+"""One simulated run of a scenario: builds the fleet, simulates it to its end and reports the figures."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
     "leases",
     "stored",
 )
-# The range of a run's spread of work between attempts of one request, from the site's description.
+# Range of the coefficient of variation of the work between attempts of one request, from the description of
+# the site.
 ATTEMPT_NOISE_RANGE = (0.052, 0.47)
 PEER_MESSAGE_PRICE_BYTES = 256  # the price of peer messages is per this many bytes
 
@@ -83,6 +84,7 @@
     # --- called by the components ---
 
     def add_server(self, name: str, place: tuple[int, int], cold: bool) -> ScanServer:
+        """Add a running server at `place`, its zone and cell. A cold one starts now and has to warm up."""
         server = self.servers[name] = ScanServer(
             self.clock, self.traits, self.streams["servers"], name, place, self.demand.mean_work_us, cold
         )
@@ -177,13 +179,14 @@
         return self.accounting
 
     def next_second(self) -> None:
+        """Advance the accounting to the next second of the run."""
         self.accounting.second += 1
         self.clock.after(S, self.next_second)
 
     def check_overloaded_cold_servers(self) -> None:
-        """Record a broken rule for each warming-up server that was overloaded by gateways that knew of it.
+        """Record a violation for each server that gateways overloaded while they knew that it was warming up.
 
-        The rule is broken if at least two thirds of the work came from gateways that had been notified of the
+        It is a violation if at least two thirds of the work came from gateways that had been notified of the
         server's start.
         """
         for server in self.servers.values():
@@ -309,18 +312,18 @@
                     },
                     "refused": {
                         cause: count
-                        for (at, cause), count in sorted(accounting.refused.items())
-                        if at == second
+                        for (at_second, cause), count in sorted(accounting.refused.items())
+                        if at_second == second
                     },
                     "over": {
                         cause: count
-                        for (at, cause), count in sorted(accounting.over_quota.items())
-                        if at == second
+                        for (at_second, cause), count in sorted(accounting.over_quota.items())
+                        if at_second == second
                     },
                     "messages": {
                         fate: count
-                        for (at, fate), count in sorted(accounting.messages.items())
-                        if at == second
+                        for (at_second, fate), count in sorted(accounting.messages.items())
+                        if at_second == second
                     },
                 }
             )
@@ -343,6 +346,7 @@
 
 
 def encode_line(values: dict[str, object]) -> bytes:
+    """Return the values as one line of JSON."""
     return msgspec.json.encode(values) + b"\n"
 
 
--- a/thistletrail/simulation/scenario.py
+++ b/thistletrail/simulation/scenario.py
@@ -277,10 +277,10 @@
 def check(scenario: Scenario, name: str) -> None:
     """Raise a SimulationError for what the types of the fields cannot rule out."""
     if not scenario.classes or not scenario.plans:
-        raise SimulationError(f"{name}: there has to be a class and a plan")
+        raise SimulationError(f"{name}: at least one class and one plan are required")
     for key, sections in (("classes", scenario.classes), ("plans", scenario.plans)):
         if len({section.name for section in sections}) < len(sections):
-            raise SimulationError(f"{name}: {key} have the same name twice")
+            raise SimulationError(f"{name}: two of the {key} have the same name")
     for section in (
         scenario,
         scenario.servers,
@@ -299,9 +299,9 @@
                 raise SimulationError(f"{name}: {key} goes from {value[0]:g} down to {value[1]:g}")
     for fault in scenario.troubles:
         if fault.zone >= scenario.net.zones:
-            raise SimulationError(f"{name}: {fault.kind} strikes zone {fault.zone} of {scenario.net.zones}")
+            raise SimulationError(f"{name}: {fault.kind} affects zone {fault.zone} of {scenario.net.zones}")
         if fault.at_s > scenario.length_s:
-            raise SimulationError(f"{name}: {fault.kind} begins after the day's end")
+            raise SimulationError(f"{name}: {fault.kind} begins after the end of the run")
 
 
 def bundled_scenario_names() -> list[str]:
--- a/thistletrail/simulation/servers.py
+++ b/thistletrail/simulation/servers.py
@@ -1,6 +1,6 @@
 """A simulated scan server: cores that running work shares, a queue, a warm-up, and a table of connections.
 
-Sources: the bench page's account of the world (slots, queue, loss of efficiency, warm-up, collapse under
+Sources: the operators' page on the benchmark (slots, queue, loss of efficiency, warm-up, collapse under
 load, connection limits) and the protocol page (what is answered when). Where they give no formula, the one
 that is used is stated here and listed in docs/simulation.md.
 """
@@ -14,9 +14,9 @@
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.streams import Stream
 
-# How often the rate of a server that warms up is computed anew while nothing else happens there.
+# Interval at which the rate of a server that is warming up is recomputed while nothing else happens there.
 WARM_UP_STEP_US = 100_000
-# The rule on servers that warm up allows for chance: this many mean works beyond the limit.
+# Slack of the limit on work while warming up, in requests of mean work: the work of requests is random.
 WARM_UP_SLACK_WORKS = 4.0
 
 # Called with the result: "served", "error", "full", "dropped", "lost" or "silent".
@@ -62,7 +62,7 @@
 
 
 class ScanServer:
-    """One server process on one machine. Of gateways it knows only the connections that they hold."""
+    """One server process on one machine. It knows of gateways only the connections that they have open."""
 
     __slots__ = (
         "cell",
@@ -128,11 +128,11 @@
         self.serial = itertools.count()
         # The serial number of the newest scheduled step. Earlier steps are void.
         self.step_serial = 0
-        # Work received while warming up, drained by time: the rule on servers that warm up limits it.
+        # Work received while warming up, drained by time. The limit on work while warming up applies to it.
         self.warm_up_level_us, self.warm_up_updated_us = 0.0, clock.now
         self.work_by_gateway: dict[
             int, float
-        ] = {}  # work received while warming up, to tell who has caused a collapse
+        ] = {}  # work received while warming up, to find the cause of a collapse
         self.worked_us = 0.0  # work done
         self.useful_us = 0.0  # work done for answers that served a client
 
@@ -153,17 +153,17 @@
         return self.traits.cores * self.speed / self.slowdown * self.warm_up_share()
 
     def efficiency(self) -> float:
-        """Return the share of its capacity that is left under much work and many connections.
+        """Return the share of its capacity that remains under much work and many connections.
 
         The pages give no formula: both losses are taken as linear.
         """
-        held = (len(self.running) + len(self.waiting)) / self.traits.cores
-        thrash = self.traits.thrash * max(0.0, held / self.traits.thrash_at - 1)
-        table = self.traits.full_tax * min(1.0, self.connections / max(1, self.traits.connections))
-        return (1 - table) / (1 + thrash)
+        requests_per_core = (len(self.running) + len(self.waiting)) / self.traits.cores
+        thrash = self.traits.thrash * max(0.0, requests_per_core / self.traits.thrash_at - 1)
+        connection_cost = self.traits.full_tax * min(1.0, self.connections / max(1, self.traits.connections))
+        return (1 - connection_cost) / (1 + thrash)
 
     def advance(self) -> None:
-        """Advance running work to the present, at the rate that has held since the last change."""
+        """Advance running work to the present, at the rate since the last change."""
         now_us = self.clock.now
         done_us = (now_us - self.virtual_updated_us) * self.rate
         self.virtual_us += done_us
@@ -171,7 +171,7 @@
         self.virtual_updated_us = now_us
 
     def schedule_step(self) -> None:
-        """Compute the rate anew and schedule a step at the next end of work."""
+        """Recompute the rate and schedule a step at the next end of work."""
         self.step_serial += 1
         count = len(self.running)
         if not count:
@@ -210,10 +210,12 @@
             self.start_work(work)
 
     def start_work(self, work: Work) -> None:
+        """Run work in a free slot; it ends once it has had `work_us` of a core."""
         work.state = "working"
         heapq.heappush(self.running, (self.virtual_us + work.work_us, next(self.serial), work))
 
     def end_work(self, work: Work, result: str) -> None:
+        """End work with a result, unless it has ended before."""
         if work.state == "over":
             return
         work.state = "over"
@@ -230,6 +232,7 @@
         return True
 
     def disconnect(self) -> None:
+        """Close a connection of a gateway."""
         self.connections = max(0, self.connections - 1)
 
     def accept(self, work: Work, gateway: int, extra_us: float) -> None:
@@ -263,15 +266,15 @@
         self.schedule_step()
 
     def cancel(self, work: Work) -> None:
-        """Handle a gateway that stops waiting: running work goes on, waiting work may be dropped."""
+        """Handle a gateway that stops waiting: running work continues, waiting work may be dropped."""
         if work.state == "waiting" and self.traits.drops_cancelled:
             work.state = "over"
             self.waiting.remove(work)
 
-    # --- the rule on servers that warm up ---
+    # --- the limit on work while warming up ---
 
     def exceeds_warm_up_limit(self, work_us: float, gateway: int) -> bool:
-        """Add work that has been received, and return whether it is too much for a server that warms up.
+        """Add work that has been received, and return whether it exceeds the limit while warming up.
 
         The limit is `fall_multiple` times the present capacity over the window, and some slack for chance.
         """
@@ -288,7 +291,7 @@
         self.has_collapsed = True
         self.stop()
 
-    # --- life cycle ---
+    # --- start and stop ---
 
     def stop(self, silent: bool = False) -> None:
         """End the process and reset its connections; if `silent`, the machine vanishes without a reset."""
--- a/thistletrail/simulation/streams.py
+++ b/thistletrail/simulation/streams.py
@@ -33,6 +33,7 @@
         return self.uniforms.pop()
 
     def uniform_between(self, low: float, high: float) -> float:
+        """Return a number from `low` up to, but not including, `high`."""
         return low + (high - low) * self.uniform()
 
     def uniform_in(self, bounds: tuple[float, float]) -> float:
@@ -40,6 +41,7 @@
         return self.uniform_between(*bounds)
 
     def chance(self, probability: float) -> bool:
+        """Return True with this probability."""
         return self.uniform() < probability
 
     def integer_below(self, count: int) -> int:
@@ -47,12 +49,15 @@
         return int(self.uniform() * count)
 
     def choice(self, values: Sequence[T]) -> T:
+        """Return one of the values, each with the same probability."""
         return values[self.integer_below(len(values))]
 
     def exponential(self, mean: float) -> float:
+        """Return an exponentially distributed number with this mean."""
         return -mean * math.log1p(-self.uniform())
 
     def normal(self) -> float:
+        """Return a number from the standard normal distribution."""
         if not self.normals:
             self.normals = self.generator.standard_normal(BLOCK_SIZE).tolist()
         return self.normals.pop()
@@ -63,6 +68,7 @@
         return mean * math.exp(math.sqrt(variance) * self.normal() - variance / 2)
 
     def shuffled(self, values: Sequence[T]) -> list[T]:
+        """Return the values in random order."""
         return [values[index] for index in self.generator.permutation(len(values)).tolist()]
 
     def draw_seed(self) -> int:
--- a/thistletrail/simulation/work_takeover.py
+++ b/thistletrail/simulation/work_takeover.py
@@ -1,7 +1,7 @@
 """Simulated takeover: work items outlive the gateway that had them in flight.
 
 Of docs/takeover.md this models who owns a work item, the work lease, a random gateway that takes it over,
-the zone, clients that retry, and results that are kept. It leaves out the time that the log takes (some
+the zone, clients that retry, and stored results. It leaves out the time that the log takes (some
 milliseconds), failures of the lease service, paused gateways, and bounds.
 """
 
@@ -47,7 +47,7 @@
         self.run, self.is_enabled = run, run.scenario.takeover
         self.items: dict[Operation, WorkItem] = {}
         self.counts: Counter[str] = Counter()
-        self.taken: Counter[tuple[int, int]] = Counter()  # by second and gateway
+        self.taken: Counter[tuple[int, int]] = Counter()  # takeovers by second and gateway
 
     def add_lost(self, state: OpenRequest) -> None:
         """Add a request of a gateway that has died, if an attempt may have reached a server."""
@@ -110,6 +110,7 @@
                 self.answer(item, request, result)
 
     def answer(self, item: WorkItem, request: ClientRequest, result: str) -> None:
+        """Answer a request with the result of its work item, whose units have been charged."""
         request.is_charged, request.is_in_quota = True, item.is_in_quota
         self.counts[f"told {result}"] += 1
         retry_after_us = WORK_LEASE_US if result == "refused" else 0
@@ -131,7 +132,7 @@
         return True
 
     def forget(self, operation: Operation) -> None:
-        """Forget an operation that has ended at its client. A gateway that has taken it over goes on."""
+        """Forget an operation that has ended at its client. A gateway that has taken it over continues."""
         self.items.pop(operation, None)
 
     def result(self) -> dict[str, int]:
