--- a/thistletrail/simulation/decision_recorder.py
+++ b/thistletrail/simulation/decision_recorder.py
@@ -9,6 +9,8 @@
 from thistletrail.policy.observer import QuotaBasis, RejectReason, WaitReason, WaitReasonOf
 from thistletrail.policy.pending_request import PendingRequest
 
+# Causes in the output. They keep the names of earlier outputs: "home" is the quota owner, "word" its answer
+# and "own part" the local share.
 BASIS_TEXTS = {
     QuotaBasis.LOCAL_SHARE: "own part",
     QuotaBasis.OWN_ACCOUNT: "home",
@@ -24,6 +26,7 @@
     RejectReason.ATTEMPTS_FAILED: "attempts failed",
     RejectReason.RAN_ELSEWHERE: "other",
 }
+# "out at once" is the limit of requests in flight, "cap" the overload control.
 WAIT_TEXTS = {
     WaitReason.NO_SERVER_FOR_RETRY: "no server again",
     WaitReason.QUOTA_ANSWER: "waiting for word",
--- a/thistletrail/simulation/run.py
+++ b/thistletrail/simulation/run.py
@@ -218,7 +218,12 @@
         }
 
     def result(self) -> dict[str, object]:
-        """Return the figures of the run as plain values, ready for JSON."""
+        """Return the figures of the run as plain values, ready for JSON.
+
+        The keys keep the names of earlier outputs: `asks` are operations, `tries` requests, `ends` their
+        results, `kept` the counts of the takeover, `over` units beyond quota, `broken` violations by rule
+        and `sums` the errors of the accounting. `g` is the result that revisions are compared by.
+        """
         accounting = self.accounting
         prices = self.prices()
         plan_shares = {name: accounting.share(plan=index) for index, name in enumerate(accounting.plans)}
@@ -266,6 +271,8 @@
 
         The caller has to make sure that the scenario has a fault. Times are in seconds from the fault; None
         means that full service was not reached (or, for `full_after_back_s`, that no gateway came back).
+        `opened` are the most handshakes in a second, `fallen` the servers that collapsed under load, `beyond`
+        units beyond quota; keys with `calm` have the same of the baseline run.
         """
         accounting, baseline_accounting = self.accounting, baseline.accounting
         fault_us = round(min(fault.at_s for fault in self.scenario.troubles) * S)
