--- a/thistletrail/fault_injection/load_generator.py
+++ b/thistletrail/fault_injection/load_generator.py
@@ -104,7 +104,7 @@
         else:
             generator.writer.note("late", id=request.id, how=result)
 
-    def on_client_timeout(self, request: ClientRequest) -> bool:
+    def on_client_disconnect(self, request: ClientRequest) -> bool:
         """Handle a client's time-out; return whether an answer was still outstanding.
 
         The connection stays open for the grace period `limits.answer_ms`, to record a late answer.
@@ -165,7 +165,7 @@
 
     def draw_detection_delay_us(self) -> float:
         """Draw the delay in microseconds after which the load balancer detects a gateway that is down."""
-        return self.stream.span(self.spec.notice_s) * S
+        return self.stream.uniform_in(self.spec.notice_s) * S
 
     def start_operation(self, customer: Customer, class_index: int, work_us: float) -> None:
         """Start an operation, and count it as open."""
@@ -207,7 +207,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_operations = 0
         self.world.clients = self.clients = LiveClients(self, self.world)
-        self.world.doors = [
+        self.world.gateways = [
             Gateway(self, number, (host, int(port)))
             for number, address in enumerate(config.doors)
             for host, _, port in [address.rpartition(":")]
@@ -270,7 +270,7 @@
                 entry.customer.cumulative = entry.cumulative
             else:
                 self.clients.start_operation(entry.customer, entry.class_index, entry.work_us)
-        while self.open_operations or any(gateway.busy_connections for gateway in self.world.doors):
+        while self.open_operations or any(gateway.busy_connections for gateway in self.world.gateways):
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from thistletrail.fault_injection.plan import Plan
-from thistletrail.simulation.books import Accounting
+from thistletrail.simulation.accounting import Accounting
 from thistletrail.simulation.clients import Customer, Demand, PlanFigures
 from thistletrail.simulation.clock import Clock, S
-from thistletrail.simulation.kept import Takeover
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.servers import Traits
 from thistletrail.simulation.streams import Stream
+from thistletrail.simulation.work_takeover import Takeover
 
 QUOTA_MESSAGES_PER_S = 40.0  # that a gateway accepts, as the operators state it
 # Limits of a gateway's process, as in the deployment documentation.
@@ -39,16 +39,16 @@
         self.start_us = clock.now
         self.end_us = self.start_us + round(scenario.length_s * S)
         self.streams = {name: Stream(seed, name) for name in ("servers", "clients", "demand", "asks", "work")}
-        self.books = Accounting(
+        self.accounting = Accounting(
             tuple(rule.name for rule in scenario.classes), tuple(plan.name for plan in scenario.plans)
         )
         self.traits = Traits(scenario, self.streams["servers"])
         self.plans = [PlanFigures(plan, scenario.stretch, self.streams["demand"]) for plan in scenario.plans]
         self.network = NoNetworkDelay()
-        self.doors: list[Any] = list(range(scenario.doors))
+        self.gateways: list[Any] = list(range(scenario.doors))
         self.demand = Demand(self)  # type: ignore[arg-type]
         self.clients: Any = None
-        self.kept = Takeover(self)  # type: ignore[arg-type] - unused: gateways and lease service are real
+        self.takeover = Takeover(self)  # type: ignore[arg-type] - unused: gateways and lease service are real
 
     def capacity(self) -> float:
         """Return the capacity of all scan servers, in cores of normal speed."""
--- a/thistletrail/simulation/__main__.py
+++ b/thistletrail/simulation/__main__.py
@@ -16,8 +16,7 @@
 import msgspec
 
 from thistletrail.command_line import HELP, Group, end_on_signals
-from thistletrail.simulation.day import encode_line, play, without_faults
-from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.errors import SimulationError
 from thistletrail.simulation.experiment import (
     EXIT_RULE_BROKEN,
     THIS_TREE,
@@ -27,13 +26,14 @@
     revision_tree,
     set_constant,
 )
+from thistletrail.simulation.run import encode_line, play, without_faults
 from thistletrail.simulation.scenario import StoredState, bundled_scenario_names, dump, load
 
 
 class SimulationGroup(Group):
     """The commands of the simulation; invalid input is reported in one line."""
 
-    errors: ClassVar[tuple[type[Exception], ...]] = (ModelError,)
+    errors: ClassVar[tuple[type[Exception], ...]] = (SimulationError,)
 
 
 @click.group("simulation", cls=SimulationGroup, context_settings=HELP)
@@ -103,7 +103,7 @@
     out.flush()
     if sys.stderr.isatty():
         click.echo(f"{time.process_time() - started_s:.1f} s of processor time", err=True)
-    if simulated.books.violation_counts or simulated.books.check():
+    if simulated.accounting.violation_counts or simulated.accounting.check():
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -113,7 +113,7 @@
     for name in bundled_scenario_names():
         scenario = load(name)
         click.echo(
-            f"{name:10} {scenario.doors} doors, {scenario.servers.count} servers, {scenario.length_s:g} s"
+            f"{name:10} {scenario.doors} gateways, {scenario.servers.count} servers, {scenario.length_s:g} s"
         )
 
 
@@ -121,7 +121,7 @@
     """Return the name or the absolute path of a scenario, for runs in another folder.
 
     Raises:
-        ModelError: the scenario is invalid. This way it is known before any process is started.
+        SimulationError: the scenario is invalid. This way it is known before any process is started.
     """
     load(scenario)
     return str(Path(scenario).resolve()) if scenario.endswith(".toml") else scenario
@@ -133,13 +133,13 @@
     Progress is written to standard error, and each total is appended to `out`, if given, as its run ends.
 
     Raises:
-        ModelError: `out` cannot be written, or a run failed.
+        SimulationError: `out` cannot be written, or a run failed.
     """
     runner, ended_count = Runner(jobs), 0
     try:
         file = out.open("ab") if out else None
     except OSError as error:
-        raise ModelError(f"{out}: cannot be written: {error.strerror}") from error
+        raise SimulationError(f"{out}: cannot be written: {error.strerror}") from error
 
     def on_total(total: dict[str, object]) -> None:
         nonlocal ended_count
@@ -162,6 +162,7 @@
 
 
 def print_comparison(totals: list[dict[str, object]], old: str, new: str) -> None:
+    """Print the mean of each figure on both sides, and the median of the paired differences."""
     click.echo(f"{'figure':28} {old:>10.10} {new:>10.10}  median of the paired differences [95%]")
     for name, old_mean, new_mean, interval in comparison_rows(totals, old, new):
         click.echo(f"{name:28} {old_mean:10.4f} {new_mean:10.4f}  {interval}")
@@ -225,7 +226,7 @@
     sides, seed_range = ("lost", "kept"), range(first, first + seeds)
     totals_by_scenario = run_with_field_off_and_on("takeover", sides, scenarios, seed_range, jobs, out)
     for name, totals in zip(scenarios, totals_by_scenario, strict=True):
-        click.echo(f"{name}: work in hand lost against kept")
+        click.echo(f"{name}: requests in flight when a gateway died, lost against kept")
         print_comparison(totals, *sides)
         takeover_counts = Counter()
         for total in totals:
@@ -244,24 +245,28 @@
     field = "leased_quotas" if quotas else "leased"
     totals_by_scenario = run_with_field_off_and_on(field, sides, scenarios, seed_range, jobs, out)
     for name, totals in zip(scenarios, totals_by_scenario, strict=True):
-        click.echo(f"{name}: {'ceilings and quotas' if quotas else 'ceilings'} by fixed parts against leases")
+        click.echo(
+            f"{name}: {'ceilings and quotas' if quotas else 'ceilings'} by fixed shares against leases"
+        )
         print_comparison(totals, *sides)
-        asks = sum(total["leases"] for total in totals) / sum(total["asks"] for total in totals[1::2])
-        click.echo(f"asks of the steward, for each of a client's: {asks:.3f}")
+        renewals_per_operation = sum(total["leases"] for total in totals) / sum(
+            total["asks"] for total in totals[1::2]
+        )
+        click.echo(f"renewals at the lease service per operation: {renewals_per_operation:.3f}")
 
 
 def parse_list(text: str, parse: Callable[[str], object], what: str) -> list:
     """Return the parsed items of a comma-separated list.
 
     Raises:
-        ModelError: the list is empty, an item is not one of `what`, or an item is there twice.
+        SimulationError: the list is empty, an item is not one of `what`, or an item is repeated.
     """
     try:
         values = [parse(item.strip()) for item in text.split(",") if item.strip()]
     except (ValueError, KeyError):
         values = []
     if not values or len(set(values)) < len(values):
-        raise ModelError(f"'{text}' is not a list of {what}")
+        raise SimulationError(f"'{text}' is not a list of {what}")
     return values
 
 
@@ -294,7 +299,7 @@
 
     All runs of a seed are compared with one run without faults.
     """
-    from thistletrail.simulation.back import play_all, table_rows
+    from thistletrail.simulation.restarts import play_all, table_rows
 
     known_states = {name: name for name in get_args(StoredState)}
     killed_shares = parse_list(parts, parse_share, "shares")
@@ -305,11 +310,11 @@
         snapshot_states,
         range(first, first + seeds),
         jobs,
-        lambda seed: click.echo(f"seed {seed} is played", err=True),
+        lambda seed: click.echo(f"seed {seed}: all runs have ended", err=True),
     )
-    click.echo(f"{'share':6}{'state':6}{'figure':20}{'mean':>10}  difference to none, by pairs [95%]")
+    click.echo(f"{'share':6}{'state':6}{'figure':26}{'mean':>10}  difference to none, by pairs [95%]")
     for share, state, name, mean, difference in table_rows(figures):
-        click.echo(f"{share:<6g}{state:6}{name:20}{mean:10.4f}  {difference or ''}")
+        click.echo(f"{share:<6g}{state:6}{name:26}{mean:10.4f}  {difference or ''}")
     if any(case_figures["broken rules"] for case_figures in figures.values()):
         sys.exit(EXIT_RULE_BROKEN)
 
@@ -330,7 +335,7 @@
     """Run SCENARIO with several values of CONSTANT, a constant of the policy, on the same seeds."""
     numbers = [number.strip() for number in values.split(",") if number.strip()]
     if len(set(numbers)) < 2 or len(set(numbers)) < len(numbers):
-        raise ModelError("--values takes two or more different numbers")
+        raise SimulationError("--values takes two or more different numbers")
     import thistletrail.policy.engine  # noqa: F401 - loads the modules that `set_constant` looks in
 
     for number in numbers:
@@ -383,7 +388,7 @@
     from thistletrail.simulation.search import search
 
     result = search(seed, out, seconds, count, lambda text: click.echo(text, err=True))
-    click.echo(f"{result.played} scenarios played, {len(result.saved)} kept")
+    click.echo(f"{result.played} scenarios run, {len(result.saved)} saved")
     for path in result.saved:
         click.echo(str(path))
     if result.saved:
@@ -397,29 +402,29 @@
 @JOBS
 def fidelity(bench: Path, base: str, seeds: int, jobs: int) -> None:
     """Compare how the simulation and a benchmark rank revisions; BENCH has its results as JSON lines."""
-    from thistletrail.simulation.fidelity import BenchResult, ranking_rows, read, render, scenario_for
+    from thistletrail.simulation.fidelity import BenchmarkResult, ranking_rows, read, render, scenario_for
 
-    bench_results = read(bench)
-    revs = sorted({result.rev for result in bench_results})
+    benchmark_results = read(bench)
+    revs = sorted({result.rev for result in benchmark_results})
     if base not in revs or len(revs) < 3:
-        raise ModelError(f"{bench}: {base} is not among at least three revisions")
+        raise SimulationError(f"{bench}: {base} is not among at least three revisions")
     with contextlib.ExitStack() as stack:
         trees = {rev: stack.enter_context(revision_tree(rev)) for rev in revs}
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="model-")))
-        planned_runs, bench_and_kind = [], {}
-        for name, kind in sorted({(result.bench, result.kind) for result in bench_results}):
+        planned_runs, benchmark_and_kind = [], {}
+        for name, kind in sorted({(result.bench, result.kind) for result in benchmark_results}):
             scenario = scenario_for(name, kind)
             path = folder / f"{scenario.name}.toml"
             path.write_text(dump(scenario))
-            bench_and_kind[scenario.name] = name, kind
+            benchmark_and_kind[scenario.name] = name, kind
             planned_runs += [
                 PlannedRun(rev, trees[rev], str(path), seed) for seed in range(1, seeds + 1) for rev in revs
             ]
-        model_results = [
-            BenchResult(*bench_and_kind[total["scenario"]], total["seed"], total["side"], total["g"])
+        simulation_results = [
+            BenchmarkResult(*benchmark_and_kind[total["scenario"]], total["seed"], total["side"], total["g"])
             for total in make_all(planned_runs, jobs, None)
         ]
-    click.echo(render(ranking_rows(bench_results, model_results, base), base))
+    click.echo(render(ranking_rows(benchmark_results, simulation_results, base), base))
 
 
 if __name__ == "__main__":
--- a/thistletrail/simulation/watched.py
+++ b/thistletrail/simulation/decision_recorder.py
@@ -9,6 +9,8 @@
 from thistletrail.policy.observer import QuotaBasis, RejectReason, WaitReason, WaitReasonOf
 from thistletrail.policy.pending_request import PendingRequest
 
+# Causes in the output. They keep the names of earlier outputs: "home" is the quota owner, "word" its answer
+# and "own part" the local share.
 BASIS_TEXTS = {
     QuotaBasis.LOCAL_SHARE: "own part",
     QuotaBasis.OWN_ACCOUNT: "home",
@@ -24,6 +26,7 @@
     RejectReason.ATTEMPTS_FAILED: "attempts failed",
     RejectReason.RAN_ELSEWHERE: "other",
 }
+# "out at once" is the limit of requests in flight, "cap" the overload control.
 WAIT_TEXTS = {
     WaitReason.NO_SERVER_FOR_RETRY: "no server again",
     WaitReason.QUOTA_ANSWER: "waiting for word",
@@ -54,7 +57,7 @@
 
     def __init__(self) -> None:
         self.by_request: dict[str, RequestDecision] = {}
-        self.wait_text = ""  # what the request whose expiry was checked last waits for
+        self.wait_text = ""  # what the request of the latest expiry check waits for
 
     def decision_on(self, request: PendingRequest) -> RequestDecision:
         """Return the decision on a request; create one if there is none."""
--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the registry has it: seconds late, and of running processes only."""
+"""The registry's endpoint list: it learns of changes seconds later, and lists only running processes."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 # By value: `compare` runs older revisions of the policy here, in which the member has another name.
 SERVING = ServerState("up")
@@ -23,7 +23,7 @@
     def __init__(self, run: SimulationRun) -> None:
         self.run, self.version = run, 1
         self.entries: dict[str, Server] = {}
-        self.extra_lag_us = 0  # added to each gateway's usual lag
+        self.extra_delay_us = 0  # added to each gateway's own delay
         self.initial_entries: tuple[Server, ...] = ()
 
     def entry(self, server: ScanServer, state: ServerState) -> Server:
@@ -33,7 +33,7 @@
         )
 
     def begin(self) -> None:
-        """List the servers of the start, which all gateways know."""
+        """Fill the list with the servers that run at the start, which all gateways know."""
         for server in self.run.servers.values():
             self.entries[server.name] = self.entry(server, SERVING)
         self.initial_entries = tuple(self.entries.values())
@@ -44,11 +44,12 @@
         return EndpointUpdate(EndpointUpdateKind.CACHED, self.version, entries)
 
     def full_list(self) -> EndpointUpdate:
+        """Return the complete list that the registry has now."""
         return EndpointUpdate(EndpointUpdateKind.FULL, self.version, tuple(self.entries.values()))
 
-    def report(self, server: ScanServer, state: ServerState, lag_s: tuple[float, float]) -> None:
-        """Report a server's new state to the registry, which notices it after a time drawn from `lag_s`."""
-        delay_us = self.run.streams["lists"].span(lag_s) * S
+    def report(self, server: ScanServer, state: ServerState, delay_s: tuple[float, float]) -> None:
+        """Report a server's new state to the registry, which detects it after a time drawn from `delay_s`."""
+        delay_us = self.run.streams["lists"].uniform_in(delay_s) * S
         self.run.clock.after(delay_us, self.publish, self.entry(server, state))
 
     def publish(self, entry: Server) -> None:
@@ -61,9 +62,9 @@
         else:
             self.entries[entry.name] = entry
         update = EndpointUpdate(EndpointUpdateKind.CHANGES, self.version, (replace(entry),))
-        for gateway in self.run.doors:
+        for gateway in self.run.gateways:
             if gateway.is_alive:
-                delay_us = gateway.list_lag_us + self.extra_lag_us + MS
+                delay_us = gateway.list_delay_us + self.extra_delay_us + MS
                 self.run.clock.after(delay_us, self.deliver, gateway, gateway.epoch, update)
 
     def deliver(self, gateway: Gateway, epoch: int, update: EndpointUpdate) -> None:
--- a/thistletrail/simulation/troubles.py
+++ b/thistletrail/simulation/faults.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING, get_args
 
 from thistletrail.policy.events import ServerState
-from thistletrail.simulation.catalog import SERVING
 from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.endpoint_list import SERVING
 from thistletrail.simulation.scenario import FaultKind, ScenarioFault
 from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
     from thistletrail.simulation.clients import Customer
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 # A planned restart of a real gateway takes this long.
 RESTART_S = 0.4
@@ -29,10 +29,10 @@
 SERVER_DRAIN_S = (2.0, 5.4)
 # In a rolling restart a tenth of the gateways restarts at a time.
 RESTART_STEPS = 10
-# The plan of customers that are seen once.
+# The plan of customers that make one request each.
 ONE_SHOT_PLAN = 0
 # The registry learns of a drain at once: only the list takes time.
-DRAIN_NOTICE_S = (0.05, 0.5)
+DRAIN_REPORT_DELAY_S = (0.05, 0.5)
 
 
 class FaultInjector:
@@ -48,6 +48,7 @@
             self.run.clock.at(self.run.start_us + round(fault.at_s * S), KINDS[fault.kind], self, fault)
 
     def after_s(self, delay_s: float, call: Callable[..., None], *args: object) -> None:
+        """Schedule a call after a delay in seconds."""
         self.run.clock.after(delay_s * S, call, *args)
 
     def sample(self, values: list, share: float) -> list:
@@ -62,19 +63,21 @@
     # --- demand ---
 
     def burst(self, fault: ScenarioFault) -> None:
+        """Raise the load of all customers by a share `size` of the usual load."""
         self.run.demand.set_load_factor(1 + fault.size)
         self.after_s(fault.for_s, self.run.demand.set_load_factor, 1.0)
 
     def hot_customers(self, fault: ScenarioFault) -> None:
         """Let one to three customers together add `size` times the usual load."""
         demand = self.run.demand
-        affected = [self.stream.pick(demand.customers) for _ in range(1 + self.stream.below(3))]
+        affected = [self.stream.choice(demand.customers) for _ in range(1 + self.stream.integer_below(3))]
         for customer in affected:
             customer.rate += fault.size * demand.in_quota_rate / len(affected)
             demand.restart_arrivals(customer)
         self.after_s(fault.for_s, self.end_hot_customers, affected)
 
     def end_hot_customers(self, affected: list[Customer]) -> None:
+        """Return customers to their usual rates."""
         for customer in affected:
             customer.rate = customer.usual_rate
             self.run.demand.restart_arrivals(customer)
@@ -84,6 +87,7 @@
         self.next_one_shot(fault, self.run.clock.now + round(fault.for_s * S))
 
     def next_one_shot(self, fault: ScenarioFault, until_us: int, must_request: bool = False) -> None:
+        """Let one customer make its request if `must_request`, and schedule the next one."""
         demand = self.run.demand
         if self.run.clock.now >= min(until_us, self.run.end_us):
             return
@@ -99,21 +103,22 @@
 
     def kill_doors(self, fault: ScenarioFault) -> None:
         """Kill a share of the gateways; each restarts after a time from `back_s`."""
-        running = [gateway for gateway in self.run.doors if gateway.is_alive]
+        running = [gateway for gateway in self.run.gateways if gateway.is_alive]
         for gateway in self.sample(running, fault.part):
             self.kill_gateway(gateway, fault)
 
     def kill_gateway(self, gateway: Gateway, fault: ScenarioFault) -> None:
-        back_s = self.stream.span(fault.back_s)
+        """Kill a gateway, make its snapshot what `state` says, and schedule its restart."""
+        back_s = self.stream.uniform_in(fault.back_s)
         gateway.stop()
         if gateway.stored_snapshot and fault.state != "kept":
             stored_us, snapshot = gateway.stored_snapshot
             gateway.stored_snapshot = (
                 (stored_us - STALE_SNAPSHOT_AGE_S * S, snapshot) if fault.state == "stale" else None
             )
-        notice_s = self.stream.span(self.run.scenario.clients.notice_s)
-        if notice_s < back_s:
-            self.after_s(notice_s, self.run.clients.down.add, gateway.number)
+        detection_s = self.stream.uniform_in(self.run.scenario.clients.notice_s)
+        if detection_s < back_s:
+            self.after_s(detection_s, self.run.clients.down.add, gateway.number)
         self.after_s(back_s, self.start_gateway, gateway)
 
     def start_gateway(self, gateway: Gateway) -> None:
@@ -121,11 +126,11 @@
         self.run.clients.down.discard(gateway.number)
         if not gateway.is_alive:
             gateway.start()
-            self.run.books.last_restart_us = self.run.clock.now - self.run.start_us
+            self.run.accounting.last_restart_us = self.run.clock.now - self.run.start_us
 
     def restart_doors(self, fault: ScenarioFault) -> None:
         """Restart all gateways by SIGTERM, a tenth of them at a time."""
-        gateways = self.sample(self.run.doors, 1.0)
+        gateways = self.sample(self.run.gateways, 1.0)
         step = math.ceil(len(gateways) / RESTART_STEPS)
         for number in range(0, len(gateways), step):
             delay_s = fault.for_s * number / len(gateways)
@@ -134,13 +139,13 @@
     def terminate(self, gateways: list[Gateway]) -> None:
         """Start a graceful shutdown of gateways."""
         longest_s = max(self.run.clients.deadlines_us) / S
-        left_s = max(MIN_DRAIN_S, longest_s) + DRAIN_EXTRA_S
+        drain_s = max(MIN_DRAIN_S, longest_s) + DRAIN_EXTRA_S
         for gateway in gateways:
             if gateway.is_alive:
-                gateway.drain(round(left_s * S))
-                settle_s = self.stream.span(LOAD_BALANCER_SETTLE_S)
+                gateway.drain(round(drain_s * S))
+                settle_s = self.stream.uniform_in(LOAD_BALANCER_SETTLE_S)
                 self.after_s(settle_s, self.run.clients.down.add, gateway.number)
-                self.check_drained(gateway, gateway.epoch, self.run.clock.now + round(left_s * S))
+                self.check_drained(gateway, gateway.epoch, self.run.clock.now + round(drain_s * S))
 
     def check_drained(self, gateway: Gateway, epoch: int, latest_us: int) -> None:
         """End a draining process once all requests are answered, or when its time is up."""
@@ -164,23 +169,26 @@
             self.after_s(fault.for_s * number / max(1, len(old)), self.replace_server, server)
 
     def replace_server(self, server: ScanServer) -> None:
+        """Add a cold server under a new id in place of one that drains."""
         self.replacement_count += 1
         name = f"{server.name}r{self.replacement_count}"
         new_server = self.run.add_server(name, (server.zone, server.cell), cold=True)
-        self.run.catalog.report(new_server, SERVING, self.run.scenario.net.list_add_s)
+        self.run.endpoint_list.report(new_server, SERVING, self.run.scenario.net.list_add_s)
         self.drain_server(server)
 
     def drain_server(self, server: ScanServer) -> None:
+        """Start to drain a server, and remove it after its drain time."""
         if not server.is_alive or server.is_draining:
             return
         server.is_draining = True
-        self.run.catalog.report(server, ServerState.DRAINING, DRAIN_NOTICE_S)
-        self.after_s(self.stream.span(SERVER_DRAIN_S), self.remove_server, server)
+        self.run.endpoint_list.report(server, ServerState.DRAINING, DRAIN_REPORT_DELAY_S)
+        self.after_s(self.stream.uniform_in(SERVER_DRAIN_S), self.remove_server, server)
 
     def remove_server(self, server: ScanServer) -> None:
+        """Stop a server and report its removal to the registry."""
         if server.is_alive:
             server.stop()
-        self.run.catalog.report(server, ServerState.GONE, self.run.scenario.net.list_gone_s)
+        self.run.endpoint_list.report(server, ServerState.GONE, self.run.scenario.net.list_gone_s)
 
     def shrink(self, fault: ScenarioFault) -> None:
         """Drain `part` of the servers over `for_s`, and replace none."""
@@ -189,7 +197,7 @@
             self.after_s(fault.for_s * number / max(1, len(old)), self.drain_server, server)
 
     def zone_loss(self, fault: ScenarioFault) -> None:
-        """Stop a zone's servers, which come back cold, and kill `part` of its gateways.
+        """Stop a zone's servers, which restart cold, and kill `part` of its gateways.
 
         With a `size` above 0.5 the machines vanish in silence, else the processes die. Where there is one
         zone, 30% of the servers are stopped.
@@ -198,22 +206,25 @@
         affected = [server for server in self.running() if server.zone == fault.zone]
         if self.run.scenario.net.zones == 1:
             affected = self.sample(self.running(), 0.3)
-        lag_s = self.run.scenario.net.list_silent_s if is_silent else self.run.scenario.net.list_gone_s
+        delay_s = self.run.scenario.net.list_silent_s if is_silent else self.run.scenario.net.list_gone_s
         for server in affected:
             self.run.stop_server(server, is_silent)
-            if fault.for_s > lag_s[0]:
-                self.run.catalog.report(server, ServerState.GONE, lag_s)
+            if fault.for_s > delay_s[0]:
+                self.run.endpoint_list.report(server, ServerState.GONE, delay_s)
         self.after_s(fault.for_s, self.start_servers, affected)
-        gateways = [gateway for gateway in self.run.doors if gateway.zone == fault.zone and gateway.is_alive]
+        gateways = [
+            gateway for gateway in self.run.gateways if gateway.zone == fault.zone and gateway.is_alive
+        ]
         for gateway in self.sample(gateways, fault.part) if fault.part else []:
             self.kill_gateway(gateway, fault)
 
     def start_servers(self, affected: list[ScanServer]) -> None:
+        """Start those of the servers that are stopped; they are cold."""
         for server in affected:
             if not server.is_alive:
                 self.run.unresponsive_servers.discard(server.name)
                 server.start()
-                self.run.catalog.report(server, SERVING, self.run.scenario.net.list_add_s)
+                self.run.endpoint_list.report(server, SERVING, self.run.scenario.net.list_add_s)
 
     def zone_cut(self, fault: ScenarioFault) -> None:
         """Isolate a zone for a while."""
@@ -239,6 +250,7 @@
         self.bad(fault, fails_fast=True)
 
     def end_errors(self, affected: list[ScanServer]) -> None:
+        """End the errors of servers."""
         for server in affected:
             server.error_share, server.fails_fast = 0.0, False
 
@@ -249,6 +261,7 @@
         self.after_s(fault.for_s, self.set_slowdown, affected, 1.0)
 
     def set_slowdown(self, affected: list[ScanServer], factor: float) -> None:
+        """Divide the speed of servers by a factor from now on."""
         for server in affected:
             server.advance()
             server.slowdown = factor
@@ -263,6 +276,7 @@
         self.after_s(fault.for_s, self.set_message_loss, 0.0)
 
     def set_message_loss(self, share: float) -> None:
+        """Set the share of peer messages that are lost in addition to the usual loss."""
         self.run.network.message_loss = share
 
     def drop_answers(self, fault: ScenarioFault) -> None:
@@ -271,20 +285,21 @@
         self.after_s(fault.for_s, self.set_answer_loss, 0.0)
 
     def set_answer_loss(self, share: float) -> None:
+        """Set the share of the servers' answers that are lost."""
         self.run.network.answer_loss = share
 
     def lists_late(self, fault: ScenarioFault) -> None:
         """Delay changes of the endpoint list by `size` seconds; they stay in order."""
-        self.run.catalog.extra_lag_us = round(fault.size * S)
-        self.after_s(fault.for_s, self.reduce_list_lag)
+        self.run.endpoint_list.extra_delay_us = round(fault.size * S)
+        self.after_s(fault.for_s, self.reduce_list_delay)
 
-    def reduce_list_lag(self) -> None:
-        """Reduce the extra lag in small steps, so that no change overtakes one that was sent before."""
-        catalog = self.run.catalog
+    def reduce_list_delay(self) -> None:
+        """Reduce the extra delay in small steps, so that no change overtakes one that was sent before."""
+        endpoint_list = self.run.endpoint_list
         step_us = 20 * MS
-        catalog.extra_lag_us = max(0, catalog.extra_lag_us - step_us)
-        if catalog.extra_lag_us:
-            self.after_s(step_us / S, self.reduce_list_lag)
+        endpoint_list.extra_delay_us = max(0, endpoint_list.extra_delay_us - step_us)
+        if endpoint_list.extra_delay_us:
+            self.after_s(step_us / S, self.reduce_list_delay)
 
 
 KINDS: dict[str, Callable[[FaultInjector, ScenarioFault], None]] = {
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/gateways.py
@@ -43,23 +43,23 @@
     TimerFired,
 )
 from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
-from thistletrail.simulation.catalog import SERVING
 from thistletrail.simulation.clients import ClientRequest
 from thistletrail.simulation.clock import MS, S
+from thistletrail.simulation.decision_recorder import DecisionRecorder, RequestDecision
+from thistletrail.simulation.endpoint_list import SERVING
 from thistletrail.simulation.servers import ScanServer, Work
-from thistletrail.simulation.watched import DecisionRecorder, RequestDecision
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.kept import WorkItem
+    from thistletrail.simulation.run import SimulationRun
+    from thistletrail.simulation.work_takeover import WorkItem
 
 # A gateway closes a connection that has been idle for this share of the server's idle time-out, as the
 # gateway process does.
 IDLE_TIMEOUT_SHARE = 0.5
 IDLE_SWEEP_INTERVAL_US = S
-# The first answer of the registry. The cached endpoint list is there at once.
+# Delay of the registry's first answer. The cached endpoint list is available at once.
 FIRST_LIST_DELAY_US = 20 * MS
-# The burst that a gateway takes in, in seconds of its rate. The pages state only the rate.
+# The burst of peer messages that a gateway accepts, in seconds of its rate. The pages state only the rate.
 PEER_INTAKE_BURST_S = 0.5
 # The site's settings: a final answer still counts this long after the request's deadline.
 ANSWER_GRACE_US = 8 * MS
@@ -138,9 +138,9 @@
         self.started_us = 0
         # Fill level of the intake of peer messages, and the time at which it was computed.
         self.intake_level, self.intake_updated_us = 0.0, 0
-        # Time and content of the last stored snapshot. It outlives the process.
+        # Time and content of the last stored snapshot, which survives the process.
         self.stored_snapshot: tuple[int, PolicySnapshot] | None = None
-        self.list_lag_us = run.streams["lists"].span(run.scenario.net.list_spread_ms) * MS
+        self.list_delay_us = run.streams["lists"].uniform_in(run.scenario.net.list_spread_ms) * MS
         self.reset()
 
     def reset(self) -> None:
@@ -148,15 +148,16 @@
         self.open_requests: dict[str, OpenRequest] = {}
         self.timer_serials: dict[int, int] = {}  # by token: the serial number of the newest timer
         self.idle_connections: dict[str, list[int]] = {}  # by server: the time at which each became idle
-        self.leaving_since_us: dict[str, int] = {}  # when the gateway learned that a server drains or is gone
+        self.leaving_since_us: dict[str, int] = {}  # when the gateway learned that a server left
         self.listed_servers: set[str] = set()  # all names that any endpoint list has had
         self.start_known_us: dict[str, int] = {}  # when the gateway learned that a server is up
 
     @property
     def is_alive(self) -> bool:
+        """Return whether the process is running."""
         return self.engine is not None
 
-    # --- life cycle ---
+    # --- start and stop ---
 
     def start(self) -> None:
         """Start a new process that has the cached endpoint list and, if there is one, a recent snapshot."""
@@ -167,7 +168,7 @@
         self.intake_level, self.intake_updated_us = 0.0, run.clock.now
         self.recorder = DecisionRecorder()
         self.engine = PolicyEngine(run.settings(self.number, self.zone), self.recorder)
-        self.on_endpoint_update(run.catalog.cached_list(self.epoch > 1))
+        self.on_endpoint_update(run.endpoint_list.cached_list(self.epoch > 1))
         self.restore_snapshot()
         run.clock.after(FIRST_LIST_DELAY_US, self.receive_first_list, self.epoch)
         run.clock.after(IDLE_SWEEP_INTERVAL_US, self.sweep_idle_connections, self.epoch)
@@ -185,7 +186,10 @@
             self.handle(SnapshotFound(snapshot, age_us))
 
     def schedule_snapshot(self) -> None:
-        interval_s = WRITE_INTERVAL_S * self.run.streams["stored"].between(1 - WRITE_JITTER, 1 + WRITE_JITTER)
+        """Schedule the next snapshot after the usual interval with jitter."""
+        interval_s = WRITE_INTERVAL_S * self.run.streams["stored"].uniform_between(
+            1 - WRITE_JITTER, 1 + WRITE_JITTER
+        )
         self.run.clock.after(round(interval_s * S), self.store_snapshot, self.epoch)
 
     def store_snapshot(self, epoch: int) -> None:
@@ -195,8 +199,9 @@
             self.schedule_snapshot()
 
     def receive_first_list(self, epoch: int) -> None:
+        """Handle the registry's first complete list."""
         if epoch == self.epoch:
-            self.on_endpoint_update(self.run.catalog.full_list())
+            self.on_endpoint_update(self.run.endpoint_list.full_list())
 
     def stop(self) -> None:
         """Kill the process: its connections to servers and clients are reset."""
@@ -211,21 +216,21 @@
         open_requests, self.open_requests = self.open_requests, {}
         for state in open_requests.values():
             if not state.is_answered:
-                self.run.kept.add_lost(state)
+                self.run.takeover.add_lost(state)
             for attempt in state.in_flight.values():
-                self.release_connection(attempt, keep=False)
+                self.release_connection(attempt, can_reuse=False)
             if not state.is_answered:
                 self.run.clients.gateway_died(state.request)
 
-    def drain(self, left_us: int) -> None:
-        """Start a graceful shutdown (SIGTERM) in which no request takes longer than `left_us`."""
+    def drain(self, remaining_us: int) -> None:
+        """Start a graceful shutdown (SIGTERM) in which no request takes longer than `remaining_us`."""
         if self.engine is not None:
             for state in self.open_requests.values():
-                state.end_us = min(state.end_us, self.run.clock.now + left_us)
-            self.handle(ShutdownStarted(left_us))
+                state.end_us = min(state.end_us, self.run.clock.now + remaining_us)
+            self.handle(ShutdownStarted(remaining_us))
 
     def sweep_idle_connections(self, epoch: int) -> None:
-        """Close connections that have been idle for too long, and drop the pools of servers that are gone."""
+        """Close connections that were idle for too long, and drop the pools of servers that have stopped."""
         if epoch != self.epoch:
             return
         clock, servers = self.run.clock, self.run.servers
@@ -233,14 +238,14 @@
         for name in list(self.idle_connections):
             server = servers.get(name)
             pool = self.idle_connections[name]
-            kept = (
+            remaining = (
                 [since_us for since_us in pool if since_us > oldest_us] if server and server.is_alive else []
             )
             if server and server.is_alive:
-                for _ in range(len(pool) - len(kept)):
+                for _ in range(len(pool) - len(remaining)):
                     server.disconnect()
-            if kept:
-                self.idle_connections[name] = kept
+            if remaining:
+                self.idle_connections[name] = remaining
             else:
                 del self.idle_connections[name]
         clock.after(IDLE_SWEEP_INTERVAL_US, self.sweep_idle_connections, epoch)
@@ -276,16 +281,16 @@
         """Handle a peer's datagram; drop it if datagrams arrive faster than the intake allows."""
         run, rate = self.run, self.run.scenario.net.peer_per_s
         if self.engine is None:
-            run.books.count_message("to a dead door")
+            run.accounting.count_message("to a dead door")
             return
         now_us = run.clock.now
         self.intake_level = max(0.0, self.intake_level - (now_us - self.intake_updated_us) * rate / S)
         self.intake_updated_us = now_us
         if self.intake_level + 1 > max(1.0, rate * PEER_INTAKE_BURST_S):
-            run.books.count_message("intake full")
+            run.accounting.count_message("intake full")
             return
         self.intake_level += 1
-        run.books.count_message("arrived", len(data))
+        run.accounting.count_message("arrived", len(data))
         datagram = unpack_datagram(data)
         if datagram is not None:
             self.handle(PeerMessageReceived(sender, datagram.quota_messages, datagram.digest))
@@ -295,11 +300,11 @@
         if self.engine is None:
             self.run.clients.unreached(request)
             return
-        if self.run.kept.handle_retry(request):
+        if self.run.takeover.handle_retry(request):
             return
         now_us = self.run.clock.now
-        left_us = max(0, request.end_us - now_us - int(self.run.scenario.net.way_ms * MS))
-        self.open_requests[request.id] = OpenRequest(request, now_us + left_us)
+        remaining_us = max(0, request.end_us - now_us - int(self.run.scenario.net.way_ms * MS))
+        self.open_requests[request.id] = OpenRequest(request, now_us + remaining_us)
         operation = request.operation
         customer = operation.customer
         self.handle(
@@ -308,7 +313,7 @@
                 operation.class_index,
                 customer.plan,
                 customer.name,
-                left_us,
+                remaining_us,
                 1.0,
                 customer.size,
                 customer.first,
@@ -319,7 +324,7 @@
 
     def take_over(self, item: WorkItem) -> None:
         """Continue a work item of a gateway that has died."""
-        end_us = self.run.kept.end_us(item)
+        end_us = self.run.takeover.end_us(item)
         request = ClientRequest(
             f"{item.operation.customer.name}.{next(self.run.takeover_numbers)}", item.operation, self, end_us
         )
@@ -363,13 +368,15 @@
             "",
         )
 
-    def on_client_timeout(self, request: ClientRequest) -> bool:
-        """Handle a client that disconnects. Return whether it was still owed an answer."""
+    def on_client_disconnect(self, request: ClientRequest) -> bool:
+        """Handle a client that disconnects. Return whether its request was still unanswered."""
         state = self.open_requests.get(request.id)
         if state is None or state.is_answered or self.engine is None:
             return False
         if self.run.clock.now > state.end_us + ANSWER_GRACE_US:
-            self.run.books.record_violation("no answer in time", f"door {self.number}, request {request.id}")
+            self.run.accounting.record_violation(
+                "no answer in time", f"door {self.number}, request {request.id}"
+            )
         state.is_answered = True
         if not state.in_flight:
             del self.open_requests[request.id]
@@ -380,14 +387,17 @@
     # --- actions ---
 
     def set_timer(self, action: SetTimer) -> None:
+        """Set the timer of a token; an earlier timer of that token no longer fires."""
         serial = self.timer_serials[action.token] = self.timer_serials.get(action.token, 0) + 1
         self.run.clock.after(action.delay_us, self.fire_timer, self.epoch, action.token, serial)
 
     def fire_timer(self, epoch: int, token: int, serial: int) -> None:
+        """Report a timer to the engine, unless it was replaced or the gateway has restarted."""
         if epoch == self.epoch and self.timer_serials.get(token) == serial:
             self.handle(TimerFired(token))
 
     def send_peer_message(self, action: SendPeerMessage) -> None:
+        """Send quota messages and the health digest to a peer, as datagrams."""
         for data in pack_datagrams(action.quota_messages, action.digest):
             self.run.network.send_datagram(self.number, action.peer, data)
 
@@ -396,20 +406,24 @@
         return self.recorder.by_request.get(request_id) if self.engine else None
 
     def reject_request(self, action: RejectRequest) -> None:
+        """Reject a request, with the time in microseconds after which to retry."""
         self.answer(action.id, "refused", action.retry_after_us)
 
     def fail_request(self, action: FailRequest) -> None:
+        """Answer a request with a failure."""
         self.answer(action.id, "failed", 0)
 
     def answer(self, request_id: str, result: str, retry_after_us: int) -> None:
         """Send the client a final answer other than a server's."""
         state = self.open_requests.get(request_id)
         if state is None or state.is_answered:
-            self.run.books.record_violation("a second answer", f"door {self.number}, request {request_id}")
+            self.run.accounting.record_violation(
+                "a second answer", f"door {self.number}, request {request_id}"
+            )
             return
         request_class = self.run.scenario.classes[state.request.operation.class_index]
         if result == "refused" and request_class.keyed and state.attempts_started > state.attempts_not_run:
-            self.run.books.record_violation(
+            self.run.accounting.record_violation(
                 "refused though it may have run", f"door {self.number}, request {request_id}"
             )
         state.is_answered = True
@@ -423,7 +437,7 @@
         state, run = self.open_requests.get(action.id), self.run
         now_us = run.clock.now
         if state is None or state.is_answered:
-            run.books.record_violation(
+            run.accounting.record_violation(
                 "an attempt for a request that is over", f"door {self.number}, {action.id}"
             )
             return
@@ -436,13 +450,13 @@
             state.in_flight[number] = attempt
             run.clock.after(0, self.end_attempt, self.epoch, state, attempt, AttemptResult.NOT_SENT)
             return
-        left_us = state.end_us - now_us
-        timeout_us = min(left_us, action.timeout_us) if action.timeout_us > 0 else left_us
+        remaining_us = state.end_us - now_us
+        timeout_us = min(remaining_us, action.timeout_us) if action.timeout_us > 0 else remaining_us
         attempt = state.in_flight[number] = Attempt(number, action.server, server, now_us)
         if state.first_server is None or state.attempts_started - 1 == state.attempts_not_run:
             state.first_server, state.first_sent_us = server, now_us
-        run.books.attempts += 1
-        run.books.cross_zone_attempts += bool(server) and server.zone != self.zone
+        run.accounting.attempts += 1
+        run.accounting.cross_zone_attempts += bool(server) and server.zone != self.zone
         run.clock.after(timeout_us, self.time_out_attempt, self.epoch, state, attempt)
         pool = self.idle_connections.get(action.server)
         if pool and server is not None and server.is_alive:
@@ -459,13 +473,13 @@
         run, now_us = self.run, self.run.clock.now
         where = f"door {self.number}, {action.id} to {action.server}"
         if action.server not in self.listed_servers:
-            run.books.record_violation("a server that no list named", where)
+            run.accounting.record_violation("a server that no list named", where)
         leaving_since_us = self.leaving_since_us.get(action.server)
         grace_us = run.scenario.drain_grace_ms * MS + TIME_LIMIT_SLACK_US
         if leaving_since_us is not None and now_us - leaving_since_us > grace_us:
-            run.books.record_violation("sent to a server that drains or is gone", where)
+            run.accounting.record_violation("sent to a server that drains or is gone", where)
         if len(state.in_flight) > 0:
-            run.books.record_violation("two attempts out at once", where)
+            run.accounting.record_violation("two attempts out at once", where)
         request_class = run.scenario.classes[state.request.operation.class_index]
         if (
             request_class.keyed
@@ -475,9 +489,9 @@
         ):
             window_us = request_class.window_ms * run.scenario.stretch * MS + TIME_LIMIT_SLACK_US
             if server.zone != state.first_server.zone:
-                run.books.record_violation("a keyed request sent on to another zone", where)
+                run.accounting.record_violation("a keyed request sent on to another zone", where)
             elif now_us - state.first_sent_us > window_us:
-                run.books.record_violation("a keyed request sent after its window", where)
+                run.accounting.record_violation("a keyed request sent after its window", where)
 
     def on_handshake_end(self, epoch: int, state: OpenRequest, attempt: Attempt, is_up: bool) -> None:
         """Send the request on a new connection, or end the attempt if the handshake has failed."""
@@ -486,7 +500,7 @@
             if is_up and server is not None:
                 server.disconnect()  # the attempt has ended in the meantime
             return
-        self.run.books.count_handshake()
+        self.run.accounting.count_handshake()
         if not is_up or server is None:
             self.end_attempt(epoch, state, attempt, AttemptResult.CONNECT_FAILED)
             return
@@ -523,7 +537,7 @@
             and self.run.scenario.classes[operation.class_index].keyed
             and server.zone not in operation.zones
         ):
-            self.run.books.zones += bool(operation.zones)
+            self.run.accounting.extra_zones += bool(operation.zones)
             operation.zones |= {server.zone}
         self.run.network.from_server(
             self, server, result, self.receive_answer, epoch, state, attempt, work, result
@@ -540,22 +554,24 @@
         self.end_attempt(epoch, state, attempt, RESULTS[result])
 
     def time_out_attempt(self, epoch: int, state: OpenRequest, attempt: Attempt) -> None:
+        """End an attempt whose time is up; it counts as not connected unless the request was fully sent."""
         if attempt.is_over or epoch != self.epoch:
             return
         result = AttemptResult.TIMEOUT if attempt.is_fully_sent else AttemptResult.CONNECT_FAILED
         self.end_attempt(epoch, state, attempt, result)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
+        """Cancel an attempt if it has not ended."""
         state = self.open_requests.get(action.id)
         attempt = state.in_flight.get(action.attempt) if state else None
         if attempt and not attempt.is_over:
             self.run.clock.after(0, self.end_attempt, self.epoch, state, attempt, AttemptResult.CANCELLED)
 
-    def release_connection(self, attempt: Attempt, keep: bool) -> None:
+    def release_connection(self, attempt: Attempt, can_reuse: bool) -> None:
         """Return an attempt's connection to the pool, or close it."""
         server = attempt.server
         if attempt.is_connected and server is not None and server.is_alive:
-            if keep:
+            if can_reuse:
                 self.idle_connections.setdefault(attempt.server_name, []).append(self.run.clock.now)
             else:
                 server.disconnect()
@@ -570,13 +586,13 @@
         attempt.is_over = True
         run, request = self.run, state.request
         self.release_connection(
-            attempt, keep=result in (SUCCESS, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
+            attempt, can_reuse=result in (SUCCESS, AttemptResult.ERROR, AttemptResult.AT_CAPACITY)
         )
         state.in_flight.pop(attempt.number, None)
         state.attempts_not_run += result in (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
         if state.attempts_started == state.attempts_not_run:
             state.first_server = None
-        run.books.outcomes[result.value] = run.books.outcomes.get(result.value, 0) + 1
+        run.accounting.outcomes[result.value] = run.accounting.outcomes.get(result.value, 0) + 1
         is_served = result is SUCCESS and not state.is_answered
         is_request_over = is_served or state.is_answered
         if is_served:
@@ -600,9 +616,11 @@
         """Ignore an action: the simulation watches the endpoint list anyway and has no probes or counters."""
 
     def write_log(self, action: WriteLog) -> None:
-        self.run.books.add_log_line(self.number, action.text)
+        """Record a log line of the engine."""
+        self.run.accounting.add_log_line(self.number, action.text)
 
     def close_idle_connections(self, action: CloseIdleConnections) -> None:
+        """Close all idle connections to a server."""
         server = self.run.servers.get(action.server)
         for _ in self.idle_connections.pop(action.server, ()):
             if server:
--- a/thistletrail/simulation/network.py
+++ b/thistletrail/simulation/network.py
@@ -11,30 +11,36 @@
 from thistletrail.simulation.streams import Stream
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import Gateway
+    from thistletrail.simulation.gateways import Gateway
+    from thistletrail.simulation.run import SimulationRun
 
 
 class Network:
     """The network between clients, gateways and scan servers.
 
-    A delay is a mean of the run for a pair of zones, with jitter. Nothing gets in or out of what is cut off.
+    A delay is a mean of the run for a pair of zones, with jitter. No message enters or leaves an isolated
+    zone or reaches an unreachable server.
     """
 
     def __init__(self, run: SimulationRun, clock: Clock, spec: Net, stream: Stream) -> None:
         self.run, self.clock, self.spec, self.stream = run, clock, spec, stream
-        self.same_us, self.cross_us = stream.span(spec.same_ms) * MS, stream.span(spec.cross_ms) * MS
-        self.client_us, self.jitter = stream.span(spec.client_ms) * MS, stream.span(spec.jitter)
-        self.peer_us, self.peer_loss = stream.span(spec.peer_ms) * MS, stream.span(spec.peer_loss)
+        self.same_us, self.cross_us = (
+            stream.uniform_in(spec.same_ms) * MS,
+            stream.uniform_in(spec.cross_ms) * MS,
+        )
+        self.client_us, self.jitter = stream.uniform_in(spec.client_ms) * MS, stream.uniform_in(spec.jitter)
+        self.peer_us, self.peer_loss = stream.uniform_in(spec.peer_ms) * MS, stream.uniform_in(spec.peer_loss)
         self.isolated_zones: set[int] = set()  # each reaches only itself
         self.unreachable_servers: set[str] = set()
         self.answer_loss = 0.0  # share of answers that are lost
         self.message_loss = 0.0  # share of peer messages that are lost in addition to `peer_loss`
 
     def are_zones_connected(self, zone: int, other_zone: int) -> bool:
+        """Return whether messages pass between two zones, or within one."""
         return zone == other_zone or not (zone in self.isolated_zones or other_zone in self.isolated_zones)
 
     def is_reachable(self, gateway: Gateway, server: ScanServer) -> bool:
+        """Return whether the network connects a gateway with a server."""
         return server.name not in self.unreachable_servers and self.are_zones_connected(
             gateway.zone, server.zone
         )
@@ -62,6 +68,7 @@
     def finish_handshake(
         self, gateway: Gateway, server: ScanServer, call: Callable[..., None], args: tuple[object, ...]
     ) -> None:
+        """Report whether the connection is up: the server may refuse it or have become unreachable."""
         call(*args, self.is_reachable(gateway, server) and server.connect())
 
     def to_server(
@@ -82,16 +89,16 @@
 
     def send_datagram(self, sender: int, peer: int, data: bytes) -> None:
         """Send a datagram from one gateway to another, and count its fate if it does not arrive."""
-        gateways, books = self.run.doors, self.run.books
+        gateways, accounting = self.run.gateways, self.run.accounting
         if not 0 <= peer < len(gateways):
-            books.record_violation("a message to nobody", f"door {sender} to {peer}")
+            accounting.record_violation("a message to nobody", f"door {sender} to {peer}")
             return
         if not self.are_zones_connected(gateways[sender].zone, gateways[peer].zone):
-            books.count_message("cut off")
+            accounting.count_message("cut off")
         elif self.stream.chance(self.peer_loss) or (
             self.message_loss and self.stream.chance(self.message_loss)
         ):
-            books.count_message("lost on the way")
+            accounting.count_message("lost on the way")
         else:
             delay_us = self.peer_us * (0.5 + self.stream.exponential(0.5))
             self.clock.after(delay_us, gateways[peer].receive_datagram, sender, data)
--- a/thistletrail/simulation/streams.py
+++ b/thistletrail/simulation/streams.py
@@ -32,27 +32,32 @@
             self.uniforms = self.generator.random(BLOCK_SIZE).tolist()
         return self.uniforms.pop()
 
-    def between(self, low: float, high: float) -> float:
+    def uniform_between(self, low: float, high: float) -> float:
+        """Return a number from `low` up to, but not including, `high`."""
         return low + (high - low) * self.uniform()
 
-    def span(self, pair: tuple[float, float]) -> float:
+    def uniform_in(self, bounds: tuple[float, float]) -> float:
         """Return a number from a range of a scenario, given as its lower and upper end."""
-        return self.between(*pair)
+        return self.uniform_between(*bounds)
 
     def chance(self, probability: float) -> bool:
+        """Return True with this probability."""
         return self.uniform() < probability
 
-    def below(self, count: int) -> int:
+    def integer_below(self, count: int) -> int:
         """Return an integer from 0 up to, but not including, `count`."""
         return int(self.uniform() * count)
 
-    def pick(self, values: Sequence[T]) -> T:
-        return values[self.below(len(values))]
+    def choice(self, values: Sequence[T]) -> T:
+        """Return one of the values, each with the same probability."""
+        return values[self.integer_below(len(values))]
 
     def exponential(self, mean: float) -> float:
+        """Return an exponentially distributed number with this mean."""
         return -mean * math.log1p(-self.uniform())
 
     def normal(self) -> float:
+        """Return a number from the standard normal distribution."""
         if not self.normals:
             self.normals = self.generator.standard_normal(BLOCK_SIZE).tolist()
         return self.normals.pop()
@@ -63,6 +68,7 @@
         return mean * math.exp(math.sqrt(variance) * self.normal() - variance / 2)
 
     def shuffled(self, values: Sequence[T]) -> list[T]:
+        """Return the values in random order."""
         return [values[index] for index in self.generator.permutation(len(values)).tolist()]
 
     def draw_seed(self) -> int:
--- a/thistletrail/simulation/kept.py
+++ b/thistletrail/simulation/work_takeover.py
@@ -1,7 +1,7 @@
 """Simulated takeover: work items outlive the gateway that had them in flight.
 
 Of docs/takeover.md this models who owns a work item, the work lease, a random gateway that takes it over,
-the zone, clients that retry, and results that are kept. It leaves out the time that the log takes (some
+the zone, clients that retry, and stored results. It leaves out the time that the log takes (some
 milliseconds), failures of the lease service, paused gateways, and bounds.
 """
 
@@ -14,8 +14,8 @@
 
 if TYPE_CHECKING:
     from thistletrail.simulation.clients import ClientRequest, Operation
-    from thistletrail.simulation.day import SimulationRun
-    from thistletrail.simulation.doors import OpenRequest
+    from thistletrail.simulation.gateways import OpenRequest
+    from thistletrail.simulation.run import SimulationRun
     from thistletrail.simulation.servers import ScanServer
 
 WORK_LEASE_US = S
@@ -47,7 +47,7 @@
         self.run, self.is_enabled = run, run.scenario.takeover
         self.items: dict[Operation, WorkItem] = {}
         self.counts: Counter[str] = Counter()
-        self.taken: Counter[tuple[int, int]] = Counter()  # by second and gateway
+        self.taken: Counter[tuple[int, int]] = Counter()  # takeovers by second and gateway
 
     def add_lost(self, state: OpenRequest) -> None:
         """Add a request of a gateway that has died, if an attempt may have reached a server."""
@@ -79,7 +79,7 @@
         """Assign an item whose work lease has expired to a random gateway, or close it."""
         if item.state != "lost":
             return
-        running = [gateway for gateway in self.run.doors if gateway.is_alive]
+        running = [gateway for gateway in self.run.gateways if gateway.is_alive]
         if item.deaths >= MAX_DEATHS:
             self.close(item, "over", "failed")
         elif self.run.clock.now >= self.end_us(item):
@@ -88,9 +88,9 @@
             self.run.clock.after(REASSIGN_INTERVAL_US, self.assign, item)
         else:
             item.state = "taken"
-            gateway = self.run.streams["kept"].pick(running)
+            gateway = self.run.streams["kept"].choice(running)
             self.counts["taken"] += 1
-            self.taken[self.run.books.second, gateway.number] += 1
+            self.taken[self.run.accounting.second, gateway.number] += 1
             gateway.take_over(item)
 
     def on_taker_done(self, item: WorkItem, result: str) -> None:
@@ -110,6 +110,7 @@
                 self.answer(item, request, result)
 
     def answer(self, item: WorkItem, request: ClientRequest, result: str) -> None:
+        """Answer a request with the result of its work item, whose units have been charged."""
         request.is_charged, request.is_in_quota = True, item.is_in_quota
         self.counts[f"told {result}"] += 1
         retry_after_us = WORK_LEASE_US if result == "refused" else 0
@@ -131,7 +132,7 @@
         return True
 
     def forget(self, operation: Operation) -> None:
-        """Forget an operation that has ended at its client. A gateway that has taken it over goes on."""
+        """Forget an operation that has ended at its client. A gateway that has taken it over continues."""
         self.items.pop(operation, None)
 
     def result(self) -> dict[str, int]:
