--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -204,15 +204,23 @@
 def test_another_lease_service_grants_while_the_leader_is_paused_and_after_all_are_killed(
     lease_services_history: RunHistory,
 ) -> None:
-    (paused_us,) = [record["at"] for record in lease_services_history.by["fault"] if record["number"] == 0]
-    (resumed_us,) = [record["at"] for record in lease_services_history.by["undone"] if record["number"] == 0]
-    grants = [(record["at"], record["steward"]) for record in lease_services_history.by["granted"]]
+    (paused_us,) = [
+        record["at"] for record in lease_services_history.records_by_kind["fault"] if record["number"] == 0
+    ]
+    (resumed_us,) = [
+        record["at"] for record in lease_services_history.records_by_kind["undone"] if record["number"] == 0
+    ]
+    grants = [
+        (record["at"], record["steward"]) for record in lease_services_history.records_by_kind["granted"]
+    ]
     assert len({lease_service for _, lease_service in grants}) >= 2
     assert "steward-0" not in {
         lease_service for at_us, lease_service in grants if paused_us + US_PER_S // 2 < at_us < resumed_us
     }
     last_start_us = max(
-        record["at"] for record in lease_services_history.by["started"] if record["who"].startswith("steward")
+        record["at"]
+        for record in lease_services_history.records_by_kind["started"]
+        if record["who"].startswith("steward")
     )
     assert any(at_us > last_start_us for at_us, _ in grants)
 
@@ -226,9 +234,9 @@
     assert plan.limits.quota_share == plan.limits.quota_units == 0
     history = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(history) == []
-    served_ids = {record["id"] for record in history.by["end"] if record["how"] == "served"}
+    served_ids = {record["id"] for record in history.records_by_kind["end"] if record["how"] == "served"}
     costly_plans = {plan.name for plan in plan.fleet.plans if plan.over_cost > plan.over_worth}
-    attempts = history.by["came"]
+    attempts = history.records_by_kind["came"]
     assert sum(record["plan"] in costly_plans and record["id"] in served_ids for record in attempts) > 50
-    kinds = {name.split("/")[0] for record in history.by["granted"] for name in record["parts"]}
+    kinds = {name.split("/")[0] for record in history.records_by_kind["granted"] for name in record["parts"]}
     assert kinds == {"ceiling", "quota"}
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -24,15 +24,15 @@
     """Return the times of the records of a kind that have these values, in microseconds."""
     return [
         record["at"]
-        for record in history.by[kind]
+        for record in history.records_by_kind[kind]
         if all(record.get(name) == value for name, value in values.items())
     ]
 
 
 def test_faults_of_the_registry_violate_no_rule_and_fail_no_request(lists_history: RunHistory) -> None:
     assert check(lists_history) == []
-    assert len(lists_history.by["end"]) > 100
-    assert not [record for record in lists_history.by["end"] if record["how"] == "failed"]
+    assert len(lists_history.records_by_kind["end"]) > 100
+    assert not [record for record in lists_history.records_by_kind["end"] if record["how"] == "failed"]
 
 
 def test_sighup_moves_gateways_to_the_other_registry_without_an_interruption(
@@ -42,7 +42,7 @@
     for gateway in (0, 2):
         (log_text,) = [
             record["text"]
-            for record in lists_history.by["door"]
+            for record in lists_history.records_by_kind["door"]
             if record["door"] == gateway and "takes over the configuration" in record["text"]
         ]
         assert log_text.count(":") == 2  # one address
@@ -61,11 +61,15 @@
 ) -> None:
     (killed_us,) = [
         time_us
-        for number, time_us in ((record["number"], record["at"]) for record in lists_history.by["fault"])
+        for number, time_us in (
+            (record["number"], record["at"]) for record in lists_history.records_by_kind["fault"]
+        )
         if number == 1
     ]
     for gateway in range(4):
-        updates = [record for record in lists_history.by["told"] if record["door"] == f"doors-{gateway}"]
+        updates = [
+            record for record in lists_history.records_by_kind["told"] if record["door"] == f"doors-{gateway}"
+        ]
         before = max(record["generation"] for record in updates if record["at"] < killed_us)
         after = [record for record in updates if record["at"] > killed_us]
         assert after[0]["whole"] and min(record["generation"] for record in after) > before
@@ -81,7 +85,7 @@
     (restored_us,) = times_of(lists_history, "undone", fault="cut")
     not_serving = {
         name
-        for record in lists_history.by["told"]
+        for record in lists_history.records_by_kind["told"]
         for name, state in record["servers"].items()
         if state != "SERVING"
     }
@@ -89,7 +93,7 @@
     assert len(not_serving) == 1 and not not_serving & {"servers-1", "servers-3", "servers-5"}
     attempts_in_zone = [
         record
-        for record in lists_history.by["came"]
+        for record in lists_history.records_by_kind["came"]
         if record["zone"] == 1 and cut_us + lists_history.plan.lease_s * US_PER_S < record["at"] < restored_us
     ]
     assert attempts_in_zone
