--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -311,12 +311,18 @@
 ) -> None:
     """The fleet as a whole exceeds no ceiling; the floors alone would admit no request of that plan."""
     assert check(lease_run) == []
-    gateways = {record["sides"][0] for record in lease_run.by["open"] if record["link"] == "doors-steward"}
+    gateways = {
+        record["sides"][0]
+        for record in lease_run.records_by_kind["open"]
+        if record["link"] == "doors-steward"
+    }
     assert gateways == {f"doors-{number}" for number in range(6)}
-    assert {record["who"] for record in lease_run.by["died"]} >= {"steward-0"}
-    restarted_at = max(record["at"] for record in lease_run.by["started"] if record["who"] == "steward-0")
+    assert {record["who"] for record in lease_run.records_by_kind["died"]} >= {"steward-0"}
+    restarted_at = max(
+        record["at"] for record in lease_run.records_by_kind["started"] if record["who"] == "steward-0"
+    )
     arrivals_with_ceiling = [
-        record["at"] for record in lease_run.by["came"] if record["plan"] == "institution"
+        record["at"] for record in lease_run.records_by_kind["came"] if record["plan"] == "institution"
     ]
     assert len(arrivals_with_ceiling) > 50
     assert any(at > restarted_at + S for at in arrivals_with_ceiling)
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -161,12 +161,14 @@
 
 
 def test_another_takes_over_from_one_that_hangs_and_after_all_have_died(stewards: RunHistory) -> None:
-    (hung,) = [record["at"] for record in stewards.by["fault"] if record["number"] == 0]
-    (woke,) = [record["at"] for record in stewards.by["undone"] if record["number"] == 0]
-    grants = [(record["at"], record["steward"]) for record in stewards.by["granted"]]
+    (hung,) = [record["at"] for record in stewards.records_by_kind["fault"] if record["number"] == 0]
+    (woke,) = [record["at"] for record in stewards.records_by_kind["undone"] if record["number"] == 0]
+    grants = [(record["at"], record["steward"]) for record in stewards.records_by_kind["granted"]]
     assert len({who for _, who in grants}) >= 2
     assert "steward-0" not in {who for at, who in grants if hung + S // 2 < at < woke}
-    last = max(record["at"] for record in stewards.by["started"] if record["who"].startswith("steward"))
+    last = max(
+        record["at"] for record in stewards.records_by_kind["started"] if record["who"].startswith("steward")
+    )
     assert any(at > last for at, _ in grants)
 
 
@@ -176,8 +178,11 @@
     assert plan.limits.quota_share == plan.limits.quota_units == 0
     seen = play_once(plan, 1, HERE, lambda text: None)
     assert check(seen) == []
-    served = {record["id"] for record in seen.by["end"] if record["how"] == "served"}
+    served = {record["id"] for record in seen.records_by_kind["end"] if record["how"] == "served"}
     costly = {plan.name for plan in plan.fleet.plans if plan.over_cost > plan.over_worth}
-    assert sum(record["plan"] in costly and record["id"] in served for record in seen.by["came"]) > 50
-    kinds = {name.split("/")[0] for record in seen.by["granted"] for name in record["parts"]}
+    assert (
+        sum(record["plan"] in costly and record["id"] in served for record in seen.records_by_kind["came"])
+        > 50
+    )
+    kinds = {name.split("/")[0] for record in seen.records_by_kind["granted"] for name in record["parts"]}
     assert kinds == {"ceiling", "quota"}
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -23,15 +23,15 @@
     """When it was noted so."""
     return [
         record["at"]
-        for record in seen.by[kind]
+        for record in seen.records_by_kind[kind]
         if all(record.get(name) == value for name, value in values.items())
     ]
 
 
 def test_every_rule_is_kept_and_no_request_fails(lists: RunHistory) -> None:
     assert check(lists) == []
-    assert len(lists.by["end"]) > 100
-    assert not [record for record in lists.by["end"] if record["how"] == "failed"]
+    assert len(lists.records_by_kind["end"]) > 100
+    assert not [record for record in lists.records_by_kind["end"] if record["how"] == "failed"]
 
 
 def test_doors_are_moved_to_the_other_service_by_a_signal(lists: RunHistory) -> None:
@@ -39,7 +39,7 @@
     for door in (0, 2):
         (said,) = [
             record["text"]
-            for record in lists.by["door"]
+            for record in lists.records_by_kind["door"]
             if record["door"] == door and "takes over the configuration" in record["text"]
         ]
         assert said.count(":") == 2  # one address
@@ -52,11 +52,11 @@
 def test_an_emptied_service_is_filled_again_and_its_history_replaces_the_old_one(lists: RunHistory) -> None:
     (killed,) = [
         when
-        for number, when in ((record["number"], record["at"]) for record in lists.by["fault"])
+        for number, when in ((record["number"], record["at"]) for record in lists.records_by_kind["fault"])
         if number == 1
     ]
     for door in range(4):
-        told = [record for record in lists.by["told"] if record["door"] == f"doors-{door}"]
+        told = [record for record in lists.records_by_kind["told"] if record["door"] == f"doors-{door}"]
         before = max(record["generation"] for record in told if record["at"] < killed)
         after = [record for record in told if record["at"] > killed]
         assert after[0]["whole"] and min(record["generation"] for record in after) > before
@@ -68,12 +68,15 @@
 def test_a_zone_that_is_cut_off_from_the_service_alone_is_served_on(lists: RunHistory) -> None:
     (cut,), (mended,) = at(lists, "fault", fault="cut"), at(lists, "undone", fault="cut")
     gone = {
-        name for record in lists.by["told"] for name, state in record["servers"].items() if state != "SERVING"
+        name
+        for record in lists.records_by_kind["told"]
+        for name, state in record["servers"].items()
+        if state != "SERVING"
     }
     assert len(gone) == 1 and not gone & {"servers-1", "servers-3", "servers-5"}  # the one that was replaced
     there = [
         record
-        for record in lists.by["came"]
+        for record in lists.records_by_kind["came"]
         if record["zone"] == 1 and cut + lists.plan.lease_s * S < record["at"] < mended
     ]
     assert there
--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -43,22 +43,31 @@
 
 def test_short_plan_breaks_no_rule(short_run: Run) -> None:
     assert short_run.violations == []
-    count = Counter(record["who"].partition("-")[0] for record in short_run.history.by["started"])
+    count = Counter(
+        record["who"].partition("-")[0] for record in short_run.history.records_by_kind["started"]
+    )
     assert count == {"doors": 4 + 2, "servers": 4 + 1, "list": 2, "follower": 1, "clients": 1}
-    assert all(record["meant"] for record in short_run.history.by["died"])
-    assert {record["fault"] for record in short_run.history.by["undone"]} == {"kill", "replace"}
-    assert len(short_run.history.by["pong"]) >= 4 + 2
+    assert all(record["meant"] for record in short_run.history.records_by_kind["died"])
+    assert {record["fault"] for record in short_run.history.records_by_kind["undone"]} == {"kill", "replace"}
+    assert len(short_run.history.records_by_kind["pong"]) >= 4 + 2
 
 
 def test_short_plan_records_what_each_process_observed(short_run: Run) -> None:
-    requests, ended = short_run.history.by["try"], {record["id"] for record in short_run.history.by["end"]}
+    requests, ended = (
+        short_run.history.records_by_kind["try"],
+        {record["id"] for record in short_run.history.records_by_kind["end"]},
+    )
     assert len(requests) > 100 and {record["id"] for record in requests} <= ended
-    drained = [record for record in short_run.history.by["told"] if "DRAINING" in record["servers"].values()]
+    drained = [
+        record
+        for record in short_run.history.records_by_kind["told"]
+        if "DRAINING" in record["servers"].values()
+    ]
     assert {record["door"] for record in drained} == {f"doors-{n}" for n in range(4)}
-    assert {record["door"] for record in short_run.history.by["door"]} == {0, 1, 2, 3}
+    assert {record["door"] for record in short_run.history.records_by_kind["door"]} == {0, 1, 2, 3}
     # The baseline run has the same operations.
     customers = [
-        sorted(record["customer"] for record in history.by["ask"])
+        sorted(record["customer"] for record in history.records_by_kind["ask"])
         for history in (short_run.history, short_run.baseline)
     ]
     assert customers[0] == customers[1]
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -32,7 +32,7 @@
 
 def log_of(seen: RunHistory, gateway: int) -> str:
     """All log lines of a gateway."""
-    return "\n".join(record["text"] for record in seen.by["door"] if record["door"] == gateway)
+    return "\n".join(record["text"] for record in seen.records_by_kind["door"] if record["door"] == gateway)
 
 
 @pytest.fixture(scope="module")
@@ -44,23 +44,33 @@
     list_restart_history: RunHistory,
 ) -> None:
     started_at = {
-        record["who"]: record["at"] for record in list_restart_history.by["started"] if record["at"] > 0
+        record["who"]: record["at"]
+        for record in list_restart_history.records_by_kind["started"]
+        if record["at"] > 0
     }
     gateways_at = max(started_at[f"doors-{n}"] for n in range(4))
     registry_at = min(started_at["list-0"], started_at["follower-0"])
     assert gateways_at < registry_at
-    assert [record for record in list_restart_history.by["came"] if gateways_at < record["at"] < registry_at]
+    assert [
+        record
+        for record in list_restart_history.records_by_kind["came"]
+        if gateways_at < record["at"] < registry_at
+    ]
     for gateway in range(4):
         assert "takes up a snapshot of" in log_of(list_restart_history, gateway)
 
 
 def test_endpoint_list_is_read_after_the_registry_restarts(list_restart_history: RunHistory) -> None:
     registry_at = max(
-        record["at"] for record in list_restart_history.by["started"] if record["who"] == "list-0"
+        record["at"]
+        for record in list_restart_history.records_by_kind["started"]
+        if record["who"] == "list-0"
     )
-    assert {record["door"] for record in list_restart_history.by["told"] if record["at"] > registry_at} == {
-        f"doors-{n}" for n in range(4)
-    }
+    assert {
+        record["door"]
+        for record in list_restart_history.records_by_kind["told"]
+        if record["at"] > registry_at
+    } == {f"doors-{n}" for n in range(4)}
 
 
 def test_aged_snapshot_differs_only_in_its_time() -> None:
@@ -80,32 +90,36 @@
     wait_count = log_of(seen, 3).count("has started again and again: it waits for")
     assert wait_count >= 1  # the third start within ten seconds, and each one after it
     assert "waits for" not in log_of(seen, 0)
-    start_count = sum(record["who"] == "doors-3" for record in seen.by["started"])
+    start_count = sum(record["who"] == "doors-3" for record in seen.records_by_kind["started"])
     assert start_count == 1 + 3
 
 
 def test_gateway_resumed_or_terminated_during_recovery_breaks_no_rule() -> None:
     seen = play_without_violations("wake")
-    resumed_at = next(record["at"] for record in seen.by["woke"] if record["who"] == "doors-1")
-    drained = [record for record in seen.by["told"] if "DRAINING" in record["servers"].values()]
+    resumed_at = next(record["at"] for record in seen.records_by_kind["woke"] if record["who"] == "doors-1")
+    drained = [record for record in seen.records_by_kind["told"] if "DRAINING" in record["servers"].values()]
     assert any(record["door"] == "doors-1" for record in drained)
-    assert [record for record in seen.by["sent"] if record["door"] == "doors-1" and record["at"] > resumed_at]
-    died = [record for record in seen.by["died"] if record["who"] == "doors-2"]
+    assert [
+        record
+        for record in seen.records_by_kind["sent"]
+        if record["door"] == "doors-1" and record["at"] > resumed_at
+    ]
+    died = [record for record in seen.records_by_kind["died"] if record["who"] == "doors-2"]
     assert [record["code"] for record in died][:2] == [-9, 0]  # SIGTERM during recovery: a clean exit
 
 
 def test_only_remaining_gateway_takes_ten_times_the_load_and_breaks_no_rule() -> None:
     seen = play_without_violations("rest")
-    (killed_at,) = [record["at"] for record in seen.by["fault"] if record["fault"] == "kill"]
-    restarted_at = min(record["at"] for record in seen.by["started"] if record["at"] > killed_at)
-    ends = [record for record in seen.by["end"] if killed_at < record["at"] < restarted_at]
+    (killed_at,) = [record["at"] for record in seen.records_by_kind["fault"] if record["fault"] == "kill"]
+    restarted_at = min(record["at"] for record in seen.records_by_kind["started"] if record["at"] > killed_at)
+    ends = [record for record in seen.records_by_kind["end"] if killed_at < record["at"] < restarted_at]
     served = [record for record in ends if record["how"] == "served"]
     assert served and any(record["how"] == "refused" for record in ends)
     # After the restart of the others all gateways serve.
-    gateway_by_request = {record["id"]: record["door"] for record in seen.by["try"]}
+    gateway_by_request = {record["id"]: record["door"] for record in seen.records_by_kind["try"]}
     assert {
         gateway_by_request[record["id"]]
-        for record in seen.by["end"]
+        for record in seen.records_by_kind["end"]
         if record["how"] == "served" and record["at"] > restarted_at
     } == {0, 1, 2, 3}
 
@@ -155,11 +169,17 @@
     plan = msgspec.structs.replace(plan, name="homes", state=False, faults=(kill,))
     seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
-    restarted_at = max(record["at"] for record in seen.by["started"] if record["who"] == f"doors-{owners[0]}")
+    restarted_at = max(
+        record["at"] for record in seen.records_by_kind["started"] if record["who"] == f"doors-{owners[0]}"
+    )
     served = {
-        record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > restarted_at
+        record["id"]
+        for record in seen.records_by_kind["end"]
+        if record["how"] == "served" and record["at"] > restarted_at
     }
-    assert {record["door"] for record in seen.by["try"] if record["id"] in served} == set(range(4))
+    assert {record["door"] for record in seen.records_by_kind["try"] if record["id"] in served} == set(
+        range(4)
+    )
 
 
 def test_second_restart_during_recovery_with_cold_scan_servers_and_an_older_list_breaks_no_rule() -> None:
@@ -181,12 +201,16 @@
     plan = replace(plan, fleet=fleet, state=True, faults=(*waves, *others))
     seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
-    assert not seen.by["fell"]  # no cold scan server collapsed
-    assert sum(record["who"] == "doors-0" for record in seen.by["started"]) == 3
+    assert not seen.records_by_kind["fell"]  # no cold scan server collapsed
+    assert sum(record["who"] == "doors-0" for record in seen.records_by_kind["started"]) == 3
     assert log_of(seen, 0).count("is rejected: written 36") == 1
     assert "takes up a snapshot of" in log_of(seen, 3)
-    restarted_at = max(record["at"] for record in seen.by["started"])
+    restarted_at = max(record["at"] for record in seen.records_by_kind["started"])
     served = {
-        record["id"] for record in seen.by["end"] if record["how"] == "served" and record["at"] > restarted_at
+        record["id"]
+        for record in seen.records_by_kind["end"]
+        if record["how"] == "served" and record["at"] > restarted_at
     }
-    assert {record["door"] for record in seen.by["try"] if record["id"] in served} == set(range(4))
+    assert {record["door"] for record in seen.records_by_kind["try"] if record["id"] in served} == set(
+        range(4)
+    )
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -293,5 +293,5 @@
 
 def test_rules_hold_while_gateways_are_killed_paused_and_drained(takeover_history: RunHistory) -> None:
     assert check(takeover_history) == []
-    log_texts = [record["text"] for record in takeover_history.by["door"]]
+    log_texts = [record["text"] for record in takeover_history.records_by_kind["door"]]
     assert any(text.startswith("work leases: ") and "begun 0" not in text for text in log_texts)
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -38,7 +38,7 @@
     errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, ModelError, BenchError)
 
 
-def say(text: str) -> None:
+def report_progress(text: str) -> None:
     """Print progress to standard error."""
     click.echo(text, err=True)
 
@@ -97,7 +97,7 @@
 @OUT
 def run_(plan: str, seed: int, twin: bool, tree: Path, out: Path | None) -> None:
     """Play PLAN (a name or a .toml file) with real processes. The exit code is 3 if a rule was broken."""
-    result = run(load(plan), seed, prepare(tree), say, twin)
+    result = run(load(plan), seed, prepare(tree), report_progress, twin)
     if out is not None:
         store_run(result, out)
     click.echo(format_table(figure_table([("value", [result.figures.as_json()])])))
@@ -122,7 +122,7 @@
             for side in order:
                 result = run(loaded_plan, first + number, trees[side], lambda text: None)
                 sides[side].append(result)
-                say(
+                report_progress(
                     f"{side}, seed {first + number}: full service {result.figures.full_s}, "
                     f"{len(result.violations)} broken"
                 )
@@ -176,7 +176,7 @@
             theirs = stack.enter_context(revision(against)).root
             cases += list_cases({against: theirs}, shares, ["none"], seed_range)
             cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
-        results = measure(loaded_plan, cases, jobs, out, say)
+        results = measure(loaded_plan, cases, jobs, out, report_progress)
     click.echo(format_table(table(results)))
     for result in results:
         for violation in result.violations:
@@ -208,11 +208,13 @@
         )
     tree, real, simulated = prepare(ROOT), [], []
     for seed in range(first, first + seeds):
-        result = run(loaded_plan, seed, tree, say)
+        result = run(loaded_plan, seed, tree, report_progress)
         print_violations(result)
         real.append(result.figures.as_json())
         simulated.append(simulated_figures(scenario, seed))
-        say(f"seed {seed}: full service {real[-1]['full_s']}, in the model {simulated[-1]['full_s']}")
+        report_progress(
+            f"seed {seed}: full service {real[-1]['full_s']}, in the model {simulated[-1]['full_s']}"
+        )
     click.echo(format_table(figure_table([("fault injection", real), ("model", simulated)])))
 
 
@@ -256,7 +258,7 @@
     """Play random plans; one that breaks a rule is shrunk and stored as a .toml file."""
     from thistletrail.fault_injection.soak import soak as run_soak
 
-    result = run_soak(seed, minutes, prepare(ROOT), out, say, count)
+    result = run_soak(seed, minutes, prepare(ROOT), out, report_progress, count)
     click.echo(f"{result.played} plans played, {len(result.stored)} kept")
     for path in result.stored:
         click.echo(str(path))
@@ -280,7 +282,7 @@
     tree, has_violations = prepare(ROOT), False
     click.echo("seed  most held  regained s  not regained  renewals  stewards  served  broken")
     for seed in range(first, first + seeds):
-        result = run(loaded_plan, seed, tree, say, with_baseline=False)
+        result = run(loaded_plan, seed, tree, report_progress, with_baseline=False)
         print_violations(result)
         count, leases = len(result.violations), lease_summary(result.history)
         regained = format_value(leases.regained_s)
@@ -317,10 +319,18 @@
         with TemporaryDirectory(prefix="deaths-") as folder:
             crashes += asyncio.run(
                 inject_crashes(
-                    tree, Path(folder), chosen_points, EFFECTS, count, seed, doors, not without, say
+                    tree,
+                    Path(folder),
+                    chosen_points,
+                    EFFECTS,
+                    count,
+                    seed,
+                    doors,
+                    not without,
+                    report_progress,
                 )
             )
-        say(f"seed {seed}: {len(crashes)} deaths so far")
+        report_progress(f"seed {seed}: {len(crashes)} deaths so far")
     click.echo(table(crashes))
     for crash in crashes:
         if crash.violation:
--- a/thistletrail/fault_injection/back.py
+++ b/thistletrail/fault_injection/back.py
@@ -101,7 +101,9 @@
     return load_run(folder)
 
 
-def measure(plan: Plan, cases: list[Case], jobs: int, out: Path, say: Callable[[str], None]) -> list[Result]:
+def measure(
+    plan: Plan, cases: list[Case], jobs: int, out: Path, report_progress: Callable[[str], None]
+) -> list[Result]:
     """Play all cases and compare each with its baseline run. The first failure stops all other runs."""
     runner, pool = Runner(jobs, TERMINATION_TIMEOUT_S), ThreadPoolExecutor(jobs)
     try:
@@ -109,7 +111,7 @@
         runs: dict[Case, Run] = {}
         for case, future in zip(cases, futures, strict=True):
             runs[case] = future.result()
-            say(
+            report_progress(
                 f"{len(runs)} of {len(cases)}: {case.name}: served {runs[case].figures.served:.3f}, "
                 f"{len(runs[case].violations)} broken"
             )
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -60,12 +60,12 @@
 
     def __init__(self, records: Iterable[Record], plan: Plan, seed: int = 0) -> None:
         self.plan, self.seed = plan, seed
-        self.by: dict[str, list[Record]] = defaultdict(list)
+        self.records_by_kind: dict[str, list[Record]] = defaultdict(list)
         for record in records:
-            self.by[record["kind"]].append(record)
+            self.records_by_kind[record["kind"]].append(record)
         self.down, self.paused, self.links, self.stalled = Spans(), Spans(), Spans(), Spans()
         # When fault injection's or its clients' event loop was late, the processes under test are excused.
-        for record in self.by["stalled"]:
+        for record in self.records_by_kind["stalled"]:
             self.stalled.add(
                 "", record["at"] - record["us"] - FAULT_AFTERMATH_US, record["at"] + FAULT_AFTERMATH_US
             )
@@ -74,8 +74,8 @@
 
     def read_fault_spans(self) -> None:
         """Collect the spans of faults on links and of pauses, each with its aftermath."""
-        fault_ends_us = {record["number"]: record["at"] for record in self.by["undone"]}
-        for record in self.by["fault"]:
+        fault_ends_us = {record["number"]: record["at"] for record in self.records_by_kind["undone"]}
+        for record in self.records_by_kind["fault"]:
             end_us = fault_ends_us.get(record["number"], NEVER_US) + FAULT_AFTERMATH_US
             spans = self.links if record["fault"] in ON_LINKS else self.paused
             if record["fault"] in (*ON_LINKS, "pause"):
@@ -86,7 +86,8 @@
         """Collect the spans in which a process is down: from the fault, or its end, until it serves again."""
         down_since_us: dict[str, int] = {}
         for record in sorted(
-            (*self.by["died"], *self.by["started"], *self.by["fault"]), key=lambda record: record["at"]
+            (*self.records_by_kind["died"], *self.records_by_kind["started"], *self.records_by_kind["fault"]),
+            key=lambda record: record["at"],
         ):
             if record["kind"] == "fault":
                 names = record["struck"] if record["fault"] in ("kill", "term") else []
@@ -122,9 +123,9 @@
     in flight.
     """
     violations = []
-    requests = {record["id"]: record for record in history.by["try"]}
+    requests = {record["id"]: record for record in history.records_by_kind["try"]}
     end_counts: dict[str, int] = defaultdict(int)
-    for end in history.by["end"]:
+    for end in history.records_by_kind["end"]:
         end_counts[end["id"]] += 1
         if end_counts[end["id"]] > 1:
             violations.append(Violation("one answer", end["at"], f"request {end['id']} ended twice"))
@@ -141,7 +142,7 @@
                     f"door {request['door']} closed the connection of request {end['id']} without an answer",
                 )
             )
-    for record in history.by["lost"]:
+    for record in history.records_by_kind["lost"]:
         request = requests[record["id"]]
         if not history.is_excused(request["door"], request["at"], record["at"]):
             violations.append(
@@ -153,7 +154,7 @@
             )
     violations += [
         Violation("one answer", record["at"], f"an answer that nobody asked for: {record['data']}")
-        for record in history.by["extra"]
+        for record in history.records_by_kind["extra"]
     ]
     violations += [
         Violation("one answer", request["at"], f"request {request['id']} never ended at its client")
@@ -165,14 +166,14 @@
 
 def attempts_of(history: RunHistory) -> dict[str, list[tuple[Record, int, str]]]:
     """By request id: each attempt that arrived completely, the time of its end, and its outcome."""
-    ends = {(record["server"], record["serial"]): record for record in history.by["left"]}
+    ends = {(record["server"], record["serial"]): record for record in history.records_by_kind["left"]}
     attempts_by_request: dict[str, list[tuple[Record, int, str]]] = defaultdict(list)
-    for record in history.by["came"]:
+    for record in history.records_by_kind["came"]:
         end = ends.get((record["server"], record["serial"]))
         if end is None:  # its scan server was killed while it ran
             death_times_us = [
                 death["at"]
-                for death in history.by["died"]
+                for death in history.records_by_kind["died"]
                 if death["who"] == record["server"] and death["at"] >= record["at"]
             ]
             attempts_by_request[record["id"]].append((record, min(death_times_us, default=NEVER_US), "lost"))
@@ -213,15 +214,15 @@
         return []
     violations: list[Violation] = []
     rules = {rule.name: rule for rule in history.plan.fleet.classes}
-    ends = {(record["server"], record["serial"]): record for record in history.by["left"]}
-    request_by_id = {record["id"]: record for record in history.by["try"]}
+    ends = {(record["server"], record["serial"]): record for record in history.records_by_kind["left"]}
+    request_by_id = {record["id"]: record for record in history.records_by_kind["try"]}
     served_at_us = {
         request_by_id[record["id"]]["key"]: record["at"]
-        for record in reversed(history.by["end"])
+        for record in reversed(history.records_by_kind["end"])
         if record["how"] == "served" and record["id"] in request_by_id
     }
     executed_by_key: dict[str, list[Record]] = defaultdict(list)
-    for record in history.by["came"]:
+    for record in history.records_by_kind["came"]:
         end = ends.get((record["server"], record["serial"]))
         if (
             record["key"]
@@ -274,7 +275,11 @@
     grace_us = (history.plan.fleet.drain_grace_ms + history.plan.limits.drain_ms) * MS
     leaving_since_us: dict[str, dict[str, int]] = defaultdict(dict)  # by gateway and server
     known_servers: dict[str, set[str]] = defaultdict(set)
-    records = (*history.by["told"], *history.by["sent"], *history.by["started"])
+    records = (
+        *history.records_by_kind["told"],
+        *history.records_by_kind["sent"],
+        *history.records_by_kind["started"],
+    )
     for record in sorted(records, key=lambda record: record["at"]):
         door, at_us = record.get("door", record.get("who")), record["at"]
         if record["kind"] == "started":  # a new process knows only what it is notified of
@@ -316,7 +321,7 @@
     account_by_customer: dict[str, Account] = {}
     units: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     counted_ids: set[str] = set()
-    for record in history.by["came"]:
+    for record in history.records_by_kind["came"]:
         if record["id"] in counted_ids:
             continue
         counted_ids.add(record["id"])
@@ -337,7 +342,7 @@
     """
     violations, (account_by_customer, units), limits = [], accounts(history), history.plan.limits
     customers: dict[str, set[str]] = defaultdict(set)
-    for record in history.by["came"]:
+    for record in history.records_by_kind["came"]:
         customers[record["plan"]].add(record["customer"])
     for plan in history.plan.fleet.plans:
         sent = units.get(plan.name, [])
@@ -354,7 +359,7 @@
     violations += [
         Violation(
             "ceilings",
-            history.by["came"][-1]["at"],
+            history.records_by_kind["came"][-1]["at"],
             f"customer {name}: {-account.min_level:.1f} units beyond its ceiling, {account.slack:g} at most",
         )
         for name, account in account_by_customer.items()
@@ -383,7 +388,7 @@
     retry_times_us = sorted(
         record["at"] for attempts in attempts_of(history).values() for record, _, _ in attempts[1:]
     )
-    bucket = TokenBucket(rate, burst, history.by["go"][0]["start_us"])
+    bucket = TokenBucket(rate, burst, history.records_by_kind["go"][0]["start_us"])
     min_level, at_us = min(
         ((bucket.overdraw(1.0, at_us), at_us) for at_us in retry_times_us), default=(0.0, 0)
     )
@@ -396,7 +401,7 @@
     """No gateway restores a snapshot that is older than `MAX_POLICY_AGE_S`."""
     return [
         Violation("stale state", record["at"], f"door {record['door']} took up state of {age_s} s ago")
-        for record in history.by["door"]
+        for record in history.records_by_kind["door"]
         for age_s in SNAPSHOT_RESTORED_LOG.findall(record["text"])
         if float(age_s) > MAX_POLICY_AGE_S
     ]
@@ -410,20 +415,20 @@
     """
     violations = [
         Violation("processes", record["at"], f"{record['who']} ended by itself ({record['code']})")
-        for record in history.by["died"]
+        for record in history.records_by_kind["died"]
         if not record["meant"]
     ]
     violations += [
         Violation("cold servers", record["at"], f"{record['server']} was pushed over")
-        for record in history.by["fell"]
+        for record in history.records_by_kind["fell"]
     ]
     violations += [
         Violation("processes", record["at"], f"{record['server']} cannot read {record['words']}")
-        for record in history.by["unread"]
+        for record in history.records_by_kind["unread"]
     ]
     violations += [
         Violation("processes", record["at"], f"door {record['door']}: {record['text']}")
-        for record in history.by["door"]
+        for record in history.records_by_kind["door"]
         if record["level"] in ("ERROR", "CRITICAL")
         and not history.paused.overlaps(f"doors-{record['door']}", record["at"], record["at"])
     ]
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -452,7 +452,7 @@
     seed: int,
     gateway_count: int,
     takeover: bool = True,
-    say: Callable[[str], None] = lambda text: None,
+    report_progress: Callable[[str], None] = lambda text: None,
 ) -> list[InjectedCrash]:
     """Inject `count` crashes at each point for each effect.
 
@@ -466,7 +466,7 @@
         while remaining:
             crashes.append(await fleet.inject_crash(*remaining.pop(), gateway))
             if len(crashes) % 50 == 0:
-                say(f"{len(crashes)} injected crashes")
+                report_progress(f"{len(crashes)} injected crashes")
 
     try:
         async with fleet.running():
@@ -475,7 +475,9 @@
                     group.create_task(crash_repeatedly(gateway))
             if takeover:
                 counts = await fleet.work_counts()
-                say(", ".join(f"{name} {counts[name]}" for name in ("kept", "handed", "served", "parked")))
+                report_progress(
+                    ", ".join(f"{name} {counts[name]}" for name in ("kept", "handed", "served", "parked"))
+                )
     except (BenchError, ExceptionGroup) as error:
         inner = error.exceptions[0] if isinstance(error, ExceptionGroup) else error
         if isinstance(inner, BenchError):
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -47,7 +47,7 @@
 
 
 def start_us(history: RunHistory) -> int:
-    return history.by["go"][0]["start_us"]
+    return history.records_by_kind["go"][0]["start_us"]
 
 
 def operations_in_quota(history: RunHistory) -> list[Point]:
@@ -55,7 +55,7 @@
     start = start_us(history)
     return [
         (record["first_us"] - start, record["worth"], record["in_time"])
-        for record in history.by["ask"]
+        for record in history.records_by_kind["ask"]
         if record["ideal"]
     ]
 
@@ -71,8 +71,8 @@
 
 def records_until_end(history: RunHistory, kind: str) -> list[Record]:
     """The records of a kind before the load ends: later ones belong to the shutdown of the run."""
-    end = history.by["go"][0]["end_us"]
-    return [record for record in history.by[kind] if record["at"] < end]
+    end = history.records_by_kind["go"][0]["end_us"]
+    return [record for record in history.records_by_kind[kind] if record["at"] < end]
 
 
 def max_opened_per_second(history: RunHistory, *links: str) -> int:
@@ -97,7 +97,7 @@
     """When the last restarted gateway answered the fleet's PING again, in microseconds, or None."""
     pongs = [
         record["at"]
-        for record in history.by["started"]
+        for record in history.records_by_kind["started"]
         if record["who"].startswith("doors-") and record["at"] > fault_us
     ]
     return max(pongs, default=None)
@@ -107,11 +107,11 @@
     """Compute the figures of a run, compared with its baseline run if there is one."""
     operations, start = operations_in_quota(history), start_us(history)
     offered = sum(worth for _, worth, _ in operations) or 1.0
-    outcomes = Counter(record["how"] for record in history.by["end"])
+    outcomes = Counter(record["how"] for record in history.records_by_kind["end"])
     recovery = full_after_pong_s = None
-    faults = [record["at"] for record in history.by["fault"] if record["fault"] != "burst"]
+    faults = [record["at"] for record in history.records_by_kind["fault"] if record["fault"] != "burst"]
     if baseline is not None and faults:
-        end_us = history.by["go"][0]["end_us"] - start
+        end_us = history.records_by_kind["go"][0]["end_us"] - start
         baseline_operations = operations_in_quota(baseline)
         recovery = measure_recovery(operations, baseline_operations, min(faults) - start, end_us)
         pong_us = last_pong_us(history, min(faults))
@@ -131,14 +131,16 @@
         list_reads_calm=max_opened_per_second(baseline, "doors-list", "doors-follower") if baseline else None,
         words=max_quota_messages_per_second(history),
         words_calm=max_quota_messages_per_second(baseline) if baseline else None,
-        pushed_over=len(history.by["fell"]),
+        pushed_over=len(history.records_by_kind["fell"]),
         beyond=units_beyond_quotas(history),
         beyond_calm=units_beyond_quotas(baseline) if baseline else None,
-        retries=len(history.by["end"]) / max(1, len(history.by["ask"])) - 1,
+        retries=len(history.records_by_kind["end"]) / max(1, len(history.records_by_kind["ask"])) - 1,
         refused=outcomes["refused"],
         failed=outcomes["failed"],
         gone=outcomes["gone"],
-        fault_injection_late_s=max((record["us"] / S for record in history.by["stalled"]), default=0.0),
+        fault_injection_late_s=max(
+            (record["us"] / S for record in history.records_by_kind["stalled"]), default=0.0
+        ),
     )
 
 
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -125,9 +125,17 @@
 class Fleet:
     """All members of the fleet, the relays between them, and the state of each link."""
 
-    def __init__(self, plan: Plan, seed: int, tree: Tree, folder: Path, more: dict[str, Any]) -> None:
-        """`more` is added to the configuration of each gateway."""
-        self.plan, self.seed, self.tree, self.folder, self.more = plan, seed, tree, folder, more
+    def __init__(
+        self, plan: Plan, seed: int, tree: Tree, folder: Path, extra_gateway_config: dict[str, Any]
+    ) -> None:
+        """`extra_gateway_config` is added to the configuration of each gateway."""
+        self.plan, self.seed, self.tree, self.folder, self.extra_gateway_config = (
+            plan,
+            seed,
+            tree,
+            folder,
+            extra_gateway_config,
+        )
         self.loop = asyncio.get_running_loop()
         (folder / "history").mkdir(parents=True, exist_ok=True)
         self.writer = Writer(folder / "history" / "fault_injection.jsonl")
@@ -419,7 +427,7 @@
             "clock_offset_ms": round(member.clock_s * 1000),
             **({"state_dir": str(member.state)} if self.plan.state else {}),
             **self.lease_service_settings(member.name),
-            **self.more,
+            **self.extra_gateway_config,
         }
         process = await start_door(self.tree, config, member.folder)
         try:
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -117,12 +117,12 @@
     request_times_us: dict[tuple[int, int, int], int] = {}
     # Times of requests with the fencing number that they carry, by gateway, incarnation and budget.
     later_fences: dict[tuple[int, int, str], list[tuple[int, int]]] = defaultdict(list)
-    for record in history.by["asked"]:
+    for record in history.records_by_kind["asked"]:
         request_times_us.setdefault((record["door"], record["mark"], record["serial"]), record["at"])
         for budget, fence in record["fences"].items():
             later_fences[record["door"], record["mark"], budget].append((record["at"], fence))
     shares = []
-    for record in history.by["granted"]:
+    for record in history.records_by_kind["granted"]:
         request_us = request_times_us.get((record["door"], record["mark"], record["serial"]))
         if request_us is None:
             continue  # a response to a request that no relay has recorded
@@ -204,7 +204,7 @@
         if max_sum > divisible:
             yield at_us, f"{max_sum} of {divisible} of {budget} may be believed in"
     grant_by_fence: dict[int, tuple[object, ...]] = {}
-    for record in history.by["granted"]:
+    for record in history.records_by_kind["granted"]:
         for budget, (fence, share) in record["parts"].items():
             grant = budget, record["door"], record["mark"], share
             if grant_by_fence.setdefault(fence, grant) != grant:
@@ -232,8 +232,8 @@
     ]
     deaths = [
         (int(record["who"].removeprefix("doors-")), record["at"])
-        for record in history.by["died"]
-        if record["who"].startswith("doors-") and record["at"] < history.by["go"][0]["end_us"]
+        for record in history.records_by_kind["died"]
+        if record["who"].startswith("doors-") and record["at"] < history.records_by_kind["go"][0]["end_us"]
     ]
     waits = [
         wait
@@ -245,8 +245,8 @@
         max(shares, default=0.0),
         median(known_waits_s) if known_waits_s else None,
         len(waits) - len(known_waits_s),
-        len(history.by["granted"]),
-        len({record["steward"] for record in history.by["granted"]}),
+        len(history.records_by_kind["granted"]),
+        len({record["steward"] for record in history.records_by_kind["granted"]}),
     )
 
 
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -31,14 +31,14 @@
 DRAIN_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL; gateways state that they drain for up to 3.5 s
 REPLACED_SERVER_DRAIN_S = 0.5  # from the drain of a replaced scan server until it leaves
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class PlanRun:
     """Runs the plan of a fleet, from the start of the first process to the end of the last."""
 
-    def __init__(self, fleet: Fleet, say: Say) -> None:
-        self.fleet, self.plan, self.say = fleet, fleet.plan, say
+    def __init__(self, fleet: Fleet, report_progress: ProgressCallback) -> None:
+        self.fleet, self.plan, self.report_progress = fleet, fleet.plan, report_progress
         self.tasks: set[asyncio.Task[None]] = set()
         self.start_us = 0
         self.failed: list[BaseException] = []
@@ -49,7 +49,7 @@
         Raises the first error of a fault's task, if there was one.
         """
         fleet = self.fleet
-        self.say(f"{self.plan.name}: starting {len(fleet.members)} processes")
+        self.report_progress(f"{self.plan.name}: starting {len(fleet.members)} processes")
         await fleet.start_all()
         self.start_us = now_us() + LOAD_START_DELAY_US
         fleet.writer.note(
@@ -116,7 +116,9 @@
             for member in hit_members:
                 await asyncio.to_thread(member.copy_state)
         await self.sleep_until(fault.at_s)
-        self.say(f"{fault.at_s:g} s: {fault.kind} {', '.join(member.name for member in hit_members)}")
+        self.report_progress(
+            f"{fault.at_s:g} s: {fault.kind} {', '.join(member.name for member in hit_members)}"
+        )
         self.record_fault(index, fault, [member.name for member in hit_members])
         spread_s = fault.stagger_s if fault.kind in ON_PROCESSES else 0.0
         spread_s = fault.for_s if fault.kind == "replace" else spread_s
@@ -226,7 +228,7 @@
 
     async def inject_on_links(self, index: int, fault: Fault) -> None:
         await self.sleep_until(fault.at_s)
-        self.say(f"{fault.at_s:g} s: {fault.kind} on {fault.link}")
+        self.report_progress(f"{fault.at_s:g} s: {fault.kind} on {fault.link}")
         self.record_fault(index, fault, [fault.link])
         self.fleet.active_link_faults.append((index, fault))
         self.fleet.update_link_states(fault.link)
@@ -240,21 +242,26 @@
 
 
 async def play(
-    plan: Plan, seed: int, tree: Tree, folder: Path, say: Say, more: dict[str, Any] | None = None
+    plan: Plan,
+    seed: int,
+    tree: Tree,
+    folder: Path,
+    report_progress: ProgressCallback,
+    extra_gateway_config: dict[str, Any] | None = None,
 ) -> list[Record]:
     """Run a plan once, with its files in `folder`, and return its history.
 
-    `more` is added to the configuration of each gateway. Raises `FaultInjectionError` if the plan cannot be
-    run.
+    `extra_gateway_config` is added to the configuration of each gateway. Raises `FaultInjectionError` if the
+    plan cannot be run.
     """
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     # An exception of the default handlers could be lost in a callback of the loop.
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, task.cancel)
-    fleet = Fleet(plan, seed, tree, folder, more or {})
+    fleet = Fleet(plan, seed, tree, folder, extra_gateway_config or {})
     offset_us = monotonic_offset_us()
     try:
-        await PlanRun(fleet, say).run()
+        await PlanRun(fleet, report_progress).run()
     except TimeoutError:
         raise FaultInjectionError("the processes do not all start") from None
     except BaseExceptionGroup as group:
@@ -263,7 +270,7 @@
         with suppress(asyncio.CancelledError):
             await asyncio.shield(fleet.close())
     if fleet.crashed:
-        say(fleet.crashed[0])
+        report_progress(fleet.crashed[0])
     parts = read_folder(folder / "history")
     logs = [
         read_gateway_log(member.folder / "log", member.number, offset_us)
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -21,10 +21,10 @@
 def fault_spans(history: RunHistory, length_s: float) -> list[tuple[float, float, str]]:
     """Start, end and kind of each fault, in seconds from the load's start."""
     start = start_us(history)
-    ends = {record["number"]: (record["at"] - start) / S for record in history.by["undone"]}
+    ends = {record["number"]: (record["at"] - start) / S for record in history.records_by_kind["undone"]}
     return [
         ((record["at"] - start) / S, ends.get(record["number"], length_s), record["fault"])
-        for record in history.by["fault"]
+        for record in history.records_by_kind["fault"]
     ]
 
 
@@ -63,15 +63,15 @@
         axes[0].plot(seconds, shares, marker=".", label=name)
     axes[0].set(title="served in time, as a share of the worth asked inside the quotas", ylim=(0, 1.05))
     for how in ("refused", "failed", "unreached", "gone"):
-        records = [record for record in run_history.by["end"] if record["how"] == how]
+        records = [record for record in run_history.records_by_kind["end"] if record["how"] == how]
         axes[1].plot(seconds, count_by_second(records, start, length_s), label=how)
     axes[1].set(title="other ends of requests", ylabel="a second")
     for link in ("clients-doors", "doors-servers", "doors-list", "doors-follower", "servers-list"):
-        records = [record for record in run_history.by["open"] if record["link"] == link]
+        records = [record for record in run_history.records_by_kind["open"] if record["link"] == link]
         axes[2].plot(seconds, count_by_second(records, start, length_s), label=link)
     axes[2].set(title="connections opened", ylabel="a second")
     for fate in ("passed", "lost"):
-        records = [record for record in run_history.by["words"] if record["fate"] == fate]
+        records = [record for record in run_history.records_by_kind["words"] if record["fate"] == fate]
         axes[3].plot(seconds, count_by_second(records, start, length_s), label=fate)
     axes[3].set(title="datagrams between doors", ylabel="a second")
     for door, spans in enumerate(gateway_spans(run_history, length_s)):
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -17,7 +17,7 @@
 from thistletrail.fault_injection.figures import Figures, compute_figures
 from thistletrail.fault_injection.history import read, write
 from thistletrail.fault_injection.plan import Plan, dump, load
-from thistletrail.fault_injection.play import Say, play
+from thistletrail.fault_injection.play import ProgressCallback, play
 
 HISTORY, CALM, PLAN, RESULT = "history.jsonl", "calm.jsonl", "plan.toml", "result.json"
 
@@ -34,14 +34,24 @@
     violations: list[Violation]
 
 
-def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> RunHistory:
+def play_once(
+    plan: Plan,
+    seed: int,
+    tree: Tree,
+    report_progress: ProgressCallback,
+    extra_gateway_config: dict[str, Any] | None = None,
+) -> RunHistory:
     """Play a plan in a temporary folder. On Ctrl-C all processes end before KeyboardInterrupt is raised."""
     with (
         tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         try:
-            return RunHistory(runner.run(play(plan, seed, tree, Path(folder), say, more)), plan, seed)
+            return RunHistory(
+                runner.run(play(plan, seed, tree, Path(folder), report_progress, extra_gateway_config)),
+                plan,
+                seed,
+            )
         except asyncio.CancelledError:  # SIGTERM or Ctrl-C; all processes have ended
             raise KeyboardInterrupt from None
 
@@ -50,17 +60,17 @@
     plan: Plan,
     seed: int,
     tree: Tree,
-    say: Say,
+    report_progress: ProgressCallback,
     with_baseline: bool = True,
-    more: dict[str, Any] | None = None,
+    extra_gateway_config: dict[str, Any] | None = None,
 ) -> Run:
     """Play a plan, after a baseline run of the same load without faults unless that is disabled."""
     baseline = (
-        play_once(plan.without_faults, seed, tree, say, more)
+        play_once(plan.without_faults, seed, tree, report_progress, extra_gateway_config)
         if with_baseline and plan.without_faults != plan
         else None
     )
-    history = play_once(plan, seed, tree, say, more)
+    history = play_once(plan, seed, tree, report_progress, extra_gateway_config)
     return Run(plan, seed, history, baseline, compute_figures(history, baseline), check(history))
 
 
@@ -82,7 +92,9 @@
         raise FaultInjectionError(f"{folder}: {error.strerror}") from error
     for history, name in ((run.history, HISTORY), (run.baseline, CALM)):
         if history is not None:
-            write((record for records in history.by.values() for record in records), folder / name)
+            write(
+                (record for records in history.records_by_kind.values() for record in records), folder / name
+            )
 
 
 def load_run(folder: Path) -> Run:
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -14,7 +14,7 @@
 from thistletrail.fault_injection.checks import Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import Fault, Plan, dump, verify
-from thistletrail.fault_injection.play import Say
+from thistletrail.fault_injection.play import ProgressCallback
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers
 
@@ -154,7 +154,14 @@
             return plan
 
 
-def soak(seed: int, minutes: float, tree: Tree, out: Path, say: Say, count: int | None = None) -> SoakResult:
+def soak(
+    seed: int,
+    minutes: float,
+    tree: Tree,
+    out: Path,
+    report_progress: ProgressCallback,
+    count: int | None = None,
+) -> SoakResult:
     """Play `count` random plans, or as many as start within `minutes` if it is None.
 
     Each plan that breaks a rule is shrunk and stored in `out`.
@@ -173,11 +180,11 @@
         violations = play_and_check(plan)
         result.played += 1
         kinds = ", ".join(fault.kind for fault in plan.faults)
-        say(f"{plan.name}: {kinds}: {len(violations)} broken")
+        report_progress(f"{plan.name}: {kinds}: {len(violations)} broken")
         if not violations:
             continue
         rule = violations[0].rule
-        say(f"{plan.name}: {violations[0].text}; making it small")
+        report_progress(f"{plan.name}: {violations[0].text}; making it small")
         smallest = shrink(
             plan,
             lambda candidate, rule=rule: any(
