--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -161,7 +161,7 @@
     plan: str, parts: str, states: str, against: str | None, seeds: int, first: int, jobs: int, out: Path
 ) -> None:
     """Measure the recovery after restarts of several shares of PLAN's gateways; prints a table of medians."""
-    from thistletrail.fault_injection.back import STATES, list_cases, measure, table
+    from thistletrail.fault_injection.restarts import STATES, list_cases, measure, table
 
     loaded_plan = load(plan)
     shares = [parse_share(text) for text in parts.split(",")]
