--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of real processes: which stored state restarted gateways restore, reject or continue without."""
+"""Recovery of real processes: which stored state restarted gateways restore, reject or do without."""
 
 import asyncio
 import sys
@@ -25,14 +25,16 @@
 
 def play_without_violations(name: str) -> RunHistory:
     """Play a plan, assert that no rule is broken, and return its history."""
-    seen = play_once(load(name), 1, WORKING_TREE, lambda text: None)
-    assert check(seen) == []
-    return seen
+    history = play_once(load(name), 1, WORKING_TREE, lambda text: None)
+    assert check(history) == []
+    return history
 
 
-def log_of(seen: RunHistory, gateway: int) -> str:
-    """All log lines of a gateway."""
-    return "\n".join(record["text"] for record in seen.records_by_kind["door"] if record["door"] == gateway)
+def gateway_log(history: RunHistory, gateway: int) -> str:
+    """Return all log lines of a gateway."""
+    return "\n".join(
+        record["text"] for record in history.records_by_kind["door"] if record["door"] == gateway
+    )
 
 
 @pytest.fixture(scope="module")
@@ -57,7 +59,7 @@
         if gateways_at < record["at"] < registry_at
     ]
     for gateway in range(4):
-        assert "takes up a snapshot of" in log_of(list_restart_history, gateway)
+        assert "takes up a snapshot of" in gateway_log(list_restart_history, gateway)
 
 
 def test_endpoint_list_is_read_after_the_registry_restarts(list_restart_history: RunHistory) -> None:
@@ -82,50 +84,56 @@
     )
 
 
-def test_invalid_snapshot_is_one_warning_and_a_gateway_that_crashes_repeatedly_waits() -> None:
-    seen = play_without_violations("state")
-    assert log_of(seen, 0).count("is rejected: damaged: expected") == 1
-    assert log_of(seen, 1).count("is rejected: written 36") == 1
-    assert "takes up a snapshot of" in log_of(seen, 2)
-    wait_count = log_of(seen, 3).count("has started again and again: it waits for")
+def test_invalid_snapshot_is_logged_once_and_repeatedly_crashing_gateway_waits() -> None:
+    history = play_without_violations("state")
+    assert gateway_log(history, 0).count("is rejected: damaged: expected") == 1
+    assert gateway_log(history, 1).count("is rejected: written 36") == 1
+    assert "takes up a snapshot of" in gateway_log(history, 2)
+    wait_count = gateway_log(history, 3).count("has started again and again: it waits for")
     assert wait_count >= 1  # the third start within ten seconds, and each one after it
-    assert "waits for" not in log_of(seen, 0)
-    start_count = sum(record["who"] == "doors-3" for record in seen.records_by_kind["started"])
+    assert "waits for" not in gateway_log(history, 0)
+    start_count = sum(record["who"] == "doors-3" for record in history.records_by_kind["started"])
     assert start_count == 1 + 3
 
 
 def test_gateway_resumed_or_terminated_during_recovery_breaks_no_rule() -> None:
-    seen = play_without_violations("wake")
-    resumed_at = next(record["at"] for record in seen.records_by_kind["woke"] if record["who"] == "doors-1")
-    drained = [record for record in seen.records_by_kind["told"] if "DRAINING" in record["servers"].values()]
+    history = play_without_violations("wake")
+    resumed_at = next(
+        record["at"] for record in history.records_by_kind["woke"] if record["who"] == "doors-1"
+    )
+    drained = [
+        record for record in history.records_by_kind["told"] if "DRAINING" in record["servers"].values()
+    ]
     assert any(record["door"] == "doors-1" for record in drained)
     assert [
         record
-        for record in seen.records_by_kind["sent"]
+        for record in history.records_by_kind["sent"]
         if record["door"] == "doors-1" and record["at"] > resumed_at
     ]
-    died = [record for record in seen.records_by_kind["died"] if record["who"] == "doors-2"]
+    died = [record for record in history.records_by_kind["died"] if record["who"] == "doors-2"]
     assert [record["code"] for record in died][:2] == [-9, 0]  # SIGTERM during recovery: a clean exit
 
 
 def test_only_remaining_gateway_takes_ten_times_the_load_and_breaks_no_rule() -> None:
-    seen = play_without_violations("rest")
-    (killed_at,) = [record["at"] for record in seen.records_by_kind["fault"] if record["fault"] == "kill"]
-    restarted_at = min(record["at"] for record in seen.records_by_kind["started"] if record["at"] > killed_at)
-    ends = [record for record in seen.records_by_kind["end"] if killed_at < record["at"] < restarted_at]
+    history = play_without_violations("rest")
+    (killed_at,) = [record["at"] for record in history.records_by_kind["fault"] if record["fault"] == "kill"]
+    restarted_at = min(
+        record["at"] for record in history.records_by_kind["started"] if record["at"] > killed_at
+    )
+    ends = [record for record in history.records_by_kind["end"] if killed_at < record["at"] < restarted_at]
     served = [record for record in ends if record["how"] == "served"]
     assert served and any(record["how"] == "refused" for record in ends)
     # After the restart of the others all gateways serve.
-    gateway_by_request = {record["id"]: record["door"] for record in seen.records_by_kind["try"]}
+    gateway_by_request = {record["id"]: record["door"] for record in history.records_by_kind["try"]}
     assert {
         gateway_by_request[record["id"]]
-        for record in seen.records_by_kind["end"]
+        for record in history.records_by_kind["end"]
         if record["how"] == "served" and record["at"] > restarted_at
     } == {0, 1, 2, 3}
 
 
 def test_second_gateway_with_the_same_number_does_not_start(tmp_path: Path) -> None:
-    """The address and the state folder of the first are in use; the second reports that in one line."""
+    """The address or the state folder of the first gateway is in use; the second reports that and ends."""
     values = config((HOST, free_port()), (HOST, free_port()), free_port(), 1, False)
     values |= {"state_dir": str(tmp_path / "state")}
     other_address = {**values, "listen": f"{HOST}:{free_port()}"}
@@ -149,7 +157,7 @@
 
 
 def gateways_of_largest_customers(plan: Plan, seed: int, count: int) -> tuple[int, ...]:
-    """The gateways that own the quotas of the `count` customers with the highest rates."""
+    """Return the gateways that own the quotas of the `count` customers with the highest rates."""
     world = World(plan.fleet, seed, Clock())
     load = Load(world, 0)
     load.begin(world.capacity())
@@ -167,26 +175,26 @@
     assert owners and len(owners) < plan.fleet.doors
     kill = Fault(kind="kill", at_s=3.0, numbers=owners, back_s=(0.2, 0.4), state="none")
     plan = msgspec.structs.replace(plan, name="homes", state=False, faults=(kill,))
-    seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
-    assert check(seen) == []
+    history = play_once(plan, 1, WORKING_TREE, lambda text: None)
+    assert check(history) == []
     restarted_at = max(
-        record["at"] for record in seen.records_by_kind["started"] if record["who"] == f"doors-{owners[0]}"
+        record["at"] for record in history.records_by_kind["started"] if record["who"] == f"doors-{owners[0]}"
     )
     served = {
         record["id"]
-        for record in seen.records_by_kind["end"]
+        for record in history.records_by_kind["end"]
         if record["how"] == "served" and record["at"] > restarted_at
     }
-    assert {record["door"] for record in seen.records_by_kind["try"] if record["id"] in served} == set(
+    assert {record["door"] for record in history.records_by_kind["try"] if record["id"] in served} == set(
         range(4)
     )
 
 
 def test_second_restart_during_recovery_with_cold_scan_servers_and_an_older_list_breaks_no_rule() -> None:
-    """Three of four gateways restart again during a recovery, two of them with a snapshot aged by an hour.
+    """Three of four gateways restart again during a recovery, two of them with snapshots aged by an hour.
 
     The second restart comes some seconds after the first, as the gateways must have stored a snapshot before
-    it can be aged; the scan servers are cold for 15 s.
+    it can be aged; the scan servers take 15 s to warm up.
     """
     plan, replace = load("waves"), msgspec.structs.replace
     fleet = replace(plan.fleet, doors=4, length_s=13, servers=replace(plan.fleet.servers, count=4))
@@ -199,18 +207,18 @@
         Fault(kind="kill", on="list", at_s=2.0, back_s=(0.7, 0.7), state="old"),
     ]
     plan = replace(plan, fleet=fleet, state=True, faults=(*waves, *others))
-    seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
-    assert check(seen) == []
-    assert not seen.records_by_kind["fell"]  # no cold scan server collapsed
-    assert sum(record["who"] == "doors-0" for record in seen.records_by_kind["started"]) == 3
-    assert log_of(seen, 0).count("is rejected: written 36") == 1
-    assert "takes up a snapshot of" in log_of(seen, 3)
-    restarted_at = max(record["at"] for record in seen.records_by_kind["started"])
+    history = play_once(plan, 1, WORKING_TREE, lambda text: None)
+    assert check(history) == []
+    assert not history.records_by_kind["fell"]  # no scan server collapsed while it was warming up
+    assert sum(record["who"] == "doors-0" for record in history.records_by_kind["started"]) == 3
+    assert gateway_log(history, 0).count("is rejected: written 36") == 1
+    assert "takes up a snapshot of" in gateway_log(history, 3)
+    restarted_at = max(record["at"] for record in history.records_by_kind["started"])
     served = {
         record["id"]
-        for record in seen.records_by_kind["end"]
+        for record in history.records_by_kind["end"]
         if record["how"] == "served" and record["at"] > restarted_at
     }
-    assert {record["door"] for record in seen.records_by_kind["try"] if record["id"] in served} == set(
+    assert {record["door"] for record in history.records_by_kind["try"] if record["id"] in served} == set(
         range(4)
     )
