--- a/thistletrail/fault_injection/__init__.py
+++ b/thistletrail/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Fault injection: real processes with relays between them, injected faults, and checks of the histories."""
+"""Fault injection: runs real processes with relays between them, injects faults, and checks the histories."""
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -16,6 +16,7 @@
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, inject_crashes, table
 from thistletrail.fault_injection.errors import FaultInjectionError
+from thistletrail.fault_injection.figures import LABELS
 from thistletrail.fault_injection.leases import lease_summary
 from thistletrail.fault_injection.plan import load, plan_names, to_scenario
 from thistletrail.fault_injection.runs import (
@@ -35,35 +36,43 @@
 
 
 class FaultInjectionGroup(Group):
+    """A group of commands whose errors of these types are reported in one line, with exit code 2."""
+
     errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, ModelError, BenchError)
 
 
 def report_progress(text: str) -> None:
-    """Print progress to standard error."""
+    """Print a line of progress to standard error."""
     click.echo(text, err=True)
 
 
 @click.group("fault_injection", cls=FaultInjectionGroup, context_settings=HELP)
 def cli() -> None:
-    """Play plans of faults with real processes on loopback, and check the recorded histories."""
+    """Run plans of faults with real processes on loopback, and check the recorded histories."""
     end_on_signals()
 
 
-SEED = click.option(
+SEED_OPTION = click.option(
     "--seed",
     type=click.IntRange(0, MAX_SEED),
     default=1,
     show_default=True,
-    help="Of load and faults; real processes are not the same twice.",
+    help="Seed of the load and the faults; two runs of real processes still differ.",
+)
+SEEDS_OPTION = click.option(
+    "--seeds",
+    type=click.IntRange(1, 100),
+    default=3,
+    show_default=True,
+    help="Number of seeds, from --first on.",
 )
-SEEDS = click.option(
-    "--seeds", type=click.IntRange(1, 100), default=3, show_default=True, help="As many, from --first on."
+FIRST_OPTION = click.option(
+    "--first", type=click.IntRange(0, MAX_SEED), default=1, show_default=True, help="The first seed."
 )
-FIRST = click.option("--first", type=click.IntRange(0, MAX_SEED), default=1, show_default=True)
-OUT = click.option(
+OUT_OPTION = click.option(
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
-    help="A folder to keep plan, histories and figures in.",
+    help="The folder in which plan, histories and figures are stored.",
 )
 
 
@@ -74,33 +83,33 @@
 
 
 def exit_on_violations(runs: list[Run]) -> None:
-    """Exit with `EXIT_RULE_BROKEN` if a rule was broken in one of the runs."""
+    """Exit with `EXIT_RULE_BROKEN` if any of the runs broke a rule."""
     if any(result.violations for result in runs):
         sys.exit(EXIT_RULE_BROKEN)
 
 
 @cli.command("run")
 @click.argument("plan")
-@SEED
+@SEED_OPTION
 @click.option(
     "--twin/--no-twin",
     default=True,
     show_default=True,
-    help="Play the same load without faults first; without it the way back is not told.",
+    help="Play the same load without faults first; the recovery is measured against this baseline run.",
 )
 @click.option(
     "--tree",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
     default=ROOT,
-    help="The front doors of this folder instead of this tree's.",
+    help="The source tree of the gateways, instead of the current one.",
 )
-@OUT
+@OUT_OPTION
 def run_(plan: str, seed: int, twin: bool, tree: Path, out: Path | None) -> None:
     """Play PLAN (a name or a .toml file) with real processes. The exit code is 3 if a rule was broken."""
     result = run(load(plan), seed, prepare(tree), report_progress, twin)
     if out is not None:
         store_run(result, out)
-    click.echo(format_table(figure_table([("value", [result.figures.as_json()])])))
+    click.echo(format_table(figure_table([("value", [result.figures.as_json()])], LABELS)))
     print_violations(result)
     exit_on_violations([result])
 
@@ -108,30 +117,34 @@
 @cli.command()
 @click.argument("rev")
 @click.argument("plan")
-@SEEDS
-@FIRST
-@OUT
+@SEEDS_OPTION
+@FIRST_OPTION
+@OUT_OPTION
 def pairs(rev: str, plan: str, seeds: int, first: int, out: Path | None) -> None:
-    """Compare the gateways of REV with this tree's, in turns on the same plan and seeds; prints medians."""
+    """Compare the gateways of revision REV with this tree's on the same plan and seeds; prints medians.
+
+    The two sides are played in turns, and which is first alternates.
+    """
     loaded_plan = load(plan)
     sides: dict[str, list[Run]] = {rev: [], "this tree": []}
-    with revision(rev) as theirs:
-        trees = {rev: theirs, "this tree": prepare(ROOT)}
+    with revision(rev) as other_tree:
+        trees = {rev: other_tree, "this tree": prepare(ROOT)}
         for number in range(seeds):
             order = list(trees) if number % 2 else list(reversed(trees))
             for side in order:
                 result = run(loaded_plan, first + number, trees[side], lambda text: None)
                 sides[side].append(result)
                 report_progress(
-                    f"{side}, seed {first + number}: full service {result.figures.full_s}, "
-                    f"{len(result.violations)} broken"
+                    f"{side}, seed {first + number}: full service after {result.figures.full_s} s, "
+                    f"{len(result.violations)} violations"
                 )
                 if out is not None:
                     store_run(result, out / f"{side.replace(' ', '-')}-{first + number}")
     click.echo(
         format_table(
             figure_table(
-                [(side, [result.figures.as_json() for result in runs]) for side, runs in sides.items()]
+                [(side, [result.figures.as_json() for result in runs]) for side, runs in sides.items()],
+                LABELS,
             )
         )
     )
@@ -143,19 +156,28 @@
 
 @cli.command()
 @click.argument("plan")
-@click.option("--parts", default="0.5,0.7,0.9,1.0", show_default=True, help="Shares of the doors.")
+@click.option(
+    "--parts", default="0.5,0.7,0.9,1.0", show_default=True, help="Shares of the gateways that restart."
+)
 @click.option(
     "--states",
     default="none,kept,stale",
     show_default=True,
-    help="What the doors come back with: their snapshots, none, or ones an hour old.",
+    help="The state of restarted gateways: no snapshot, their own, or one an hour old.",
+)
+@click.option(
+    "--against", metavar="REV", help="Also the gateways of this revision, without stored state, in turns."
 )
-@click.option("--against", metavar="REV", help="Its front doors too, without state, in turns.")
-@SEEDS
-@FIRST
-@click.option("--jobs", type=click.IntRange(1, 64), default=2, show_default=True, help="Plays at once.")
+@SEEDS_OPTION
+@FIRST_OPTION
 @click.option(
-    "--out", type=click.Path(file_okay=False, path_type=Path), required=True, help="Where each play is kept."
+    "--jobs", type=click.IntRange(1, 64), default=2, show_default=True, help="Number of runs at once."
+)
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    required=True,
+    help="The folder in which each run is stored.",
 )
 def back(
     plan: str, parts: str, states: str, against: str | None, seeds: int, first: int, jobs: int, out: Path
@@ -167,14 +189,14 @@
     shares = [parse_share(text) for text in parts.split(",")]
     state_names = [name.strip() for name in states.split(",")]
     if unknown := [name for name in state_names if name not in STATES]:
-        raise FaultInjectionError(f"unknown state '{unknown[0]}'; known are {', '.join(STATES)}")
+        raise FaultInjectionError(f"unknown state '{unknown[0]}'; the states are {', '.join(STATES)}")
     with contextlib.ExitStack() as stack:
-        ours = {"this tree": prepare(ROOT).root}
+        this_tree = {"this tree": prepare(ROOT).root}
         seed_range = range(first, first + seeds)
-        cases = list_cases(ours, shares, state_names, seed_range)
+        cases = list_cases(this_tree, shares, state_names, seed_range)
         if against is not None:
-            theirs = stack.enter_context(revision(against)).root
-            cases += list_cases({against: theirs}, shares, ["none"], seed_range)
+            other_tree = stack.enter_context(revision(against)).root
+            cases += list_cases({against: other_tree}, shares, ["none"], seed_range)
             cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
         results = measure(loaded_plan, cases, jobs, out, report_progress)
     click.echo(format_table(table(results)))
@@ -190,16 +212,16 @@
     except ValueError:
         share = 0.0
     if not 0 < share <= 1:
-        raise FaultInjectionError(f"'{text}' is no share above 0 and up to 1")
+        raise FaultInjectionError(f"'{text}' is not a share: expected a number above 0 and at most 1")
     return share
 
 
 @cli.command()
 @click.argument("plan")
-@SEEDS
-@FIRST
+@SEEDS_OPTION
+@FIRST_OPTION
 def compare(plan: str, seeds: int, first: int) -> None:
-    """Play PLAN with real processes and in the simulation, on the same seeds; prints the medians of both."""
+    """Play PLAN with real processes and in the simulation on the same seeds; prints the medians of both."""
     loaded_plan = load(plan)
     scenario, missing = to_scenario(loaded_plan)
     if missing:
@@ -213,24 +235,25 @@
         real.append(result.figures.as_json())
         simulated.append(simulated_figures(scenario, seed))
         report_progress(
-            f"seed {seed}: full service {real[-1]['full_s']}, in the model {simulated[-1]['full_s']}"
+            f"seed {seed}: full service after {real[-1]['full_s']} s, "
+            f"in the model after {simulated[-1]['full_s']} s"
         )
-    click.echo(format_table(figure_table([("fault injection", real), ("model", simulated)])))
+    click.echo(format_table(figure_table([("fault injection", real), ("model", simulated)], LABELS)))
 
 
 def simulated_figures(scenario: Any, seed: int) -> dict[str, object]:  # noqa: ANN401 - a Scenario
-    """The figures of one simulated run, under the names of `Figures` where both have them."""
-    day = days.play(scenario, seed)
-    result = day.result()
-    points = day.books.points
+    """Return the figures of one simulated run under the keys of `Figures`, those that both have."""
+    simulation_run = days.play(scenario, seed)
+    result = simulation_run.result()
+    points = simulation_run.books.points
     offered = sum(worth for _, worth, _ in points) or 1.0
     figures: dict[str, object] = {
         "served": sum(worth for _, worth, in_time in points if in_time) / offered,
         "retries": result["tries"] / max(1, result["asks"]) - 1,
-        **{how: result["ends"].get(how, 0) for how in ("refused", "failed", "gone")},
+        **{outcome: result["ends"].get(outcome, 0) for outcome in ("refused", "failed", "gone")},
     }
     if scenario.troubles:
-        recovery = day.recovery(days.play(days.without_faults(scenario), seed))
+        recovery = simulation_run.recovery(days.play(days.without_faults(scenario), seed))
         figures |= {
             "full_s": recovery["full_s"],
             "full_after_pong_s": recovery["full_after_back_s"],
@@ -244,22 +267,30 @@
 
 
 @cli.command()
-@click.option("--minutes", type=click.FloatRange(0.01, 1440), default=10.0, show_default=True)
-@click.option("--count", type=click.IntRange(1, 100_000), help="So many plans instead.")
-@SEED
+@click.option(
+    "--minutes",
+    type=click.FloatRange(0.01, 1440),
+    default=10.0,
+    show_default=True,
+    help="No plan starts after so many minutes.",
+)
+@click.option(
+    "--count", type=click.IntRange(1, 100_000), help="The number of plans to play, whatever --minutes is."
+)
+@SEED_OPTION
 @click.option(
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
     default=Path("found"),
     show_default=True,
-    help="Where a plan that breaks a rule is kept.",
+    help="The folder in which plans that break a rule are stored.",
 )
 def soak(minutes: float, count: int | None, seed: int, out: Path) -> None:
-    """Play random plans; one that breaks a rule is shrunk and stored as a .toml file."""
+    """Play random plans; each that breaks a rule is shrunk and stored as a .toml file."""
     from thistletrail.fault_injection.soak import soak as run_soak
 
     result = run_soak(seed, minutes, prepare(ROOT), out, report_progress, count)
-    click.echo(f"{result.played} plans played, {len(result.stored)} kept")
+    click.echo(f"{result.played} plans played, {len(result.stored)} broke a rule")
     for path in result.stored:
         click.echo(str(path))
     if result.stored:
@@ -268,28 +299,32 @@
 
 @cli.command("budgets")
 @click.argument("plan", default="stewards")
-@SEEDS
-@FIRST
+@SEEDS_OPTION
+@FIRST_OPTION
 def budgets_(plan: str, seeds: int, first: int) -> None:
     """Play PLAN, in which lease services divide budgets.
 
-    For each seed it prints the largest part of a budget that gateways may believe they hold, and the time
-    until the part of a killed gateway is in use at others.
+    For each seed it prints the largest sum of shares of a budget that gateways may hold at once, and the
+    median time until the shares of a killed gateway are granted to others.
     """
     loaded_plan = load(plan)
     if not loaded_plan.steward:
-        raise FaultInjectionError(f"{loaded_plan.name}: no steward divides anything in it")
+        raise FaultInjectionError(
+            f"{loaded_plan.name}: its budgets are not divided by leases (steward = true)"
+        )
     tree, has_violations = prepare(ROOT), False
-    click.echo("seed  most held  regained s  not regained  renewals  stewards  served  broken")
+    click.echo(
+        "seed  max share held  regrant time, s  not regranted  renewals  lease services  served  violations"
+    )
     for seed in range(first, first + seeds):
         result = run(loaded_plan, seed, tree, report_progress, with_baseline=False)
         print_violations(result)
         count, leases = len(result.violations), lease_summary(result.history)
-        regained = format_value(leases.regained_s)
+        regrant_time_s = format_value(leases.regained_s)
         has_violations = has_violations or bool(count)
         click.echo(
-            f"{seed:4}  {leases.most_held:9.3f}  {regained:>10}  {leases.unregained:12}  "
-            f"{leases.renewals:8}  {leases.stewards:8}  {result.figures.served:6.3f}  {count:6}"
+            f"{seed:4}  {leases.most_held:14.3f}  {regrant_time_s:>15}  {leases.unregained:13}  "
+            f"{leases.renewals:8}  {leases.stewards:14}  {result.figures.served:6.3f}  {count:10}"
         )
     if has_violations:
         sys.exit(EXIT_RULE_BROKEN)
@@ -302,15 +337,30 @@
     type=click.IntRange(1, 10_000),
     default=10,
     show_default=True,
-    help="At each point, of each kind of class, and seed.",
+    help="Number of injected crashes at each point, for each kind of class and each seed.",
+)
+@click.option(
+    "--points",
+    default=",".join(POINTS),
+    show_default=True,
+    help="The points of a work item at which gateways crash.",
+)
+@click.option(
+    "--seeds",
+    type=click.IntRange(1, 100),
+    default=1,
+    show_default=True,
+    help="Number of seeds, from --first on.",
+)
+@FIRST_OPTION
+@click.option("--doors", type=click.IntRange(2, 48), default=6, show_default=True, help="Number of gateways.")
+@click.option(
+    "--without",
+    is_flag=True,
+    help="Store no work items, to show what the same crashes cost without a takeover.",
 )
-@click.option("--points", default=",".join(POINTS), show_default=True, help="Where doors die.")
-@click.option("--seeds", type=click.IntRange(1, 100), default=1, show_default=True)
-@FIRST
-@click.option("--doors", type=click.IntRange(2, 48), default=6, show_default=True)
-@click.option("--without", is_flag=True, help="Nothing is kept: what the same deaths cost without it.")
 def deaths_(count: int, points: str, seeds: int, first: int, doors: int, without: bool) -> None:
-    """Kill gateways at chosen points of a work item; check that it runs once and its outcome is delivered."""
+    """Crash gateways at points of a work item; check that it runs once and its outcome is delivered."""
     chosen_points = tuple(points.split(","))
     if unknown := set(chosen_points) - set(POINTS):
         raise FaultInjectionError(f"there is no point '{min(unknown)}' (one of: {', '.join(POINTS)})")
@@ -330,7 +380,7 @@
                     report_progress,
                 )
             )
-        report_progress(f"seed {seed}: {len(crashes)} deaths so far")
+        report_progress(f"seed {seed}: {len(crashes)} injected crashes so far")
     click.echo(table(crashes))
     for crash in crashes:
         if crash.violation:
@@ -344,24 +394,28 @@
     "runs", type=click.Path(exists=True, file_okay=False, path_type=Path), nargs=-1, required=True
 )
 @click.option(
-    "--out", type=click.Path(dir_okay=False, path_type=Path), default=Path("report.html"), show_default=True
+    "--out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    default=Path("report.html"),
+    show_default=True,
+    help="The HTML file to write.",
 )
 def report(runs: tuple[Path, ...], out: Path) -> None:
     """Write one HTML file with plots of the runs stored in these folders."""
     from thistletrail.fault_injection.report import write_report
 
     write_report([(folder.name, load_run(folder)) for folder in runs], out)
-    click.echo(f"{out} is written")
+    click.echo(f"wrote {out}")
 
 
 @cli.command("list")
 def list_() -> None:
-    """List the plans that come with fault injection."""
+    """List the plans of this package."""
     for name in plan_names():
         plan = load(name)
         kinds = ", ".join(dict.fromkeys(fault.kind for fault in plan.faults)) or "no fault"
         click.echo(
-            f"{name:12} {plan.fleet.doors} doors, {plan.fleet.servers.count} servers, "
+            f"{name:12} {plan.fleet.doors} gateways, {plan.fleet.servers.count} scan servers, "
             f"{plan.fleet.length_s:g} s: {kinds}"
         )
 
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -1,7 +1,7 @@
 """Checks of a recorded run: pure functions from the run's history and plan to the violations of a rule.
 
-The docstring of each check names what injected faults excuse: a gateway that is down owes no answer, and one
-that is paused cannot give any. All times are in microseconds of the machine's monotonic clock.
+The docstring of each check names what injected faults excuse: a gateway that is down need not answer, and one
+that is paused cannot. All times are in microseconds of the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -46,6 +46,7 @@
         self.spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
 
     def add(self, name: str, begin_us: int, end_us: int) -> None:
+        """Add a span of `name`; both its ends belong to it."""
         self.spans[name].append((begin_us, end_us))
 
     def overlaps(self, name: str, begin_us: int, end_us: int) -> bool:
@@ -56,7 +57,11 @@
 
 
 class RunHistory:
-    """The history of one run: its records by kind, and the time spans of its faults."""
+    """The history of one run: its records by kind, and the time spans of its faults.
+
+    Spans of `down` and `paused` are by the name of the process, those of `links` by the kind of link. Those
+    of `stalled`, in which fault injection itself was late, have the empty name.
+    """
 
     def __init__(self, records: Iterable[Record], plan: Plan, seed: int = 0) -> None:
         self.plan, self.seed = plan, seed
@@ -102,12 +107,12 @@
         for name, at_us in down_since_us.items():
             self.down.add(name, at_us, NEVER_US)
 
-    def is_excused(self, door: int, begin_us: int, end_us: int) -> bool:
+    def is_excused(self, gateway: int, begin_us: int, end_us: int) -> bool:
         """Whether a fault excuses a missing answer of a gateway in the given span.
 
         The gateway was down or paused, its links to clients had a fault, or fault injection itself was late.
         """
-        name = f"doors-{door}"
+        name = f"doors-{gateway}"
         return (
             self.down.overlaps(name, begin_us, end_us)
             or self.paused.overlaps(name, begin_us, end_us)
@@ -117,7 +122,7 @@
 
 
 def one_answer(history: RunHistory) -> list[Violation]:
-    """Each accepted request gets exactly one final answer, at most half a second after its time.
+    """Each accepted request gets exactly one final answer, at most half a second after its deadline.
 
     Excused are gateways that were down or paused, and links to clients with a fault, while the request was
     in flight.
@@ -139,7 +144,8 @@
                 Violation(
                     "one answer",
                     end["at"],
-                    f"door {request['door']} closed the connection of request {end['id']} without an answer",
+                    f"gateway {request['door']} closed the connection of request {end['id']} "
+                    "without an answer",
                 )
             )
     for record in history.records_by_kind["lost"]:
@@ -149,7 +155,7 @@
                 Violation(
                     "one answer",
                     record["at"],
-                    f"door {request['door']} gave no answer to request {record['id']}",
+                    f"gateway {request['door']} gave no answer to request {record['id']}",
                 )
             )
     violations += [
@@ -165,7 +171,7 @@
 
 
 def attempts_of(history: RunHistory) -> dict[str, list[tuple[Record, int, str]]]:
-    """By request id: each attempt that arrived completely, the time of its end, and its outcome."""
+    """Return, by request id, each attempt that arrived completely, the time of its end, and its outcome."""
     ends = {(record["server"], record["serial"]): record for record in history.records_by_kind["left"]}
     attempts_by_request: dict[str, list[tuple[Record, int, str]]] = defaultdict(list)
     for record in history.records_by_kind["came"]:
@@ -198,11 +204,13 @@
         for record in executed[1:]:
             if record["zone"] != executed[0]["zone"]:
                 violations.append(
-                    Violation("executions", record["at"], f"keyed request {request_id} in two zones")
+                    Violation("executions", record["at"], f"keyed request {request_id} ran in two zones")
                 )
             elif record["at"] - executed[0]["at"] > window_us + history.plan.limits.drain_ms * MS:
                 violations.append(
-                    Violation("executions", record["at"], f"keyed request {request_id} after its window")
+                    Violation(
+                        "executions", record["at"], f"keyed request {request_id} ran again after its window"
+                    )
                 )
     return violations
 
@@ -235,7 +243,9 @@
         if len({record["zone"] for record in records}) > 1:
             violations.append(Violation("kept work", records[-1]["at"], f"key {key} ran in two zones"))
         violations += [
-            Violation("kept work", record["at"], f"key {key} ran again after its client was told")
+            Violation(
+                "kept work", record["at"], f"key {key} ran again after its client had received the outcome"
+            )
             for record in records
             if record["at"] > served_at_us.get(key, NEVER_US) + slack_us
         ]
@@ -259,7 +269,7 @@
                     Violation(
                         "one attempt",
                         record["at"],
-                        f"request {request_id} is out at {earlier['server']} and {record['server']}",
+                        f"request {request_id} is in flight at {earlier['server']} and {record['server']}",
                     )
                 )
     return violations
@@ -281,22 +291,22 @@
         *history.records_by_kind["started"],
     )
     for record in sorted(records, key=lambda record: record["at"]):
-        door, at_us = record.get("door", record.get("who")), record["at"]
+        gateway, at_us = record.get("door", record.get("who")), record["at"]
         if record["kind"] == "started":  # a new process knows only what it is notified of
-            leaving_since_us.pop(door, None)
-            known_servers.pop(door, None)
+            leaving_since_us.pop(gateway, None)
+            known_servers.pop(gateway, None)
         elif record["kind"] == "told":
             for server, lifecycle in record["servers"].items():
                 if lifecycle == "SERVING":
-                    leaving_since_us[door].pop(server, None)
+                    leaving_since_us[gateway].pop(server, None)
                 else:
-                    leaving_since_us[door].setdefault(server, at_us)
+                    leaving_since_us[gateway].setdefault(server, at_us)
             if record["whole"]:
-                for server in known_servers[door] - set(record["servers"]):
-                    leaving_since_us[door].setdefault(server, at_us)
-            known_servers[door] |= set(record["servers"])
-        elif (since_us := leaving_since_us[door].get(record["server"])) is not None:
-            is_excused = history.paused.overlaps(door, since_us, at_us) or history.stalled.overlaps(
+                for server in known_servers[gateway] - set(record["servers"]):
+                    leaving_since_us[gateway].setdefault(server, at_us)
+            known_servers[gateway] |= set(record["servers"])
+        elif (since_us := leaving_since_us[gateway].get(record["server"])) is not None:
+            is_excused = history.paused.overlaps(gateway, since_us, at_us) or history.stalled.overlaps(
                 "", since_us, since_us + grace_us
             )
             if at_us > since_us + grace_us and not is_excused:
@@ -304,33 +314,33 @@
                     Violation(
                         "drains",
                         at_us,
-                        f"{door} sent {record['id']} to {record['server']} "
-                        f"{(at_us - since_us) // MS} ms after it was told",
+                        f"{gateway} sent {record['id']} to {record['server']} "
+                        f"{(at_us - since_us) // MS} ms after it was notified that this server leaves",
                     )
                 )
     return violations
 
 
 def accounts(history: RunHistory) -> tuple[dict[str, Account], dict[str, list[tuple[int, bool]]]]:
-    """The accounts of the customers after all forwarded requests, and the units sent, by quota plan.
+    """Return the accounts of the customers after all forwarded requests, and the units sent by quota plan.
 
-    Each unit is the time at which it was sent, and whether it was inside the quota.
+    Each unit is the time at which it arrived at a scan server, and whether it was inside the quota.
     """
     world = World(history.plan.fleet, history.seed, Clock())
-    figures_by_plan = dict(zip([plan.name for plan in history.plan.fleet.plans], world.plans, strict=True))
+    quota_plan_by_name = dict(zip([plan.name for plan in history.plan.fleet.plans], world.plans, strict=True))
     account_by_customer: dict[str, Account] = {}
-    units: dict[str, list[tuple[int, bool]]] = defaultdict(list)
+    units_by_plan: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     counted_ids: set[str] = set()
     for record in history.records_by_kind["came"]:
         if record["id"] in counted_ids:
             continue
         counted_ids.add(record["id"])
-        plan = figures_by_plan[record["plan"]]
+        plan = quota_plan_by_name[record["plan"]]
         account = account_by_customer.setdefault(
             record["customer"], Account(plan.rate, plan.burst, plan.ceiling, record["at"])
         )
-        units[record["plan"]].append((record["at"], account.charge(1.0, record["at"])))
-    return account_by_customer, units
+        units_by_plan[record["plan"]].append((record["at"], account.charge(1.0, record["at"])))
+    return account_by_customer, units_by_plan
 
 
 def quotas(history: RunHistory) -> list[Violation]:
@@ -340,20 +350,21 @@
     `quota_share` of all units plus `quota_units` for each customer. No ceiling is exceeded by more than its
     slack.
     """
-    violations, (account_by_customer, units), limits = [], accounts(history), history.plan.limits
+    violations, (account_by_customer, units_by_plan), limits = [], accounts(history), history.plan.limits
     customers: dict[str, set[str]] = defaultdict(set)
     for record in history.records_by_kind["came"]:
         customers[record["plan"]].add(record["customer"])
     for plan in history.plan.fleet.plans:
-        sent = units.get(plan.name, [])
-        beyond = sum(not inside for _, inside in sent)
+        sent = units_by_plan.get(plan.name, [])
+        beyond_quota = sum(not inside for _, inside in sent)
         limit = limits.quota_share * len(sent) + limits.quota_units * len(customers[plan.name])
-        if plan.over_cost > plan.over_worth and beyond > limit:
+        if plan.over_cost > plan.over_worth and beyond_quota > limit:
             violations.append(
                 Violation(
                     "quotas",
                     sent[-1][0],
-                    f"plan {plan.name}: {beyond} of {len(sent)} units beyond the quotas, {limit:.1f} at most",
+                    f"plan {plan.name}: {beyond_quota} of {len(sent)} units beyond the quotas, "
+                    f"{limit:.1f} at most",
                 )
             )
     violations += [
@@ -373,7 +384,7 @@
 
     Nothing is excused: the rule holds for gateways that are down, paused or partitioned, too.
     """
-    return [Violation("budgets", at, text) for at, text in overcommitted(history)]
+    return [Violation("budgets", at_us, text) for at_us, text in overcommitted(history)]
 
 
 def further(history: RunHistory) -> list[Violation]:
@@ -394,13 +405,17 @@
     )
     if min_level >= -RETRY_BUDGET_SLACK_ATTEMPTS:
         return []
-    return [Violation("further attempts", at_us, f"{-min_level:.1f} further attempts beyond the whole")]
+    return [
+        Violation("further attempts", at_us, f"{-min_level:.1f} further attempts beyond the retry budget")
+    ]
 
 
 def stale(history: RunHistory) -> list[Violation]:
     """No gateway restores a snapshot that is older than `MAX_POLICY_AGE_S`."""
     return [
-        Violation("stale state", record["at"], f"door {record['door']} took up state of {age_s} s ago")
+        Violation(
+            "stale state", record["at"], f"gateway {record['door']} restored a snapshot that is {age_s} s old"
+        )
         for record in history.records_by_kind["door"]
         for age_s in SNAPSHOT_RESTORED_LOG.findall(record["text"])
         if float(age_s) > MAX_POLICY_AGE_S
@@ -408,26 +423,33 @@
 
 
 def processes(history: RunHistory) -> list[Violation]:
-    """No process ends by itself, no cold scan server fails under load, every command is readable, and no
-    gateway logs an error.
+    """Processes end only when they are ended, and gateways log no error.
+
+    Scan servers can read every command, and none collapses under its load while it is warming up.
 
     Excused are errors that a gateway logs while it is paused or just after it continues.
     """
     violations = [
-        Violation("processes", record["at"], f"{record['who']} ended by itself ({record['code']})")
+        Violation(
+            "processes", record["at"], f"{record['who']} ended unexpectedly with exit code {record['code']}"
+        )
         for record in history.records_by_kind["died"]
         if not record["meant"]
     ]
     violations += [
-        Violation("cold servers", record["at"], f"{record['server']} was pushed over")
+        Violation(
+            "cold servers",
+            record["at"],
+            f"{record['server']} collapsed under its load while it was warming up",
+        )
         for record in history.records_by_kind["fell"]
     ]
     violations += [
-        Violation("processes", record["at"], f"{record['server']} cannot read {record['words']}")
+        Violation("processes", record["at"], f"{record['server']} cannot read the command {record['words']}")
         for record in history.records_by_kind["unread"]
     ]
     violations += [
-        Violation("processes", record["at"], f"door {record['door']}: {record['text']}")
+        Violation("processes", record["at"], f"gateway {record['door']} logged: {record['text']}")
         for record in history.records_by_kind["door"]
         if record["level"] in ("ERROR", "CRITICAL")
         and not history.paused.overlaps(f"doors-{record['door']}", record["at"], record["at"])
@@ -453,6 +475,6 @@
 
 
 def check(history: RunHistory) -> list[Violation]:
-    """The violations that all checks find, in order of time."""
+    """Run all checks and return their violations in order of time."""
     violations = [violation for run_check in CHECKS.values() for violation in run_check(history)]
     return sorted(violations, key=lambda violation: violation.at_us)
--- a/thistletrail/fault_injection/history.py
+++ b/thistletrail/fault_injection/history.py
@@ -5,23 +5,23 @@
 
 | kind | written by | meaning |
 | --- | --- | --- |
-| `ask` | clients | a request and its retries have ended: start, class, plan, worth, whether served |
-| `try`, `end` | clients | a request was written; its outcome, with the time after which to retry |
-| `late`, `lost` | clients | an answer after the client's deadline; none within half a second after it |
-| `extra` | clients | an answer without a request |
+| `ask` | clients | an operation, a request with its retries, has ended: start, class, plan, worth, success |
+| `try`, `end` | clients | a request was written; its outcome, and how long the client waits for a retry |
+| `late`, `lost` | clients | an answer came after the client's deadline; none came half a second after it |
+| `extra` | clients | an answer without a request arrived |
 | `pong` | clients, fault injection | a gateway that was down answers PING |
 | `came`, `left` | scan servers | an attempt has arrived completely; its outcome at the scan server |
-| `fell` | scan servers | the scan server failed because it got too much load while it was cold |
+| `fell` | scan servers | the scan server collapsed under its load while it was warming up |
 | `open` | relays | a connection was opened, by link and sides |
 | `sent` | relays | the first bytes of a request went from a gateway to a scan server |
 | `asked`, `granted` | relays | a gateway's renewal of its budget shares, and the lease service's response |
 | `told` | relays | an update of the endpoint list was written to a gateway |
-| `words` | relays | the number of datagrams between gateways in a tenth of a second |
+| `words` | relays | the number of quota messages (datagrams) between gateways in a tenth of a second |
 | `go` | fault injection | the times at which the load begins and ends |
 | `fault`, `undone`, `woke` | fault injection | a fault and what it hit; its end; the end of a pause |
 | `started`, `died` | fault injection | a process started, or ended and whether that was expected |
-| `stalled` | fault injection, clients | the process's own event loop was late: the machine was too busy |
-| `door` | a gateway's log | a line of the log, at its time |
+| `stalled` | fault injection, clients | the own event loop was late, as the machine was too busy |
+| `door` | a gateway's log | a line of the log, at its timestamp |
 """
 
 from __future__ import annotations
@@ -51,9 +51,11 @@
         self.encode = msgspec.json.Encoder().encode
 
     def note(self, kind: str, **values: object) -> None:
+        """Write a record of this kind with the present time; the keywords are its other fields."""
         self.file.write(self.encode({"at": now_us(), "kind": kind, **values}) + b"\n")
 
     def close(self) -> None:
+        """Close the file."""
         self.file.close()
 
 
@@ -83,7 +85,7 @@
     return [read(path) for path in sorted(folder.glob("*.jsonl"))]
 
 
-def read_gateway_log(path: Path, door: int, offset_us: int) -> Iterator[Record]:
+def read_gateway_log(path: Path, gateway: int, offset_us: int) -> Iterator[Record]:
     """Yield the lines of a gateway's log as records; `offset_us` is the result of `monotonic_offset_us`.
 
     Lines that do not begin with a timestamp are skipped.
@@ -95,7 +97,7 @@
             yield {
                 "at": round(timestamp_s * 1e6) + offset_us,
                 "kind": "door",
-                "door": door,
+                "door": gateway,
                 "level": level,
                 "text": text.partition(": ")[2],
             }
@@ -106,9 +108,9 @@
     return (time.monotonic_ns() - time.time_ns()) // 1000
 
 
-def merge(parts: Iterable[Iterable[Record]]) -> list[Record]:
-    """Return the records of all parts in order of time."""
-    return sorted((record for part in parts for record in part), key=lambda record: record["at"])
+def merge(histories: Iterable[Iterable[Record]]) -> list[Record]:
+    """Return the records of all histories in order of time."""
+    return sorted((record for history in histories for record in history), key=lambda record: record["at"])
 
 
 def write(records: Iterable[Record], path: Path) -> None:
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -1,4 +1,4 @@
-"""Plans: a fleet and the faults of its processes and links, read from TOML and validated completely.
+"""Plans: the processes of a run and the faults to inject, read from TOML and validated completely.
 
 `[fleet]` is a scenario of the simulation (`simulation/scenario.py`): gateways, scan servers, zones,
 customers, classes and quota plans. `[[faults]]` are the faults to inject; the simulation injects those for
@@ -65,9 +65,9 @@
     "limit",
     "break",
 ]
-MAX_GATEWAYS = 200  # the largest fleet of the operators; each gateway has a loopback address
+MAX_GATEWAYS = 200  # the largest installation of the operators; each gateway has a loopback address
 MAX_LENGTH_S = 600
-# Covers the longest deadline of the operators' classes, and a drain.
+# Covers the longest deadline of the operators' request classes, and a drain.
 TAIL_AFTER_LOAD_S = 4.0
 
 
@@ -84,7 +84,8 @@
     that time; `times` hits the same processes repeatedly, each time once they serve.
 
     Faults of scan servers: `bad` (a share `size` of the answers are errors), `errors_fast` (the same, without
-    delay), `slow` (by the factor `size`), `replace` (they drain and leave over `for_s`, and cold ones join).
+    delay), `slow` (by the factor `size`), `replace` (they drain and leave over `for_s`, and cold ones, which
+    have yet to warm up, join).
 
     Faults of links hit a share `part` of the links of kind `link`, and only those that cross the border of
     zone `zone` if it is given: `cut` (connections are reset and refused), `hold` (connections stay open and
@@ -93,7 +94,7 @@
     `size` of the chunks is cut in the middle, and the connection reset). `way` is the direction: `there` from
     the connecting side, `back` towards it.
 
-    `burst`: the demand of all customers is multiplied by 1 + `size`.
+    `burst`: the demand of all customers is multiplied by 1 + `size` for `for_s`.
     """
 
     kind: FaultKind
@@ -128,24 +129,25 @@
 
 
 class Plan(ScenarioSection):
-    """A fleet of real processes, and the faults to inject."""
+    """The real processes of a run, and the faults to inject."""
 
     name: Name
     fleet: Scenario
     faults: tuple[Fault, ...] = ()
     clients: Annotated[int, msgspec.Meta(ge=1, le=32)] = 1  # client processes, which share the load
-    follower: bool = True  # runs a read replica of the registry, which every other gateway asks first
+    follower: bool = True  # runs a read replica of the registry, which every second gateway reads first
     lease_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 3.0
     steward: bool = False  # ceilings are divided by leases, instead of fixed shares and quota messages
     quotas: bool = False  # quotas are divided by leases as well
     stewards: Annotated[int, msgspec.Meta(ge=1, le=3)] = 1  # lease services; all but one are standbys
-    further: tuple[Amount, Amount] | None = None  # rate a second and burst of the leased retry budget
+    further: tuple[Amount, Amount] | None = None  # leased retry budget: attempts a second, burst
     takeover: tuple[str, ...] = ()  # classes whose work items the lease service stores for a takeover
     state: bool = False  # gateways store snapshots (`state_dir`)
     limits: Limits = Limits()
 
     @property
     def needs_lease_service(self) -> bool:
+        """Whether a lease service runs: to divide budgets, or to store work items."""
         return self.steward or bool(self.takeover)
 
     @property
@@ -176,17 +178,19 @@
     fleet = plan.fleet
     check(fleet, name)
     if fleet.troubles:
-        raise FaultInjectionError(f"{name}: what befalls the fleet stands in faults, not in fleet.troubles")
+        raise FaultInjectionError(f"{name}: faults belong in [[faults]], not in fleet.troubles")
     if unknown_classes := set(plan.takeover) - {rule.name for rule in fleet.classes}:
-        raise FaultInjectionError(f"{name}: takeover names a class '{min(unknown_classes)}' that is none")
+        raise FaultInjectionError(f"{name}: takeover names an unknown class '{min(unknown_classes)}'")
     if plan.further and not (plan.steward and plan.further[0] and plan.further[1] >= 1):
         raise FaultInjectionError(
-            f"{name}: further takes a rate and a burst, and a steward that divides budgets"
+            f"{name}: further needs a rate above 0, a burst of at least 1, and steward = true"
         )
     if plan.quotas and not plan.steward:
-        raise FaultInjectionError(f"{name}: quotas by leases take a steward that divides budgets")
+        raise FaultInjectionError(f"{name}: quotas = true needs steward = true")
     if fleet.doors > MAX_GATEWAYS or fleet.length_s > MAX_LENGTH_S:
-        raise FaultInjectionError(f"{name}: at most {MAX_GATEWAYS} doors for {MAX_LENGTH_S} s")
+        raise FaultInjectionError(
+            f"{name}: at most {MAX_GATEWAYS} gateways (fleet.doors) and {MAX_LENGTH_S} s (fleet.length_s)"
+        )
     process_counts: dict[str, Count] = {
         "doors": fleet.doors,
         "servers": fleet.servers.count,
@@ -197,26 +201,40 @@
     }
     for fault in plan.faults:
         if fault.at_s > fleet.length_s:
-            raise FaultInjectionError(f"{name}: {fault.kind} begins after the end")
+            raise FaultInjectionError(
+                f"{name}: {fault.kind} begins at {fault.at_s:g} s, after the end of the load"
+            )
         if fault.zone is not None and fault.zone >= fleet.net.zones:
-            raise FaultInjectionError(f"{name}: {fault.kind} strikes zone {fault.zone} of {fleet.net.zones}")
+            raise FaultInjectionError(
+                f"{name}: {fault.kind} is in zone {fault.zone}, but there are only {fleet.net.zones} zones"
+            )
         if fault.numbers and max(fault.numbers) >= process_counts[fault.on]:
             raise FaultInjectionError(
-                f"{name}: {fault.kind} strikes {fault.on} {max(fault.numbers)} of {process_counts[fault.on]}"
+                f"{name}: {fault.kind} is on number {max(fault.numbers)} of {fault.on}, "
+                f"but there are only {process_counts[fault.on]}, numbered from 0"
             )
         if fault.kind in ON_PROCESSES and not process_counts[fault.on]:
-            raise FaultInjectionError(f"{name}: {fault.kind} strikes the {fault.on}, and there is none")
+            raise FaultInjectionError(f"{name}: {fault.kind} is on {fault.on}, and the plan runs none")
         if fault.kind in ("lose", "repeat", "reorder", "break", "bad", "errors_fast") and fault.size > 1:
-            raise FaultInjectionError(f"{name}: the size of {fault.kind} is a share, not {fault.size:g}")
+            raise FaultInjectionError(
+                f"{name}: the size of {fault.kind} is a share of at most 1, not {fault.size:g}"
+            )
         if fault.kind in ("repeat", "reorder") and fault.link != "doors-doors":
-            raise FaultInjectionError(f"{name}: {fault.kind} is for datagrams, on the link doors-doors")
+            raise FaultInjectionError(
+                f"{name}: {fault.kind} is for datagrams, so its link is doors-doors, not {fault.link}"
+            )
         if fault.state == "stale" and fault.on != "doors":
-            raise FaultInjectionError(f"{name}: a stale snapshot is for doors, not for the {fault.on}")
+            raise FaultInjectionError(
+                f"{name}: state = 'stale' is for gateways (on = 'doors'), not for {fault.on}"
+            )
         if fault.clock_s and fault.on not in ("doors", "servers"):
-            raise FaultInjectionError(f"{name}: clock_s is for doors and servers, not for the {fault.on}")
+            raise FaultInjectionError(
+                f"{name}: clock_s is for gateways and scan servers (doors, servers), not for {fault.on}"
+            )
         if fault.back_s[0] > fault.back_s[1]:
             raise FaultInjectionError(
-                f"{name}: back_s goes from {fault.back_s[0]:g} down to {fault.back_s[1]:g}"
+                f"{name}: back_s goes from {fault.back_s[0]:g} down to {fault.back_s[1]:g}; "
+                "its lower end comes first"
             )
 
 
@@ -267,14 +285,14 @@
 def to_scenario_fault(fault: Fault, fleet: Scenario) -> ScenarioFault | None:
     """Return the equivalent fault of the simulation; None if it has none with the same meaning."""
     common = {"at_s": fault.at_s, "for_s": fault.for_s, "part": fault.part, "size": fault.size}
-    hits_everywhere = fault.zone is None and not fault.numbers and fault.way == "both" and fault.times == 1
+    is_untargeted = fault.zone is None and not fault.numbers and fault.way == "both" and fault.times == 1
     kind_and_target = (
         fault.kind,
         fault.on if fault.kind in ON_PROCESSES else fault.link if fault.kind in ON_LINKS else "",
     )
     if kind_and_target == ("cut", "doors-servers") and fault.zone is not None and fault.part == 1:
         return ScenarioFault(kind="zone_cut", zone=fault.zone, **common)
-    if not hits_everywhere:
+    if not is_untargeted:
         return None
     if kind_and_target == ("kill", "doors") and not fault.stagger_s and fault.state in get_args(StoredState):
         return ScenarioFault(kind="kill_doors", back_s=fault.back_s, state=fault.state, **common)
--- a/thistletrail/fault_injection/restarts.py
+++ b/thistletrail/fault_injection/restarts.py
@@ -1,4 +1,6 @@
-"""The restart scenario: restarts of several shares of the gateways, with and without state, of several trees.
+"""Measures the recovery after restarts of several shares of the gateways, with and without stored state.
+
+Gateways of several source trees can be compared.
 
 Each run is a process of its own (`python -m thistletrail.fault_injection run`), so that several run in
 parallel. The baseline run without faults is played once for each tree, state and seed.
@@ -22,6 +24,7 @@
 from thistletrail.fault_injection.runs import Run, format_value, load_run, median
 from thistletrail.simulation.experiment import Runner
 
+# By the name of a state: the `state` of the restart fault, and whether gateways store snapshots at all.
 STATES = {"none": ("none", False), "kept": ("kept", True), "stale": ("stale", True)}
 TERMINATION_TIMEOUT_S = 20.0  # for a run to end all its processes after SIGTERM
 
@@ -30,15 +33,16 @@
 class Case:
     """One run: the gateways' source tree, the share that restarts, and their state after the restart."""
 
-    side: str
+    side: str  # name of the source tree
     tree: Path
-    part: float  # share of the gateways; 0: the baseline run without faults
+    restarted_share: float  # 0: the baseline run without faults
     state: str
     seed: int
 
     @property
     def name(self) -> str:
-        return f"{self.side.replace(' ', '-')}-{self.state}-{self.part:g}-{self.seed}"
+        """The name of the folder in which the run is stored."""
+        return f"{self.side.replace(' ', '-')}-{self.state}-{self.restarted_share:g}-{self.seed}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,29 +55,34 @@
 
 
 def list_cases(
-    sides: dict[str, Path], parts: Iterable[float], states: Iterable[str], seeds: Iterable[int]
+    sides: dict[str, Path], shares: Iterable[float], states: Iterable[str], seeds: Iterable[int]
 ) -> list[Case]:
-    """All cases in the order of their runs: sides alternate; each seed and state begins with baselines."""
+    """Return all cases in the order of their runs.
+
+    The sides alternate. Each seed and state begins with the baseline runs.
+    """
     return [
-        Case(side, tree, part, state, seed)
+        Case(side, tree, share, state, seed)
         for seed in seeds
         for state in states
-        for part in (0.0, *parts)
+        for share in (0.0, *shares)
         for side, tree in sides.items()
     ]
 
 
 def plan_for(plan: Plan, case: Case) -> Plan:
-    """The plan with the case's share and state in its first fault; without faults for a baseline.
+    """Return the plan with the case's share and state in its first fault; without faults for a baseline run.
 
     Raises FaultInjectionError if the first fault does not restart gateways.
     """
     if not plan.faults or plan.faults[0].kind not in ("kill", "term") or plan.faults[0].on != "doors":
-        raise FaultInjectionError(f"{plan.name}: its first fault does not restart doors")
+        raise FaultInjectionError(
+            f"{plan.name}: its first fault does not restart gateways (kind kill or term, on doors)"
+        )
     state, stores_state = STATES[case.state]
     replace = msgspec.structs.replace
-    first = replace(plan.faults[0], part=case.part, numbers=(), state=state)
-    faults = (first, *plan.faults[1:]) if case.part else ()
+    first = replace(plan.faults[0], part=case.restarted_share, numbers=(), state=state)
+    faults = (first, *plan.faults[1:]) if case.restarted_share else ()
     return replace(plan, faults=faults, state=stores_state)
 
 
@@ -113,7 +122,7 @@
             runs[case] = future.result()
             report_progress(
                 f"{len(runs)} of {len(cases)}: {case.name}: served {runs[case].figures.served:.3f}, "
-                f"{len(runs[case].violations)} broken"
+                f"{len(runs[case].violations)} violations"
             )
     finally:
         runner.stop()
@@ -121,7 +130,7 @@
     results = []
     for case, run in runs.items():
         baseline = runs[Case(case.side, case.tree, 0.0, case.state, case.seed)]
-        if case.part:
+        if case.restarted_share:
             results.append(
                 Result(
                     case,
@@ -148,11 +157,15 @@
 
 
 def table(results: list[Result]) -> list[list[str]]:
-    """A table by side, state and share: medians of the figures over the seeds, and the violations' count."""
+    """Return a table by side, state and share: medians over the seeds, and the number of violations."""
     rows = [["doors", "state", "share", "seeds", *COLUMNS, "broken"]]
-    for key in dict.fromkeys((result.case.side, result.case.state, result.case.part) for result in results):
+    for side, state, share in dict.fromkeys(
+        (result.case.side, result.case.state, result.case.restarted_share) for result in results
+    ):
         matching = [
-            result for result in results if (result.case.side, result.case.state, result.case.part) == key
+            result
+            for result in results
+            if (result.case.side, result.case.state, result.case.restarted_share) == (side, state, share)
         ]
         cells = [
             format_value(median([column(result.figures) for result in matching]))
@@ -160,9 +173,9 @@
         ]
         rows.append(
             [
-                key[0],
-                key[1],
-                f"{key[2]:g}",
+                side,
+                state,
+                f"{share:g}",
                 str(len(matching)),
                 *cells,
                 str(sum(len(result.violations) for result in matching)),
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import tempfile
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -19,7 +20,9 @@
 from thistletrail.fault_injection.plan import Plan, dump, load
 from thistletrail.fault_injection.play import ProgressCallback, play
 
-HISTORY, CALM, PLAN, RESULT = "history.jsonl", "calm.jsonl", "plan.toml", "result.json"
+# The files of a stored run.
+HISTORY_FILE, BASELINE_HISTORY_FILE = "history.jsonl", "calm.jsonl"
+PLAN_FILE, RESULT_FILE = "plan.toml", "result.json"
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +44,10 @@
     report_progress: ProgressCallback,
     extra_gateway_config: dict[str, Any] | None = None,
 ) -> RunHistory:
-    """Play a plan in a temporary folder. On Ctrl-C all processes end before KeyboardInterrupt is raised."""
+    """Play a plan once in a temporary folder and return the history.
+
+    On SIGTERM or Ctrl-C all processes end before KeyboardInterrupt is raised.
+    """
     with (
         tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
@@ -81,16 +87,16 @@
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / PLAN).write_text(dump(run.plan))
+        (folder / PLAN_FILE).write_text(dump(run.plan))
         result = {
             "seed": run.seed,
             "figures": run.figures.as_json(),
             "violations": [[violation.rule, violation.at_us, violation.text] for violation in run.violations],
         }
-        (folder / RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
+        (folder / RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
     except OSError as error:
         raise FaultInjectionError(f"{folder}: {error.strerror}") from error
-    for history, name in ((run.history, HISTORY), (run.baseline, CALM)):
+    for history, name in ((run.history, HISTORY_FILE), (run.baseline, BASELINE_HISTORY_FILE)):
         if history is not None:
             write(
                 (record for records in history.records_by_kind.values() for record in records), folder / name
@@ -102,47 +108,55 @@
 
     Raises FaultInjectionError if the folder holds no run or no seed.
     """
-    if not (folder / PLAN).exists():
-        raise FaultInjectionError(f"{folder} holds no run")
-    plan = load(str(folder / PLAN))
+    if not (folder / PLAN_FILE).exists():
+        raise FaultInjectionError(f"{folder} holds no run: it has no {PLAN_FILE}")
+    plan = load(str(folder / PLAN_FILE))
     try:
-        seed = int(msgspec.json.decode((folder / RESULT).read_bytes())["seed"])
+        seed = int(msgspec.json.decode((folder / RESULT_FILE).read_bytes())["seed"])
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError):
-        raise FaultInjectionError(f"{folder / RESULT} tells no seed") from None
-    history = RunHistory(read(folder / HISTORY), plan, seed)
+        raise FaultInjectionError(f"{folder / RESULT_FILE} has no seed") from None
+    history = RunHistory(read(folder / HISTORY_FILE), plan, seed)
     baseline = (
-        RunHistory(read(folder / CALM), plan.without_faults, seed) if (folder / CALM).exists() else None
+        RunHistory(read(folder / BASELINE_HISTORY_FILE), plan.without_faults, seed)
+        if (folder / BASELINE_HISTORY_FILE).exists()
+        else None
     )
     return Run(plan, seed, history, baseline, compute_figures(history, baseline), check(history))
 
 
 def format_value(value: object) -> str:
+    """Return a figure as text: three decimal places for a float, "-" for None."""
     if value is None:
         return "-"
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
-def figure_table(sides: list[tuple[str, list[dict[str, object]]]]) -> list[list[str]]:
-    """A table with a row for each figure and a column for each side: the median of its runs.
+def figure_table(
+    sides: list[tuple[str, list[dict[str, object]]]], labels: Mapping[str, str] | None = None
+) -> list[list[str]]:
+    """Return a table with a row for each figure and a column for each side: the median of its runs.
 
-    A figure that is None (never or unknown) counts as the worst in the median.
+    A row begins with the figure's key and, if `labels` has one for it, what the figure counts. A figure that
+    is None (never or unknown) counts as the worst in the median.
     """
     names = list(dict.fromkeys(name for _, runs in sides for figures in runs for name in figures))
     table = [["figure", *(name for name, _ in sides)]]
     for name in names:
+        label = f"{name}: {labels[name]}" if labels and name in labels else name
         table.append(
-            [name, *(format_value(median([figures.get(name) for figures in runs])) for _, runs in sides)]
+            [label, *(format_value(median([figures.get(name) for figures in runs])) for _, runs in sides)]
         )
     return table
 
 
 def median(values: list[Any]) -> Any:  # noqa: ANN401 - a figure of any kind
-    """The lower median; None, which means never or unknown, counts as more than any number."""
+    """Return the lower median; None, which means never or unknown, counts as larger than any number."""
     ordered = sorted(values, key=lambda value: (value is None, value if value is not None else 0))
     return ordered[(len(ordered) - 1) // 2] if ordered else None
 
 
 def format_table(table: list[list[str]]) -> str:
+    """Return the rows as lines of aligned columns: the first aligned left, the others right."""
     widths = [max(len(row[n]) for row in table) for n in range(len(table[0]))]
     return "\n".join(
         "  ".join(
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -18,9 +18,9 @@
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.simulation.scenario import Demand, Net, Scenario, Servers
 
-LENGTH_S = 8.0
+LOAD_LENGTH_S = 8.0
 MAX_GATEWAYS, MAX_SCAN_SERVERS, MAX_FAULTS = 6, 6, 4
-LINKS = (
+DRAWN_LINKS = (
     "clients-doors",
     "doors-servers",
     "doors-doors",
@@ -30,8 +30,9 @@
     "follower-list",
 )
 SHRINK_ATTEMPTS = 2  # runs of each smaller plan, as runs of real processes are not deterministic
-# Faults under which all rules hold. Under others, clients or servers may see what no gateway can prevent.
-KINDS = (
+# Kinds of faults under which all rules hold. Under others, clients or scan servers may observe violations
+# that no gateway can prevent.
+DRAWN_FAULT_KINDS = (
     "kill",
     "term",
     "pause",
@@ -60,11 +61,11 @@
 
 
 def draw_plan(rng: random.Random, name: str) -> Plan:
-    """Draw a random plan, of values that a plan file may hold."""
+    """Draw a random plan; `verify` may still reject it if a fault does not apply to its processes."""
     fleet = Scenario(
         name=name,
         doors=rng.randint(2, MAX_GATEWAYS),
-        length_s=LENGTH_S,
+        length_s=LOAD_LENGTH_S,
         servers=Servers(count=rng.randint(2, MAX_SCAN_SERVERS)),
         net=Net(zones=rng.randint(1, 2)),
         demand=Demand(load=(0.2, 0.5)),
@@ -87,15 +88,16 @@
 
 
 def draw_fault(rng: random.Random, has_lease_service: bool) -> Fault:
-    kind = rng.choice(KINDS)
+    """Draw a random fault; on a lease service and its links only if the plan runs one."""
+    kind = rng.choice(DRAWN_FAULT_KINDS)
     at_s, for_s = round(rng.uniform(1, 5), 2), round(rng.uniform(0.2, 2.5), 2)
     lease_services = ("steward",) if has_lease_service else ()
-    on = "doors"
+    target = "doors"
     if kind in ("kill", "pause"):
-        on = rng.choice(("doors", "doors", "servers", "list", "follower", *lease_services))
+        target = rng.choice(("doors", "doors", "servers", "list", "follower", *lease_services))
     elif kind == "full_disk":
-        on = rng.choice(("list", *lease_services))
-    links = (*LINKS, "doors-steward") if has_lease_service else LINKS
+        target = rng.choice(("list", *lease_services))
+    links = (*DRAWN_LINKS, "doors-steward") if has_lease_service else DRAWN_LINKS
     size = {
         "delay": rng.uniform(1, 200),
         "limit": rng.uniform(2e4, 1e6),
@@ -105,10 +107,10 @@
         kind=kind,
         at_s=at_s,
         for_s=for_s,
-        on=on,
+        on=target,
         part=rng.choice((0.3, 0.5, 0.9, 1.0)),
         size=round(size, 3),
-        state=rng.choice(("kept", "none", "old")) if on in ("doors", "follower") else "kept",
+        state=rng.choice(("kept", "none", "old")) if target in ("doors", "follower") else "kept",
         link="doors-doors" if kind in ("repeat", "reorder") else rng.choice(links),
         way=rng.choice(("both", "both", "there", "back")),
         stagger_s=rng.choice((0.0, 1.0)),
@@ -116,7 +118,7 @@
 
 
 def smaller_plans(plan: Plan) -> Iterator[Plan]:
-    """Yield plans with one part left out or reduced, the largest reductions first."""
+    """Yield plans in which one fault, feature or process is left out, faults first."""
     replace = msgspec.structs.replace
     for number in range(len(plan.faults)):
         yield replace(plan, faults=plan.faults[:number] + plan.faults[number + 1 :])
@@ -166,25 +168,25 @@
 
     Each plan that breaks a rule is shrunk and stored in `out`.
     """
-    rng, result, end = random.Random(seed), SoakResult(), time.monotonic() + minutes * 60
+    rng, result, end_s = random.Random(seed), SoakResult(), time.monotonic() + minutes * 60
 
     def play_and_check(plan: Plan) -> list[Violation]:
         return check(play_once(plan, seed, tree, lambda text: None))
 
-    while (result.played < count) if count is not None else (time.monotonic() < end):
+    while (result.played < count) if count is not None else (time.monotonic() < end_s):
         plan = draw_plan(rng, f"soak-{seed}-{result.played}")
         try:
             verify(plan, plan.name)
         except FaultInjectionError:
-            continue  # the drawn fault does not apply to this fleet
+            continue  # a drawn fault does not apply to the processes of this plan
         violations = play_and_check(plan)
         result.played += 1
         kinds = ", ".join(fault.kind for fault in plan.faults)
-        report_progress(f"{plan.name}: {kinds}: {len(violations)} broken")
+        report_progress(f"{plan.name}: {kinds}: {len(violations)} violations")
         if not violations:
             continue
         rule = violations[0].rule
-        report_progress(f"{plan.name}: {violations[0].text}; making it small")
+        report_progress(f"{plan.name}: {violations[0].text}; shrinking the plan")
         smallest = shrink(
             plan,
             lambda candidate, rule=rule: any(
