--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -207,13 +207,13 @@
         divisible_total = divisible_total_of(totals, budget)
         max_sum, at_us = max(((total, at_us) for at_us, total in share_sums(grants)), default=(0, 0))
         if max_sum > divisible_total:
-            yield at_us, f"{budget}: gateways may use {max_sum} of a divisible total of {divisible_total}"
+            yield at_us, f"{max_sum} of {divisible_total} of {budget} may be believed in"
     grant_by_fence: dict[int, tuple[object, ...]] = {}
     for record in history.records_by_kind["granted"]:
         for budget, (fence, share) in record["parts"].items():
             grant = budget, record["door"], record["mark"], share
             if grant_by_fence.setdefault(fence, grant) != grant:
-                yield record["at"], f"fencing number {fence} belongs to two different grants"
+                yield record["at"], f"fence {fence} is of two grants"
 
 
 @dataclass(frozen=True, slots=True)
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -261,8 +261,8 @@
 ) -> list[Record]:
     """Run a plan once, with its files in `folder`, and return its history.
 
-    `extra_gateway_config` is added to the configuration of each gateway. Raises `FaultInjectionError` if the plan cannot be
-    run.
+    `extra_gateway_config` is added to the configuration of each gateway. Raises `FaultInjectionError` if the
+    plan cannot be run.
     """
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     # The exceptions that the default handlers raise could be lost in a callback of the loop.
