--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -48,7 +48,7 @@
     "thistletrail/benchmarks/holders.py": 1,
     "thistletrail/benchmarks/leases.py": 5,
     "thistletrail/benchmarks/work.py": 13,
-    "thistletrail/fault_injection/__main__.py": 4,
+    "thistletrail/fault_injection/__main__.py": 3,
     "thistletrail/fault_injection/crash_injection.py": 2,
     "thistletrail/fault_injection/fleet.py": 13,
     "thistletrail/fault_injection/leases.py": 2,
