--- a/tests/test_benchmarks_work.py
+++ b/tests/test_benchmarks_work.py
@@ -1,4 +1,4 @@
-"""The benches of what the steward keeps and divides: counts and bytes, never speed."""
+"""Tests of the benchmarks of work leases and budget leases, by counts and sizes only, not by speed."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-def patient(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Classes and clients for which no time decides, however busy the machine: nothing is given up."""
+def long_deadlines(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make all deadlines and client time-outs so long that no request times out on a busy machine."""
     categories = [
         {**category, "on-time-us": 60_000_000, "deadline-us": 90_000_000}
         for category in cost.SETTINGS["categories"]
@@ -27,39 +27,40 @@
     monkeypatch.setattr(callers, "PATIENCE_S", 81.0)
 
 
-@pytest.mark.usefixtures("patient")
-def test_each_request_is_served_with_it_off_and_on_and_a_piece_takes_few_bytes_of_log() -> None:
-    # With a scan server for each three requests, none is held, even if all come at once.
+@pytest.mark.usefixtures("long_deadlines")
+def test_all_requests_are_served_without_and_with_work_leases_and_a_work_item_logs_under_3000_bytes() -> None:
+    # One scan server for three requests: no request is queued, even if all arrive at once.
     load = replace(cost.fitting(LOADS["steady"], 60), servers=20)
-    found = asyncio.run(work.pairs(HERE, load, 1, 1))
-    ((off, on),) = found
-    assert (off.kept, on.kept) == (False, True) and off.served == on.served == 60
-    assert not off.steward_us and on.p50_us > 0
-    alone = asyncio.run(work.alone(200, 1))
-    # A request of 512 bytes and an answer of 1,024 as base64 (2,052), and what is said of them.
-    assert 2052 < alone.log_bytes < 3000
-    assert "the steward alone" in work.table(found, alone)
-    assert json.loads(json.dumps(work.as_json(found, alone)))["alone"]["pieces"] == 200
+    pairs = asyncio.run(work.run_pairs(HERE, load, 1, 1))
+    ((without, with_),) = pairs
+    assert (without.with_leases, with_.with_leases) == (False, True)
+    assert without.served == with_.served == 60
+    assert not without.lease_service_cpu_us and with_.latency_p50_us > 0
+    service = asyncio.run(work.measure_service(200, 1))
+    # A request of 512 bytes and an answer of 1,024 as base64 (2,052), and their attributes.
+    assert 2052 < service.log_bytes_per_item < 3000
+    assert "the lease service alone" in work.format_table(pairs, service)
+    assert json.loads(json.dumps(work.to_json_object(pairs, service)))["alone"]["pieces"] == 200
 
 
-def test_each_ask_of_several_front_doors_is_granted_and_takes_few_bytes() -> None:
-    found = asyncio.run(leases.play(6, 4, 2, 2, 1))
-    # Four asks each, less those that a busy machine has left out.
-    assert found.asks + found.late >= 6 * 4 - 6 and found.asks > 0
-    assert found.granted == found.asks * found.budgets  # every budget of every ask
-    assert found.ask_bytes < 60 + 4 * 80 and found.answer_bytes < 60 + 4 * 80
-    assert "asks a second of one core" in leases.table(found)
-    assert json.loads(json.dumps(leases.as_json(found)))["budgets"] == 4
+def test_every_renewal_of_several_gateways_is_granted_and_stays_below_its_size_limit() -> None:
+    figures = asyncio.run(leases.measure(6, 4, 2, 2, 1))
+    # Four renewals for each gateway, less those that a busy machine has left out.
+    assert figures.renewals + figures.late >= 6 * 4 - 6 and figures.renewals > 0
+    assert figures.granted == figures.renewals * figures.budgets
+    assert figures.request_bytes < 60 + 4 * 80 and figures.response_bytes < 60 + 4 * 80
+    assert "renewals a second of one core" in leases.format_table(figures)
+    assert json.loads(json.dumps(leases.to_json_object(figures)))["budgets"] == 4
 
 
-@pytest.mark.parametrize("words", [("takeover", "--pairs"), ("leases", "--holders")])
-def test_bad_input_is_one_line(words: tuple[str, str]) -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "thistletrail.benchmarks", *words, "x"],
+@pytest.mark.parametrize("arguments", [("takeover", "--pairs"), ("leases", "--holders")])
+def test_bad_argument_ends_with_status_2_and_one_line_that_names_it(arguments: tuple[str, str]) -> None:
+    result = subprocess.run(
+        [sys.executable, "-m", "thistletrail.benchmarks", *arguments, "x"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and words[1] in done.stderr
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1 and arguments[1] in result.stderr
--- a/thistletrail/benchmarks/__init__.py
+++ b/thistletrail/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""bench: the project's own load harness, with stand-ins for all that a front door talks to, on loopback."""
+"""Benchmarks of the gateway and its services on loopback, with stub servers for all that they talk to."""
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""The harness's commands."""
+"""The commands of the benchmarks."""
 
 import argparse
 import asyncio
@@ -14,89 +14,115 @@
 from thistletrail.benchmarks.loads import LOADS
 from thistletrail.benchmarks.process import ROOT, check_port, prepare, revision
 
-MOST_PAIRS = 100
+MAX_PAIRS = 100
 
 
 class Parser(argparse.ArgumentParser):
-    """Bad input is one plain line."""
+    """A parser that reports bad input as an error of one line."""
 
     def error(self, message: str) -> NoReturn:
+        """Raise a `BenchError` in place of printing the usage and exiting."""
         raise BenchError(message)
 
 
-def whole(most: int) -> Any:  # noqa: ANN401 - argparse takes any callable
+def bounded_integer(maximum: int) -> Any:  # noqa: ANN401 - argparse takes any callable
+    """Return a converter of arguments that accepts decimal integers from 1 to `maximum`."""
+
     def read(text: str) -> int:
-        if not text.isascii() or not text.isdigit() or len(text) > 12 or not 1 <= int(text) <= most:
-            raise argparse.ArgumentTypeError(f"'{text}' is no whole number from 1 to {most}")
+        if not text.isascii() or not text.isdigit() or len(text) > 12 or not 1 <= int(text) <= maximum:
+            raise argparse.ArgumentTypeError(f"'{text}' is no whole number from 1 to {maximum}")
         return int(text)
 
     return read
 
 
-def parser() -> Parser:
-    found = Parser(prog="benchmarks", description="What a front door costs, on loopback, with stand-ins.")
-    commands = found.add_subparsers(dest="command", required=True, metavar="COMMAND")
+def build_parser() -> Parser:
+    """Return the parser of all commands."""
+    parser = Parser(
+        prog="benchmarks", description="Measure what a gateway costs, on loopback, with stub servers."
+    )
+    commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     commands.add_parser("quickstart", help="start one gateway before stubs, and send one request through it")
     costs = commands.add_parser("cost", help="processor time, memory and descriptors of requests")
     costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
-    costs.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
-    costs.add_argument("--requests", type=whole(cost.MOST_REQUESTS), metavar="N", help="of each load")
-    costs.add_argument("--port", type=whole(65535), default=0, metavar="N", help="for the front door")
-    costs.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
-    costs.add_argument("--against", metavar="REV", help="play another revision in turns with this tree")
-    costs.add_argument("--pairs", type=whole(MOST_PAIRS), default=5, metavar="N", help="of plays")
-    lists_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the registry")
-    lists_.add_argument("--watchers", type=whole(900), default=200, metavar="N")
-    lists_.add_argument("--instances", type=whole(2000), default=200, metavar="N")
-    lists_.add_argument("--changes", type=whole(10_000), default=50, metavar="N")
-    lists_.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
-    lists_.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
-    work_ = commands.add_parser("takeover", help="what it costs that work in hand is kept")
-    work_.add_argument("--load", choices=sorted(LOADS), default="steady")
-    work_.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
-    work_.add_argument("--requests", type=whole(cost.MOST_REQUESTS), metavar="N", help="of each play")
-    work_.add_argument("--pairs", type=whole(MOST_PAIRS), default=3, metavar="N", help="of plays")
-    work_.add_argument("--pieces", type=whole(10**6), default=10_000, metavar="N", help="at the steward")
-    work_.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
-    leases_ = commands.add_parser("leases", help="what dividing budgets costs the steward")
-    leases_.add_argument("--holders", type=whole(900), default=200, metavar="N", help="front doors")
-    leases_.add_argument("--budgets", type=whole(2000), default=20, metavar="N", help="of each ask")
-    leases_.add_argument("--rate", type=whole(100), default=3, metavar="N", help="asks a second of each")
-    leases_.add_argument("--seconds", type=whole(600), default=5, metavar="N")
-    leases_.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
-    leases_.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
-    return found
+    costs.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    costs.add_argument(
+        "--requests", type=bounded_integer(cost.MOST_REQUESTS), metavar="N", help="of each load"
+    )
+    costs.add_argument("--port", type=bounded_integer(65535), default=0, metavar="N", help="for the gateway")
+    costs.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    costs.add_argument("--against", metavar="REV", help="run another revision in turns with this tree")
+    costs.add_argument("--pairs", type=bounded_integer(MAX_PAIRS), default=5, metavar="N", help="of runs")
+    registry_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the registry")
+    registry_.add_argument("--watchers", type=bounded_integer(900), default=200, metavar="N")
+    registry_.add_argument("--instances", type=bounded_integer(2000), default=200, metavar="N")
+    registry_.add_argument("--changes", type=bounded_integer(10_000), default=50, metavar="N")
+    registry_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    registry_.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    takeover_ = commands.add_parser(
+        "takeover", help="what work leases cost the gateway and the lease service"
+    )
+    takeover_.add_argument("--load", choices=sorted(LOADS), default="steady")
+    takeover_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    takeover_.add_argument(
+        "--requests", type=bounded_integer(cost.MOST_REQUESTS), metavar="N", help="of each run"
+    )
+    takeover_.add_argument("--pairs", type=bounded_integer(MAX_PAIRS), default=3, metavar="N", help="of runs")
+    takeover_.add_argument(
+        "--pieces",
+        type=bounded_integer(10**6),
+        default=10_000,
+        metavar="N",
+        help="work items at the lease service alone",
+    )
+    takeover_.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    leases_ = commands.add_parser("leases", help="what renewals of budget leases cost the lease service")
+    leases_.add_argument("--holders", type=bounded_integer(900), default=200, metavar="N", help="gateways")
+    leases_.add_argument(
+        "--budgets", type=bounded_integer(2000), default=20, metavar="N", help="of each renewal"
+    )
+    leases_.add_argument(
+        "--rate", type=bounded_integer(100), default=3, metavar="N", help="renewals a second of each"
+    )
+    leases_.add_argument("--seconds", type=bounded_integer(600), default=5, metavar="N")
+    leases_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    leases_.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    return parser
 
 
 async def run_quickstart(_: argparse.Namespace) -> None:
+    """Run the command `quickstart` and print its result."""
     print(quickstart.describe(await quickstart.play()))
 
 
 async def run_takeover(args: argparse.Namespace) -> None:
-    from thistletrail.benchmarks import work  # its packages are not those of a front door
+    """Run the command `takeover`, print its table and write its JSON file."""
+    from thistletrail.benchmarks import work  # needs packages that a gateway does not
 
     if args.json:
         check_writable(args.json)
     load = cost.fitting(LOADS[args.load], args.requests)
-    found = await work.pairs(prepare(ROOT), load, args.seed, args.pairs)
-    by_itself = await work.alone(args.pieces, args.seed)
-    print(work.table(found, by_itself))
+    pairs = await work.run_pairs(prepare(ROOT), load, args.seed, args.pairs)
+    service = await work.measure_service(args.pieces, args.seed)
+    print(work.format_table(pairs, service))
     if args.json:
-        args.json.write_text(json.dumps(work.as_json(found, by_itself), indent=1) + "\n")
+        args.json.write_text(json.dumps(work.to_json_object(pairs, service), indent=1) + "\n")
 
 
 async def run_leases(args: argparse.Namespace) -> None:
-    from thistletrail.benchmarks import leases  # its packages are not those of a front door
+    """Run the command `leases`, print its table and write its JSON file."""
+    from thistletrail.benchmarks import leases  # needs packages that a gateway does not
 
     if args.json:
         check_writable(args.json)
-    found = await leases.play(args.holders, args.budgets, args.rate, args.seconds, args.seed)
-    print(leases.table(found))
+    figures = await leases.measure(args.holders, args.budgets, args.rate, args.seconds, args.seed)
+    print(leases.format_table(figures))
     if args.json:
-        args.json.write_text(json.dumps(leases.as_json(found), indent=1) + "\n")
+        args.json.write_text(json.dumps(leases.to_json_object(figures), indent=1) + "\n")
 
 
 async def run_cost(args: argparse.Namespace) -> None:
+    """Run the command `cost`, print its table and write its JSON file."""
     unknown = [name for name in args.load or () if name not in LOADS]
     if unknown:
         raise BenchError(f"unknown load '{unknown[0]}'; known are {', '.join(LOADS)}")
@@ -106,29 +132,30 @@
     if args.json:
         check_writable(args.json)
     with contextlib.ExitStack() as stack:
-        theirs = stack.enter_context(revision(args.against)) if args.against else None
-        ours = prepare(ROOT)
-        if theirs is None:
-            plays = await cost.costs(ours, loads, args.seed, args.port)
-            print(cost.cost_table(plays))
-            kept: Any = {"seed": args.seed, "plays": cost.as_json(plays)}
+        other_tree = stack.enter_context(revision(args.against)) if args.against else None
+        tree = prepare(ROOT)
+        if other_tree is None:
+            runs = await cost.costs(tree, loads, args.seed, args.port)
+            print(cost.cost_table(runs))
+            report: Any = {"seed": args.seed, "plays": cost.as_json(runs)}
         else:
-            found = await cost.pairs(ours, theirs, loads, args.seed, args.port, args.pairs)
-            rows = cost.differences(found)
+            pairs = await cost.pairs(tree, other_tree, loads, args.seed, args.port, args.pairs)
+            rows = cost.differences(pairs)
             print(cost.difference_table(rows, args.against))
-            kept = {
+            report = {
                 "seed": args.seed,
                 "against": args.against,
                 "differences": rows,
-                "here": cost.as_json(ours for ours, _ in found),
-                "there": cost.as_json(theirs for _, theirs in found),
+                "here": cost.as_json(here for here, _ in pairs),
+                "there": cost.as_json(there for _, there in pairs),
             }
     if args.json:
-        args.json.write_text(json.dumps(kept, indent=1) + "\n")
+        args.json.write_text(json.dumps(report, indent=1) + "\n")
 
 
 async def run_registry(args: argparse.Namespace) -> None:
-    from thistletrail.benchmarks import registry  # its packages are not those of a front door
+    """Run the command `registry`, print its table and write its JSON file."""
+    from thistletrail.benchmarks import registry  # needs packages that a gateway does not
 
     if args.json:
         check_writable(args.json)
@@ -139,7 +166,7 @@
 
 
 def check_writable(path: Path) -> None:
-    """Before anything is played for nothing."""
+    """Raise a `BenchError` before the runs if their figures could not be written to `path`."""
     try:
         with path.open("a"):
             pass
@@ -147,9 +174,11 @@
         raise BenchError(f"cannot write {path}: {error.strerror}") from error
 
 
-async def until_told(args: argparse.Namespace) -> None:
-    """Run the command; SIGTERM and SIGINT, also one that was ignored at the start, end it and all that it
-    started."""
+async def run_until_signalled(args: argparse.Namespace) -> None:
+    """Run the command; SIGTERM and SIGINT end it and all processes that it started.
+
+    This also holds for a signal that was ignored when the program started.
+    """
     task = asyncio.current_task()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
@@ -164,8 +193,9 @@
 
 
 def main() -> int:
+    """Run the command line; return the exit status."""
     try:
-        asyncio.run(until_told(parser().parse_args()))
+        asyncio.run(run_until_signalled(build_parser().parse_args()))
     except BenchError as error:
         print(f"benchmarks: {error}", file=sys.stderr)
         return 2
--- a/thistletrail/benchmarks/holders.py
+++ b/thistletrail/benchmarks/holders.py
@@ -1,8 +1,8 @@
-"""A stand-in for a front door before the steward, as a process of its own: renews, spends, and notes both.
+"""A holder of budget leases as a separate process: it renews and spends them, and records both for a test.
 
-Started with the path of its configuration. It spends a unit of each rate whenever its store has one, and
-notes each grant that it takes over with the time until which it may be used, so that a test can add up what
-all holders believed in at any moment. It runs until it is ended.
+Its argument is the path of its settings. It spends one unit of each rate whenever its token bucket has one,
+and records each adopted grant with the time until which it may be used, so that a test can add up what all
+holders could use at any moment. It runs until it is ended.
 """
 
 from __future__ import annotations
@@ -19,70 +19,82 @@
 from thistletrail.leasing.client import LeaseRenewer, ServiceSettings
 from thistletrail.leasing.framing import now_ms
 
-NEED = 10  # units of a rate that it has a use for at once, at any time
-LOOK_S = 0.01  # between looks at the stores
+WAITING_UNITS = 10  # units that wait for a rate budget, in each renewal
+SPEND_INTERVAL_S = 0.01
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration, as a test writes it."""
+class HolderSettings(msgspec.Struct, frozen=True, kw_only=True):
+    """The settings, as a test writes them."""
 
-    door: int
-    mark: int
-    doors: int
+    gateway: int = msgspec.field(name="door")
+    incarnation: int = msgspec.field(name="mark")
+    max_gateways: int = msgspec.field(name="doors")
     addresses: tuple[tuple[str, int], ...]
     secret: str
     lease_ms: int
-    budgets: dict[str, tuple[int, int]]  # by name: whole and burst
+    budgets: dict[str, tuple[int, int]]
+    """Name of a budget -> total and burst."""
     demands: dict[str, int]
-    history: str
+    history_path: str = msgspec.field(name="history")
 
 
-class Stand:
-    """One holder and what it notes."""
+class RecordingHolder:
+    """One holder and its file of records."""
 
-    def __init__(self, told: Told) -> None:
-        self.told = told
-        self.terms = {name: BudgetLimits(*values) for name, values in told.budgets.items()}
-        self.holder = BudgetHolder(told.door, told.mark, told.doors)
-        path = Path(told.history)
+    def __init__(self, settings: HolderSettings) -> None:
+        self.settings = settings
+        self.limits = {name: BudgetLimits(*values) for name, values in settings.budgets.items()}
+        self.holder = BudgetHolder(settings.gateway, settings.incarnation, settings.max_gateways)
+        path = Path(settings.history_path)
         self.file = path.open("ab", buffering=0)
-        self.known: dict[str, int] = {}
-
-    def note(self, kind: str, **values: object) -> None:
-        record = {"at": now_ms(), "kind": kind, "door": self.told.door, "mark": self.told.mark, **values}
+        self.recorded_fences: dict[str, int] = {}
+        """Name of a budget -> fencing token of the grant recorded last."""
+
+    def record(self, kind: str, **values: object) -> None:
+        """Append a record with the time in milliseconds; the keywords are keys of the record."""
+        record = {
+            "at": now_ms(),
+            "kind": kind,
+            "door": self.settings.gateway,
+            "mark": self.settings.incarnation,
+            **values,
+        }
         self.file.write(msgspec.json.encode(record) + b"\n")
 
-    def want(self) -> None:
-        for name, terms in self.terms.items():
-            demand = Demand(self.told.demands[name], NEED if terms.burst else 0)
-            self.holder.set_demand(name, terms, demand, now_ms())
+    def set_demand(self) -> None:
+        """Set the demand of each budget for the next renewal."""
+        for name, limits in self.limits.items():
+            demand = Demand(self.settings.demands[name], WAITING_UNITS if limits.burst else 0)
+            self.holder.set_demand(name, limits, demand, now_ms())
 
-    def renewed(self) -> None:
-        """Grants that were taken over, and those whose lease was renewed."""
+    def record_grants(self) -> None:
+        """Record grants that were adopted since the last call, and those whose lease was renewed."""
         for name, lease in self.holder.leases.items():
-            if lease.fence != self.known.get(name):
-                self.known[name] = lease.fence
-                self.note("held", budget=name, part=lease.share, until=lease.until_ms, fence=lease.fence)
+            if lease.fence != self.recorded_fences.get(name):
+                self.recorded_fences[name] = lease.fence
+                self.record("held", budget=name, part=lease.share, until=lease.until_ms, fence=lease.fence)
 
     async def run(self) -> None:
+        """Renew and spend until cancelled."""
         renewer = LeaseRenewer(
             self.holder,
-            ServiceSettings(self.told.addresses, self.told.secret.encode(), self.told.lease_ms),
-            random.Random(self.told.mark),
-            self.want,
-            self.renewed,
+            ServiceSettings(self.settings.addresses, self.settings.secret.encode(), self.settings.lease_ms),
+            random.Random(self.settings.incarnation),
+            self.set_demand,
+            self.record_grants,
         )
         renewing = asyncio.create_task(renewer.run())
-        print(f"holder {self.told.door} runs", flush=True)
+        print(f"holder {self.settings.gateway} runs", flush=True)
         try:
             while True:
-                await asyncio.sleep(LOOK_S)
-                for name, terms in self.terms.items():
-                    if terms.burst and self.holder.spend(name, 1, now_ms()):
-                        self.note("spent", budget=name)
+                await asyncio.sleep(SPEND_INTERVAL_S)
+                for name, limits in self.limits.items():
+                    if limits.burst and self.holder.spend(name, 1, now_ms()):
+                        self.record("spent", budget=name)
         finally:
             renewing.cancel()
 
 
 if __name__ == "__main__":
-    asyncio.run(Stand(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Told)).run())
+    settings = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HolderSettings)
+    asyncio.run(RecordingHolder(settings).run())
--- a/thistletrail/benchmarks/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -1,11 +1,11 @@
-"""What dividing budgets costs the steward of a fleet: holders that renew, on one real process."""
+"""The cost of budget leases: many holders renew their leases at one lease service process."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import time
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
@@ -13,7 +13,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from thistletrail.benchmarks.work import DIGITS, MOST_US, steward
+from thistletrail.benchmarks.work import MAX_LATENCY_US, SIGNIFICANT_DIGITS, running_lease_service
 from thistletrail.leasing.budget_holder import BudgetHolder, Demand
 from thistletrail.leasing.budget_state import BudgetLimits
 from thistletrail.leasing.client import RenewalConnection
@@ -23,128 +23,160 @@
 from thistletrail.leasing.leadership import latest_term, term_folder
 from thistletrail.leasing.messages import RenewResponse
 
-RATE, BURST = 15.0, 30  # of a customer's budget: the largest plan of the operators' site
-SET = 17  # doors that one customer's requests come through: the middle of the site's large fleets
-NEED_SHARE = 0.3  # of the budgets of an ask for which something waits
+RATE, BURST = 15.0, 30  # units a second and units of each budget: the largest plan of the operators' site
+GATEWAYS_PER_CUSTOMER = 17  # gateways that share a budget: the middle of the site's large fleets
+WAITING_SHARE = 0.3  # share of the budgets of a renewal that have requests waiting
 
 
 @dataclass(frozen=True)
-class Asked:
-    """One play; bytes and microseconds are an ask's."""
+class Figures:
+    """The figures of one run."""
 
     holders: int
-    budgets: int  # of one ask
-    asks: int
-    late: int  # asks that were not made, as the one before was unanswered when they were due
+    budgets: int
+    """Budgets in each renewal."""
+    renewals: int
+    late: int
+    """Renewals that were left out, as the previous one was unanswered when they were due."""
     granted: int
-    processor_us: float  # of the steward's process
-    p50_us: int
-    p99_us: int
-    ask_bytes: float
-    answer_bytes: float
+    cpu_us: float
+    """Processor time of the lease service for each renewal, in microseconds."""
+    latency_p50_us: int
+    """Median latency of a renewal, in microseconds."""
+    latency_p99_us: int
+    """99th percentile of the latency of a renewal, in microseconds."""
+    request_bytes: float
+    """Size of a renewal's request, in bytes."""
+    response_bytes: float
+    """Size of a renewal's response, in bytes."""
     log_bytes: float
-
-
-class Asker:
-    """One front door's asks, at fixed times; one that is due while another is out is left out."""
+    """Growth of the write-ahead log for each renewal, in bytes."""
+
+    def to_json_object(self) -> dict[str, Any]:
+        """Return the figures under the keys of the JSON file."""
+        return {
+            "holders": self.holders,
+            "budgets": self.budgets,
+            "asks": self.renewals,
+            "late": self.late,
+            "granted": self.granted,
+            "processor_us": self.cpu_us,
+            "p50_us": self.latency_p50_us,
+            "p99_us": self.latency_p99_us,
+            "ask_bytes": self.request_bytes,
+            "answer_bytes": self.response_bytes,
+            "log_bytes": self.log_bytes,
+        }
+
+
+class RenewingHolder:
+    """One gateway's renewals at fixed times; one that is due while another is unanswered is left out."""
 
     def __init__(
-        self, number: int, budgets: list[str], line: RenewalConnection, secret: bytes, seed: int
+        self, number: int, budgets: list[str], connection: RenewalConnection, secret: bytes, seed: int
     ) -> None:
-        self.holder, self.budgets, self.line, self.secret = (
-            BudgetHolder(number, 1, SET),
-            budgets,
-            line,
-            secret,
-        )
-        self.chance = random.Random(f"{seed}/{number}")
-        self.asks = self.late = self.granted = self.sent = self.got = 0
-        self.took_us: list[int] = []
+        self.holder = BudgetHolder(number, 1, GATEWAYS_PER_CUSTOMER)
+        self.budgets = budgets
+        self.connection = connection
+        self.secret = secret
+        self.random = random.Random(f"{seed}/{number}")
+        self.renewals = self.late = self.granted = self.request_bytes = self.response_bytes = 0
+        self.latencies_us: list[int] = []
 
     async def run(self, rate: float, seconds: float) -> None:
+        """Renew all budgets `rate` times a second, for `seconds`."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + self.chance.random() / rate
-        end = loop.time() + seconds
-        while due < end:
-            await asyncio.sleep(due - loop.time())
-            await self.ask()
-            due += 1 / rate
-            while due < loop.time():
-                due, self.late = due + 1 / rate, self.late + 1
-        self.line.close()
-
-    async def ask(self) -> None:
-        now, began = now_ms(), time.monotonic_ns()
+        due_s = loop.time() + self.random.random() / rate
+        end_s = loop.time() + seconds
+        while due_s < end_s:
+            await asyncio.sleep(due_s - loop.time())
+            await self.renew()
+            due_s += 1 / rate
+            while due_s < loop.time():
+                due_s, self.late = due_s + 1 / rate, self.late + 1
+        self.connection.close()
+
+    async def renew(self) -> None:
+        """Renew all budgets once, with a random demand for each."""
+        now, began_ns = now_ms(), time.monotonic_ns()
         for name in self.budgets:
-            demand, waits = self.chance.randrange(3000), self.chance.random() < NEED_SHARE
+            demand, waits = self.random.randrange(3000), self.random.random() < WAITING_SHARE
             self.holder.set_demand(name, BudgetLimits.from_rate(RATE, BURST), Demand(demand, int(waits)), now)
-        body = msgspec.msgpack.encode(self.holder.next_request(now))
-        found = (await self.line.call(body, sign(self.secret, body))).body
-        answer = msgspec.msgpack.decode(found, type=RenewResponse)
-        self.holder.on_response(answer, now_ms())
-        self.took_us.append((time.monotonic_ns() - began) // 1000)
-        self.asks, self.granted = self.asks + 1, self.granted + len(answer.grants)
-        self.sent, self.got = self.sent + len(body), self.got + len(found)
-
-
-async def play(holders: int, budgets: int, rate: float, seconds: float, seed: int) -> Asked:
-    """So many front doors, each with so many customers of its own set's, ask at that rate (a second)."""
-    with TemporaryDirectory(prefix="bench-") as name:
-        folder = Path(name)
+        request = msgspec.msgpack.encode(self.holder.next_request(now))
+        response = (await self.connection.call(request, sign(self.secret, request))).body
+        decoded = msgspec.msgpack.decode(response, type=RenewResponse)
+        self.holder.on_response(decoded, now_ms())
+        self.latencies_us.append((time.monotonic_ns() - began_ns) // 1000)
+        self.renewals += 1
+        self.granted += len(decoded.grants)
+        self.request_bytes += len(request)
+        self.response_bytes += len(response)
+
+
+async def measure(holders: int, budgets: int, rate: float, seconds: float, seed: int) -> Figures:
+    """Run `holders` gateways that each renew `budgets` budgets `rate` times a second.
+
+    Every `GATEWAYS_PER_CUSTOMER` gateways share their budgets.
+    """
+    with TemporaryDirectory(prefix="bench-") as folder_name:
+        folder = Path(folder_name)
         text = f'doors = {holders}\n[[budgets]]\nname = "quota/*"\nrate = {RATE}\nburst = {BURST}\n'
         (folder / "begin.toml").write_text(text)
         begin_history(folder / "state", read_config(folder / "begin.toml"))
-        async with steward(folder, seed, text) as keeper:
+        async with running_lease_service(folder, seed, text) as process:
             secret = (folder / "secret").read_bytes()
-            askers = [
-                Asker(
+            renewing = [
+                RenewingHolder(
                     number,
-                    [f"quota/{number // SET}/{customer}" for customer in range(budgets)],
-                    RenewalConnection(keeper.address),
+                    [f"quota/{number // GATEWAYS_PER_CUSTOMER}/{customer}" for customer in range(budgets)],
+                    RenewalConnection(process.address),
                     secret,
                     seed,
                 )
                 for number in range(holders)
             ]
-            used = keeper.processor_us()
-            await asyncio.gather(*(asker.run(rate, seconds) for asker in askers))
-            used = keeper.processor_us() - used
-        state = folder / "state"
-        log = (term_folder(state, latest_term(state)) / "log").stat().st_size
-    histogram = HdrHistogram(1, MOST_US, DIGITS)
-    for asker in askers:
-        for took in asker.took_us:
-            histogram.record_value(min(MOST_US, took))
-    asks = sum(asker.asks for asker in askers)
-    return Asked(
-        holders,
-        budgets,
-        asks,
-        sum(asker.late for asker in askers),
-        sum(asker.granted for asker in askers),
-        used / asks,
-        int(histogram.get_value_at_percentile(50)),
-        int(histogram.get_value_at_percentile(99)),
-        sum(asker.sent for asker in askers) / asks,
-        sum(asker.got for asker in askers) / asks,
-        log / asks,
+            used_us = process.processor_us()
+            await asyncio.gather(*(holder.run(rate, seconds) for holder in renewing))
+            used_us = process.processor_us() - used_us
+        data = folder / "state"
+        log_bytes = (term_folder(data, latest_term(data)) / "log").stat().st_size
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    for holder in renewing:
+        for latency_us in holder.latencies_us:
+            histogram.record_value(min(MAX_LATENCY_US, latency_us))
+    renewals = sum(holder.renewals for holder in renewing)
+    return Figures(
+        holders=holders,
+        budgets=budgets,
+        renewals=renewals,
+        late=sum(holder.late for holder in renewing),
+        granted=sum(holder.granted for holder in renewing),
+        cpu_us=used_us / renewals,
+        latency_p50_us=int(histogram.get_value_at_percentile(50)),
+        latency_p99_us=int(histogram.get_value_at_percentile(99)),
+        request_bytes=sum(holder.request_bytes for holder in renewing) / renewals,
+        response_bytes=sum(holder.response_bytes for holder in renewing) / renewals,
+        log_bytes=log_bytes / renewals,
     )
 
 
-def table(found: Asked) -> str:
+def format_table(figures: Figures) -> str:
+    """Return the figures as lines for a reader."""
     return "\n".join(
         [
-            f"{found.holders} front doors, {found.budgets} budgets each: {found.asks} asks, "
-            f"{found.late} late, "
-            f"{found.granted} grants",
-            f"the steward: {found.processor_us:.0f} us of processor time an ask, "
-            f"{1e6 / found.processor_us:.0f} asks a second of one core",
-            f"an answer after {found.p50_us / 1000:.1f} ms (median), {found.p99_us / 1000:.1f} ms (99%)",
-            f"bytes: an ask {found.ask_bytes:.0f}, an answer {found.answer_bytes:.0f}, "
-            f"log {found.log_bytes:.0f}",
+            f"{figures.holders} gateways, {figures.budgets} budgets each: {figures.renewals} renewals, "
+            f"{figures.late} left out as late, "
+            f"{figures.granted} grants",
+            f"the lease service: {figures.cpu_us:.0f} us of processor time a renewal, "
+            f"{1e6 / figures.cpu_us:.0f} renewals a second of one core",
+            f"latency of a renewal: {figures.latency_p50_us / 1000:.1f} ms (median), "
+            f"{figures.latency_p99_us / 1000:.1f} ms (99%)",
+            f"bytes a renewal: request {figures.request_bytes:.0f}, response {figures.response_bytes:.0f}, "
+            f"log {figures.log_bytes:.0f}",
         ]
     )
 
 
-def as_json(found: Asked) -> dict[str, Any]:
-    return asdict(found)
+def to_json_object(figures: Figures) -> dict[str, Any]:
+    """Return the figures under the keys of the JSON file."""
+    return figures.to_json_object()
--- a/thistletrail/benchmarks/registry.py
+++ b/thistletrail/benchmarks/registry.py
@@ -1,4 +1,4 @@
-"""What the registry costs: many watchers and leased instances, one change at a time, and a restart."""
+"""The cost of the registry: many watchers and leased instances, one change at a time, and a restart."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from thistletrail.registry.registration import InstanceSettings, Registration
 
 WAIT_TIMEOUT_S = 60.0
-"""For all watchers to have received what is waited for."""
+"""Time for all watchers to receive a change, or to connect again after a restart."""
 
 RENEWALS_PER_INSTANCE = 10
-"""Of which the mean cost is taken."""
+"""Number of renewals of each instance over which the mean cost is taken."""
 
 LEASE_MS = 600_000
-"""So long that no instance renews by itself during a run."""
+"""Length of a lease: so long that no instance renews by itself during a run."""
 
 RECONNECT_BUCKET_S = 0.5
 """Width of the histogram of reconnects after the restart."""
 
 RECONNECT_POLL_S = 0.05
-"""Between looks at whether all watchers are back."""
+"""Interval between checks whether all watchers are connected again."""
 
 MAX_LINE_BYTES = 1 << 24
-"""Of one update: far above the complete endpoint list of the largest run."""
+"""Largest size of one update: far above the complete endpoint list of the largest run."""
 
 INSTANCES_PER_SUBNET = 250
 """Instances with consecutive made-up addresses, before the third octet counts up."""
@@ -56,7 +56,7 @@
     memory_a_watcher: float
     cpu_a_renewal_us: float
     connects: list[int]
-    """Watchers that were connected again, by `RECONNECT_BUCKET_S` after the restart."""
+    """Watchers that connected again, counted in buckets of `RECONNECT_BUCKET_S` after the restart."""
 
 
 class Watcher:
@@ -95,8 +95,8 @@
 
     def _receive_line(self, line: bytes) -> None:
         self.received_bytes += len(line)
-        before, key, rest = line.partition(b'{"generation":')
-        if key and not before:
+        prefix, key, rest = line.partition(b'{"generation":')
+        if key and not prefix:
             self.generation = int(rest.partition(b",")[0])
             self._changed.set()
 
@@ -190,7 +190,7 @@
 
 
 async def measure_reconnects(process: Process, folder: Path, watchers: Sequence[Watcher]) -> list[int]:
-    """Restart the registry at its address; return how many watchers came back in each bucket of time."""
+    """Restart the registry at its address; return how many watchers connected again in each bucket."""
     port = process.address[1]
     process.process.terminate()
     await asyncio.wait_for(process.process.wait(), END_S)
@@ -202,7 +202,9 @@
             for watcher, count in zip(watchers, counts_before, strict=True)
         ):
             if time.monotonic() - restarted_s > WAIT_TIMEOUT_S:
-                raise BenchError("not all watchers came back")
+                raise BenchError(
+                    f"not all watchers connected again within {WAIT_TIMEOUT_S:g} s of the registry's restart"
+                )
             await asyncio.sleep(RECONNECT_POLL_S)
         delays_s = [
             watcher.connected_at_s[count] - restarted_s
@@ -220,19 +222,19 @@
 
 
 async def measure(watchers: int, instances: int, changes: int, seed: int) -> Figures:
-    """Fill a registry, watch it, change it, renew in it and restart it."""
+    """Measure a registry process under watchers, changes and renewals, and across a restart."""
     with TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
         async with contextlib.AsyncExitStack() as stack:
             process = await stack.enter_async_context(registry_process(folder, 0))
             registrations = await register_instances(stack, process.address, instances)
             memory_before = process.resident()
-            readers = start_watchers(stack, process.address, watchers, seed)
-            await wait_for_all(readers, registrations[-1].generation)
+            watching = start_watchers(stack, process.address, watchers, seed)
+            await wait_for_all(watching, registrations[-1].generation)
             memory_per_watcher = (process.resident() - memory_before) / watchers
-            received_before = sum(reader.received_bytes for reader in readers)
-            write_to_last_ms = await measure_changes(registrations, readers, changes)
-            received = sum(reader.received_bytes for reader in readers) - received_before
+            received_before = sum(watcher.received_bytes for watcher in watching)
+            write_to_last_ms = await measure_changes(registrations, watching, changes)
+            received = sum(watcher.received_bytes for watcher in watching) - received_before
             renewal_us = await measure_renewals(process, registrations)
             return Figures(
                 watchers=watchers,
@@ -241,7 +243,7 @@
                 bytes_a_change=received / changes / watchers,
                 memory_a_watcher=memory_per_watcher,
                 cpu_a_renewal_us=renewal_us,
-                connects=await measure_reconnects(process, folder, readers),
+                connects=await measure_reconnects(process, folder, watching),
             )
 
 
@@ -256,7 +258,7 @@
             f"a change costs each watcher {figures.bytes_a_change:.0f} bytes",
             f"a watcher costs the registry {figures.memory_a_watcher / BYTES_PER_KIB:.1f} KiB",
             f"a renewal costs the registry {figures.cpu_a_renewal_us:.0f} us of processor time",
-            f"connects after a restart, in each {RECONNECT_BUCKET_S:g} s: "
+            f"watchers connected again after a restart, in each {RECONNECT_BUCKET_S:g} s: "
             f"{' '.join(map(str, figures.connects))}",
         ]
     )
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -1,4 +1,4 @@
-"""What it costs that work in hand is kept: pairs of plays with it off and on, and the steward alone."""
+"""The cost of work leases: pairs of runs with them off and on, and the throughput of the lease service."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import statistics
 import time
 from collections.abc import AsyncIterator
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
@@ -28,28 +28,50 @@
 from thistletrail.leasing.messages import MAX_OPERATIONS, BeginWork, CompleteWork, WorkEffect, WorkResponse
 from thistletrail.leasing.work_holder import WorkHolder
 
-MOST_US = 10_000_000  # that a histogram holds
-DIGITS = 3
-BODY = b"y" * 512  # a request as it is kept
-VALUE = b"x" * 1024  # an answer
+MAX_LATENCY_US = 10_000_000  # largest value of a latency histogram; longer requests count as this
+SIGNIFICANT_DIGITS = 3  # precision of a latency histogram
+REQUEST_BODY = b"y" * 512  # as stored by the lease service
+RESPONSE_VALUE = b"x" * 1024  # as stored by the lease service
 
 
 @dataclass(frozen=True)
 class Figures:
-    """One play; times are in microseconds."""
+    """The figures of one run of a load."""
 
-    kept: bool
+    with_leases: bool
+    """Whether the gateway took work leases for its writes."""
     requests: int
     served: int
-    processor_us: float  # of the front door, a request
-    steward_us: float  # of the steward, a request
-    resident: int
-    p50_us: int  # of a write
-    p99_us: int
+    gateway_cpu_us: float
+    """Processor time of the gateway for each request, in microseconds."""
+    lease_service_cpu_us: float
+    """Processor time of the lease service for each request, in microseconds."""
+    gateway_rss_bytes: int
+    """Resident memory of the gateway at the end of the run, in bytes."""
+    latency_p50_us: int
+    """Median latency of a request, in microseconds."""
+    latency_p99_us: int
+    """99th percentile of the latency of a request, in microseconds."""
 
+    def to_json_object(self) -> dict[str, Any]:
+        """Return the figures under the keys of the JSON file."""
+        return {
+            "kept": self.with_leases,
+            "requests": self.requests,
+            "served": self.served,
+            "processor_us": self.gateway_cpu_us,
+            "steward_us": self.lease_service_cpu_us,
+            "resident": self.gateway_rss_bytes,
+            "p50_us": self.latency_p50_us,
+            "p99_us": self.latency_p99_us,
+        }
 
-async def start_steward(folder: Path) -> Process:
-    """With the files in a folder: `budgets.toml`, `secret`, and `state` if it was there before."""
+
+async def start_lease_service(folder: Path) -> Process:
+    """Start a lease service on the files in `folder`.
+
+    The files are `budgets.toml`, `secret`, and the data folder `state`, which the service creates if needed.
+    """
     process, _ = await start_program(
         (
             "-m",
@@ -70,11 +92,13 @@
 
 
 @contextlib.asynccontextmanager
-async def steward(folder: Path, seed: int, budgets: str = "budgets = []\n") -> AsyncIterator[Process]:
-    """A steward as a process of its own, with the text of its configuration; it ends with the block."""
+async def running_lease_service(
+    folder: Path, seed: int, budgets: str = "budgets = []\n"
+) -> AsyncIterator[Process]:
+    """Run a lease service as a separate process until the block ends; `budgets` is its configuration."""
     (folder / "budgets.toml").write_text(budgets)
     (folder / "secret").write_text(f"{random.Random(seed).getrandbits(256):064x}")
-    process = await start_steward(folder)
+    process = await start_lease_service(folder)
     try:
         yield process
     finally:
@@ -82,8 +106,8 @@
         await process.process.wait()
 
 
-async def play(tree: Tree, load: Load, seed: int, kept: bool) -> Figures:
-    """A load against one front door, with its writes kept or not."""
+async def run_load(tree: Tree, load: Load, seed: int, with_leases: bool) -> Figures:
+    """Run a load against one gateway, with or without work leases for its writes."""
     world = World(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
@@ -91,86 +115,106 @@
             discovery = await world.start()
             values = config(discovery, world.peer_address, free_port(), seed, False)
             async with contextlib.AsyncExitStack() as stack:
-                keeper = await stack.enter_async_context(steward(folder, seed)) if kept else None
-                if keeper:
+                lease_service = None
+                if with_leases:
+                    lease_service = await stack.enter_async_context(running_lease_service(folder, seed))
                     key = "work_leases" if tree.has_lease_keys else "takeover"
                     values[key] = {
-                        "addresses": text(keeper.address),
+                        "addresses": text(lease_service.address),
                         "classes": ["submit-record"],
                         "secret_file": str(folder / "secret"),
                     }
-                door = await stack.enter_async_context(front_door(tree, values, folder))
-                return await measure(door, keeper, world, load, seed)
+                gateway = await stack.enter_async_context(front_door(tree, values, folder))
+                return await measure(gateway, lease_service, world, load, seed)
         except OSError as error:
-            raise BenchError(f"cannot play '{load.name}': {error}") from error
+            raise BenchError(f"cannot run load '{load.name}': {error}") from error
         finally:
             await world.close()
 
 
-async def measure(door: Process, keeper: Process | None, world: World, load: Load, seed: int) -> Figures:
-    callers = Callers(load, seed, door.address)
+async def measure(
+    gateway: Process, lease_service: Process | None, world: World, load: Load, seed: int
+) -> Figures:
+    """Send a load's requests to a running gateway and return the figures."""
+    callers = Callers(load, seed, gateway.address)
     try:
         await asyncio.sleep(REST_S)
         world.begin()
-        used, other = door.processor_us(), keeper.processor_us() if keeper else 0.0
+        gateway_us, lease_service_us = (
+            gateway.processor_us(),
+            lease_service.processor_us() if lease_service else 0.0,
+        )
         await callers.play()
-        used = door.processor_us() - used
-        other = (keeper.processor_us() if keeper else 0.0) - other
-        histogram = HdrHistogram(1, MOST_US, DIGITS)
-        for took in callers.took_us:
-            histogram.record_value(min(MOST_US, took))
+        gateway_us = gateway.processor_us() - gateway_us
+        lease_service_us = (lease_service.processor_us() if lease_service else 0.0) - lease_service_us
+        histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        for latency_us in callers.took_us:
+            histogram.record_value(min(MAX_LATENCY_US, latency_us))
         count = sum(callers.ended.values())
         return Figures(
-            keeper is not None,
-            count,
-            callers.ended["served"],
-            used / count,
-            other / count,
-            door.resident(),
-            int(histogram.get_value_at_percentile(50)),
-            int(histogram.get_value_at_percentile(99)),
+            with_leases=lease_service is not None,
+            requests=count,
+            served=callers.ended["served"],
+            gateway_cpu_us=gateway_us / count,
+            lease_service_cpu_us=lease_service_us / count,
+            gateway_rss_bytes=gateway.resident(),
+            latency_p50_us=int(histogram.get_value_at_percentile(50)),
+            latency_p99_us=int(histogram.get_value_at_percentile(99)),
         )
     finally:
         callers.close()
 
 
-async def pairs(tree: Tree, load: Load, seed: int, count: int) -> list[tuple[Figures, Figures]]:
-    """Plays with it off and on, in turns."""
+async def run_pairs(tree: Tree, load: Load, seed: int, count: int) -> list[tuple[Figures, Figures]]:
+    """Run a load without and with work leases, `count` times in turns."""
     return [
-        (await play(tree, load, seed + n, False), await play(tree, load, seed + n, True))
-        for n in range(count)
+        (
+            await run_load(tree, load, seed + number, False),
+            await run_load(tree, load, seed + number, True),
+        )
+        for number in range(count)
     ]
 
 
 @dataclass(frozen=True)
-class Alone:
-    """The steward alone: pieces of work begun and ended by one door."""
+class ServiceFigures:
+    """The cost of work items begun and completed by one gateway, at a lease service without other load."""
 
-    pieces: int
-    per_s: float  # of its own processor time
-    took_s: float
-    log_bytes: float  # a piece
+    work_items: int
+    items_per_core_s: float
+    """Work items for each second of the lease service's processor time."""
+    duration_s: float
+    log_bytes_per_item: float
 
+    def to_json_object(self) -> dict[str, Any]:
+        """Return the figures under the keys of the JSON file."""
+        return {
+            "pieces": self.work_items,
+            "per_s": self.items_per_core_s,
+            "took_s": self.duration_s,
+            "log_bytes": self.log_bytes_per_item,
+        }
 
-async def alone(pieces: int, seed: int) -> Alone:
-    """So many pieces of work, begun and ended in asks of as many ops as fit."""
-    with TemporaryDirectory(prefix="bench-") as name:
-        folder = Path(name)
-        async with steward(folder, seed) as keeper:
+
+async def measure_service(work_items: int, seed: int) -> ServiceFigures:
+    """Begin and complete work items, with as many operations in each request as fit."""
+    with TemporaryDirectory(prefix="bench-") as folder_name:
+        folder = Path(folder_name)
+        async with running_lease_service(folder, seed) as process:
             secret = (folder / "secret").read_bytes()
-            line, hand = WorkStream(keeper.address, secret), WorkHolder(0, 1)
+            stream, holder = WorkStream(process.address, secret), WorkHolder(0, 1)
 
-            async def ask() -> None:
-                answer = await line.call(hand.next_request(now_ms()))
-                hand.on_response(msgspec.msgpack.decode(answer, type=WorkResponse), now_ms())
+            async def send_request() -> None:
+                answer = await stream.call(holder.next_request(now_ms()))
+                holder.on_response(msgspec.msgpack.decode(answer, type=WorkResponse), now_ms())
 
-            await ask()
-            used, began = keeper.processor_us(), time.monotonic()
-            for first in range(0, pieces, MAX_OPERATIONS):
-                last = min(pieces, first + MAX_OPERATIONS)
-                names = [f"{number % 97:016x}/{number}" for number in range(first, last)]
+            await send_request()
+            used_us, began_s = process.processor_us(), time.monotonic()
+            for first in range(0, work_items, MAX_OPERATIONS):
+                end = min(work_items, first + MAX_OPERATIONS)
+                names = [f"{number % 97:016x}/{number}" for number in range(first, end)]
                 for name in names:
-                    hand.enqueue(
+                    holder.enqueue(
                         BeginWork(
                             name=name,
                             request_id=name,
@@ -179,37 +223,60 @@
                             effect=WorkEffect.KEYED,
                             left_ms=2000,
                             window_ms=0,
-                            request=BODY,
+                            request=REQUEST_BODY,
                             server="s",
                             place="east",
                         )
                     )
-                while hand.queue:
-                    await ask()
+                while holder.queue:
+                    await send_request()
                 for name in names:
-                    hand.enqueue(CompleteWork(name=name, fence=hand.fences.pop(name), value=VALUE))
-                while hand.queue:
-                    await ask()
-            took, used = time.monotonic() - began, keeper.processor_us() - used
-            line.close()
-            state = folder / "state"
-            log = (term_folder(state, latest_term(state)) / "log").stat().st_size
-            return Alone(pieces, pieces * 1e6 / used, took, log / pieces)
-
-
-def table(found: list[tuple[Figures, Figures]], by_itself: Alone) -> str:
-    """Medians with it off and on, and the median difference of the pairs."""
-    lines = ["figure                          off          on  difference"]
-    for name in ("served", "processor_us", "steward_us", "resident", "p50_us", "p99_us"):
-        off, on = ([getattr(one[side], name) for one in found] for side in (0, 1))
-        apart = statistics.median(b - a for a, b in zip(off, on, strict=True))
-        lines.append(f"{name:24}{statistics.median(off):11.0f} {statistics.median(on):11.0f} {apart:+11.0f}")
+                    holder.enqueue(
+                        CompleteWork(name=name, fence=holder.fences.pop(name), value=RESPONSE_VALUE)
+                    )
+                while holder.queue:
+                    await send_request()
+            duration_s, used_us = time.monotonic() - began_s, process.processor_us() - used_us
+            stream.close()
+            data = folder / "state"
+            log_bytes = (term_folder(data, latest_term(data)) / "log").stat().st_size
+            return ServiceFigures(
+                work_items=work_items,
+                items_per_core_s=work_items * 1e6 / used_us,
+                duration_s=duration_s,
+                log_bytes_per_item=log_bytes / work_items,
+            )
+
+
+ROWS = (
+    ("requests served", "served"),
+    ("gateway processor us/request", "gateway_cpu_us"),
+    ("lease service processor us/request", "lease_service_cpu_us"),
+    ("gateway resident bytes", "gateway_rss_bytes"),
+    ("latency us (median)", "latency_p50_us"),
+    ("latency us (99%)", "latency_p99_us"),
+)
+"""Rows of the table: label, and attribute of `Figures`."""
+
+
+def format_table(pairs: list[tuple[Figures, Figures]], service: ServiceFigures) -> str:
+    """Return a table of medians with work leases off and on, and of the median difference of the pairs."""
+    lines = [f"{'work leases':36}{'off':>11} {'on':>11} {'difference':>11}"]
+    for label, attribute in ROWS:
+        without, with_ = ([getattr(pair[side], attribute) for pair in pairs] for side in (0, 1))
+        difference = statistics.median(after - before for before, after in zip(without, with_, strict=True))
+        medians = f"{statistics.median(without):11.0f} {statistics.median(with_):11.0f}"
+        lines.append(f"{label:36}{medians} {difference:+11.0f}")
     lines.append(
-        f"the steward alone: {by_itself.per_s:.0f} pieces of work a second of one core, "
-        f"{by_itself.log_bytes:.0f} bytes of log each"
+        f"the lease service alone: {service.items_per_core_s:.0f} work items a second of one core, "
+        f"{service.log_bytes_per_item:.0f} bytes of log each"
     )
     return "\n".join(lines)
 
 
-def as_json(found: list[tuple[Figures, Figures]], by_itself: Alone) -> dict[str, Any]:
-    return {"pairs": [[asdict(one) for one in pair] for pair in found], "alone": asdict(by_itself)}
+def to_json_object(pairs: list[tuple[Figures, Figures]], service: ServiceFigures) -> dict[str, Any]:
+    """Return the figures of all runs under the keys of the JSON file."""
+    return {
+        "pairs": [[figures.to_json_object() for figures in pair] for pair in pairs],
+        "alone": service.to_json_object(),
+    }
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -23,7 +23,7 @@
 from thistletrail.benchmarks.errors import BenchError
 from thistletrail.benchmarks.process import Process, Tree, free_port, start_door
 from thistletrail.benchmarks.standins import HOST, Address, text
-from thistletrail.benchmarks.work import start_steward
+from thistletrail.benchmarks.work import start_lease_service
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.leasing.framing import SIGNATURE_HEADER, sign
@@ -257,7 +257,7 @@
 
     async def start_lease_service(self) -> None:
         """Start the lease service; after a restart it restores its stored state."""
-        self.lease_service = await start_steward(self.folder)
+        self.lease_service = await start_lease_service(self.folder)
 
     def config(self, number: int, scans: list[Address], relay: Address, secret: Path) -> dict[str, Any]:
         """The configuration of a gateway: the whole fleet is known, and discovery is unreachable."""
