--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail is enforced: each case is a run of pytest on a tree of its own."""
+"""Tests of the list of known failures: each runs pytest in a folder of its own."""
 
 import subprocess
 import sys
@@ -27,7 +27,7 @@
 
 
 def run(folder: Path, listed: str, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """A run of pytest in a folder with these tests and this list."""
+    """Run pytest on `TESTS` in `folder`, with `listed` as its list of known failures."""
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "test_a.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text(listed)
@@ -35,14 +35,14 @@
     environment = {
         "PYTHONPATH": str(ROOT),
         "PYTHONDONTWRITEBYTECODE": "1",
-        "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1",  # hypothesis and others have no part in it, and start slowly
+        "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1",  # hypothesis and others are not needed, and load slowly
     }
     return subprocess.run(
         [*command, *arguments], cwd=folder, env=environment, capture_output=True, text=True, check=False
     )
 
 
-def test_listed_tests_are_let_pass_and_printed(tmp_path: Path) -> None:
+def test_run_in_which_only_listed_tests_fail_passes_and_prints_the_list(tmp_path: Path) -> None:
     result = run(tmp_path, f"# a comment\n\n{RED}{TWO}")
     assert result.returncode == 0, result.stdout
     assert "2 passed, 2 xfailed" in result.stdout
@@ -50,13 +50,13 @@
     assert RED.strip() in result.stdout and TWO.strip() in result.stdout
 
 
-def test_failures_that_are_not_listed_still_fail(tmp_path: Path) -> None:
+def test_run_fails_if_a_failing_test_is_not_listed(tmp_path: Path) -> None:
     result = run(tmp_path, RED)
     assert result.returncode == 1
     assert "1 failed, 2 passed, 1 xfailed" in result.stdout
 
 
-def test_listed_test_that_passes_has_to_be_taken_off(tmp_path: Path) -> None:
+def test_run_fails_if_a_listed_test_passes(tmp_path: Path) -> None:
     result = run(tmp_path, RED + TWO + GREEN)
     assert result.returncode == 1
     assert "XPASS(strict)" in result.stdout
@@ -76,18 +76,18 @@
         (RED + TWO + GREEN + "test_a.py::test_two[1] | it fails | issue 7\n", "4 tests are listed"),
     ],
 )
-def test_list_that_is_not_in_order_fails_the_run(tmp_path: Path, listed: str, error: str) -> None:
+def test_invalid_list_fails_the_run(tmp_path: Path, listed: str, error: str) -> None:
     result = run(tmp_path, listed)
     assert result.returncode == pytest.ExitCode.USAGE_ERROR
     assert error in result.stderr
 
 
-def test_a_part_of_the_tests_may_be_run(tmp_path: Path) -> None:
+def test_run_of_selected_tests_passes_if_a_listed_test_is_not_selected(tmp_path: Path) -> None:
     assert run(tmp_path, RED, "-k", "green").returncode == 0
     assert run(tmp_path, RED, "test_a.py::test_green").returncode == 0
 
 
-def test_list_is_printed_once_by_a_run_on_several_workers(tmp_path: Path) -> None:
+def test_run_on_several_workers_prints_the_list_once(tmp_path: Path) -> None:
     result = run(tmp_path, RED + TWO, *TWO_WORKERS)
     assert result.returncode == 0, result.stdout
     assert "2 passed, 2 xfailed" in result.stdout
@@ -95,15 +95,15 @@
     assert result.stdout.count(RED.strip()) == 1 and result.stdout.count(TWO.strip()) == 1
 
 
-def test_listed_test_that_passes_on_a_worker_has_to_be_taken_off(tmp_path: Path) -> None:
+def test_run_on_several_workers_fails_if_a_listed_test_passes(tmp_path: Path) -> None:
     result = run(tmp_path, RED + TWO + GREEN, *TWO_WORKERS)
     assert result.returncode == 1
     assert "XPASS(strict)" in result.stdout
     assert "1 failed, 1 passed, 2 xfailed" in result.stdout
 
 
-def test_listed_test_of_a_group_is_found_by_its_plain_name(tmp_path: Path) -> None:
-    """Where groups of tests stay together, pytest-xdist puts the group behind the name of a test."""
+def test_listed_test_of_an_xdist_group_is_matched_by_its_node_id(tmp_path: Path) -> None:
+    """With `--dist loadgroup`, pytest-xdist appends the group to the node id of a test."""
     listed = "test_group.py::test_grouped | it asserts a falsehood | issue 7\n"
     (tmp_path / "test_group.py").write_text(
         'import pytest\n@pytest.mark.xdist_group("one")\ndef test_grouped():\n    assert False\n'
@@ -120,9 +120,7 @@
         ("test_a.py::test_gone | it fails | issue 7\n", "there is no such test"),
     ],
 )
-def test_list_that_is_not_in_order_fails_a_run_on_several_workers(
-    tmp_path: Path, listed: str, error: str
-) -> None:
+def test_invalid_list_fails_a_run_on_several_workers(tmp_path: Path, listed: str, error: str) -> None:
     result = run(tmp_path, listed, *TWO_WORKERS)
     assert result.returncode == pytest.ExitCode.USAGE_ERROR
     assert error in result.stderr
