--- a/tests/test_health_gossip.py
+++ b/tests/test_health_gossip.py
@@ -1,4 +1,4 @@
-"""Health gossip between gateways: the content, loss and age of digests, and their effect on decisions."""
+"""Tests of health gossip: the content, loss and age of digests, and their effect on decisions."""
 
 from dataclasses import replace
 
@@ -126,7 +126,7 @@
 
 
 def attempted_servers(world: World, count: int = 200) -> list[str]:
-    """Send requests and answer their attempts; the servers of all attempts of this gateway so far."""
+    """Send requests and answer their attempts; return the servers of all attempts of the gateway so far."""
     for number in range(count):
         world.ask(f"r{number}-{world.now}", customer=f"c{number}")
         for name, attempt in list(world.out):
@@ -161,8 +161,8 @@
     assert not server.is_ejected
 
 
-def test_half_open_servers_get_few_attempts_however_many_there_are() -> None:
-    """A half-open server is chosen first; if each were tried as it is due, they would get all attempts."""
+def test_many_half_open_servers_get_at_most_a_tenth_of_the_attempts() -> None:
+    """Selection prefers half-open servers that are due; without a limit they would get all attempts."""
     world = World(MANY, servers(40))
     for sender in range(1, 6):
         receive(
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Incarnations: how gateways detect a restart, and how they limit quotas after it."""
+"""Tests of incarnations: how gateways detect a restart, and how they limit quotas after it."""
 
 import random
 from dataclasses import replace
@@ -101,7 +101,7 @@
 
 
 def gateway(gateway_index: int = 0) -> World:
-    """One of three gateways; any of them may be the quota owner of customer "c"."""
+    """Return one of three gateways; any of them may be the quota owner of customer "c"."""
     return World(
         replace(
             SETTINGS,
@@ -131,7 +131,7 @@
     )
 
 
-def test_a_quota_owners_answer_after_the_start_is_kept() -> None:
+def test_a_quota_owners_level_is_retained_when_a_restart_is_detected_later() -> None:
     world = gateway()
     send_request(world, "a")
     ((key, customer),) = world.gateway.customers.by_key.items()
@@ -144,7 +144,7 @@
 def test_a_quota_owner_that_lost_its_state_is_limited_to_the_refill_since() -> None:
     """The levels that peers report do not raise the owner's level.
 
-    Other gateways have spent since, and a peer that hears from no owner refills its own estimate.
+    Other gateways have spent since, and a peer without answers of an owner refills its own estimate.
     """
     gateway_index = next(
         n for n in range(3) if gateway(n).gateway.customers.get(CustomerKey(7, 0, 0, 3)).owner == n
@@ -211,9 +211,9 @@
     late_announcements = [
         action
         for world in fleet.worlds
-        for at, action in world.log
+        for time_us, action in world.log
         if isinstance(action, SendPeerMessage)
-        and at > 100 * S + 2 * ANNOUNCED_US
+        and time_us > 100 * S + 2 * ANNOUNCED_US
         and any(not message.set_size for message in action.quota_messages)
     ]
     assert not late_announcements
@@ -221,7 +221,7 @@
 
 def test_retry_after_is_jittered_while_recovering_and_constant_after() -> None:
     def retry_after_us(world: World, run_us: int) -> list[int]:
-        """Without servers, queued requests are rejected while an answer can still be in time."""
+        """Return the Retry-After of 40 requests, rejected before their objective without servers."""
         world.run(run_us)
         for number in range(40):
             world.ask(f"{run_us}-{number}", customer=f"c{number}")
--- a/tests/test_leased_budgets.py
+++ b/tests/test_leased_budgets.py
@@ -1,4 +1,4 @@
-"""Leased budgets: a gateway's demand, its use of grants, and gateways with a running lease service."""
+"""Tests of leased budgets: reported demand, use of grants, and gateways with a running lease service."""
 
 import sys
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 
 def gateway() -> World:
-    """One of two gateways, with a customer that has sent one request."""
+    """Return one of two gateways, with a customer that has sent it one request."""
     world = World(LEASED)
     world.ask("first", set_size=2)
     return world
@@ -63,7 +63,7 @@
     assert ceiling_level(world) == pytest.approx(40.0 * FLOOR_SHARE / 2)
 
 
-def test_units_beyond_the_capacity_of_a_smaller_share_are_returned_in_whole_units() -> None:
+def test_units_beyond_the_capacity_of_a_smaller_share_are_returned_rounded_down() -> None:
     world = gateway()
     grant_ceiling(world, 0.8, units=30.0)
     assert ceiling_level(world) == 30.0
@@ -116,7 +116,8 @@
     assert started_attempts(grant(world, "quota", 0.0, units=2.0)) == ["a"]  # one unit remains
     assert started_attempts(world.ask("b", set_size=2)) == ["b"]
     assert started_attempts(world.ask("c", set_size=2)) == []
-    assert [action.id for action in of(RejectRequest, world.run(S))] == ["c"]  # no units were granted in time
+    # No units were granted while the request waited.
+    assert [action.id for action in of(RejectRequest, world.run(S))] == ["c"]
     floor_units_per_s = 10.0 * FLOOR_SHARE / 2  # needs no grant
     world.now += round(S / floor_units_per_s)
     assert started_attempts(world.ask("d", set_size=2)) == ["d"]
@@ -185,7 +186,7 @@
     assert [action.id for action in of(RejectRequest, world.run(S))] == ["b"] and "b" not in world.tries
 
 
-def test_the_reported_demand_is_the_recent_rate_of_requested_units() -> None:
+def test_the_reported_demand_is_the_recent_rate_of_requested_units_and_expires() -> None:
     world = gateway()
     for number in range(60):
         world.now += S // 10
@@ -223,7 +224,7 @@
 
 
 def is_retried(world: World, name: str) -> bool:
-    """Send a request whose first attempt fails; whether it is retried."""
+    """Send a request whose first attempt fails; return whether it is retried."""
     world.ask(name, remaining_us=6 * S)
     return bool(of(StartAttempt, world.answer(name, AttemptResult.ERROR)))
 
@@ -245,7 +246,7 @@
     assert not is_retried(world, "i")
 
 
-def test_without_a_leased_budget_retries_are_a_share_of_first_attempts() -> None:
+def test_without_a_leased_budget_retries_are_limited_to_a_share_of_first_attempts() -> None:
     world = World(replace(LEASED_RETRIES, retry_rate=0.0))
     assert is_retried(world, "a") and world.gateway.budget_demands(world.now) == []
     world.tell(BudgetGranted(None, 0.25, 2.0, world.now + 3 * S))
@@ -309,14 +310,14 @@
 def test_gateways_serve_by_leases_while_gateways_and_the_lease_service_are_killed(
     lease_run: RunHistory,
 ) -> None:
-    """The fleet as a whole exceeds no ceiling; the floors alone would admit no request of that plan."""
+    """All gateways together exceed no ceiling; the floors alone would admit no request of that plan."""
     assert check(lease_run) == []
     gateways = {record["sides"][0] for record in lease_run.by["open"] if record["link"] == "doors-steward"}
     assert gateways == {f"doors-{number}" for number in range(6)}
     assert {record["who"] for record in lease_run.by["died"]} >= {"steward-0"}
-    restarted_at = max(record["at"] for record in lease_run.by["started"] if record["who"] == "steward-0")
+    restarted_us = max(record["at"] for record in lease_run.by["started"] if record["who"] == "steward-0")
     arrivals_with_ceiling = [
         record["at"] for record in lease_run.by["came"] if record["plan"] == "institution"
     ]
     assert len(arrivals_with_ceiling) > 50
-    assert any(at > restarted_at + S for at in arrivals_with_ceiling)
+    assert any(arrived_us > restarted_us + S for arrived_us in arrivals_with_ceiling)
--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -133,11 +133,11 @@
 def test_no_acknowledged_grant_is_lost_wherever_the_log_is_cut(
     tmp_path: Path, fixed_now_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(os, "fsync", lambda file: None)  # the cuts stand for what was not synced
-    sizes = write_grants(tmp_path / "whole", fixed_now_ms)
-    complete_log = log_of(tmp_path / "whole").read_bytes()
+    monkeypatch.setattr(os, "fsync", lambda file: None)  # each cut simulates data that was not synced
+    sizes = write_grants(tmp_path / "complete", fixed_now_ms)
+    complete_log = log_of(tmp_path / "complete").read_bytes()
     for cut in range(sizes[2], len(complete_log) + 1):
-        journal = Journal(begin_term(copied(tmp_path / "whole", tmp_path / f"{cut}", complete_log[:cut])))
+        journal = Journal(begin_term(copied(tmp_path / "complete", tmp_path / f"{cut}", complete_log[:cut])))
         state = journal.open(CONFIG).budgets
         known = sum(size <= cut for size in sizes)
         assert len(list(state.issued_grants())) == known
@@ -158,16 +158,16 @@
 def test_damage_is_reported_in_one_line_and_a_new_folder_waits_for_the_longest_lease(
     tmp_path: Path, fixed_now_ms: int
 ) -> None:
-    sizes = write_grants(tmp_path / "whole", fixed_now_ms)
-    data = bytearray(log_of(tmp_path / "whole").read_bytes())
+    sizes = write_grants(tmp_path / "complete", fixed_now_ms)
+    data = bytearray(log_of(tmp_path / "complete").read_bytes())
     damaged = bytearray(data)
     damaged[sizes[1] + 20] ^= 1
     with pytest.raises(CorruptFileError, match="is damaged at byte") as caught:
-        Journal(begin_term(copied(tmp_path / "whole", tmp_path / "damaged", damaged))).open(CONFIG)
+        Journal(begin_term(copied(tmp_path / "complete", tmp_path / "damaged", damaged))).open(CONFIG)
     assert "\n" not in str(caught.value)
     fresh = Journal(begin_term(tmp_path / "other"))
     assert fresh.open(CONFIG).budgets.quiet_until_ms == fixed_now_ms + MAX_LEASE_MS
-    third = copied(tmp_path / "whole", tmp_path / "third", data[: sizes[0]])
+    third = copied(tmp_path / "complete", tmp_path / "third", data[: sizes[0]])
     log_of(third).with_name("snapshot").unlink()
     with pytest.raises(CorruptFileError, match="is missing, but there is a log"):
         Journal(begin_term(third)).open(CONFIG)
@@ -236,7 +236,7 @@
     assert not old.term.is_current() and late.is_current()
     new = Journal(late)
     known = held_by(new)
-    # A grant that was written and never answered may be there too.
+    # A grant that was written and never answered may be in the journal too.
     assert [grant for grant in known if grant.holder != "8/1"] == [*before, answered]
     with pytest.raises(FolderLockedError):
         Term(tmp_path, old.term.number)  # a term begins once
@@ -321,10 +321,10 @@
     journal.append(list(state.issued_grants())[:1])
     size = log_of(tmp_path).stat().st_size
 
-    def full(file: int) -> None:
+    def fail_fsync(file: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", fail_fsync)
     with pytest.raises(WriteFailedError, match="No space left"):
         journal.append(list(state.issued_grants())[:1])
     monkeypatch.undo()
@@ -363,13 +363,13 @@
             "--standby",
         )
 
-    async def service(self, number: int) -> Process:
+    async def start_service(self, number: int) -> Process:
         """Start a lease service, and wait until it serves."""
         process, _ = await start_program(self.arguments(number), self.folder / f"service-{number}.log")
         self.services.append(process)
         return process
 
-    def standby(self, number: int) -> None:
+    def start_standby(self, number: int) -> None:
         """Start a standby without waiting; it serves once the leader has ended."""
         self.standbys.append(
             subprocess.Popen(
@@ -387,12 +387,12 @@
         self.standbys.clear()
 
     def granted_after(self, after_ms: int, min_share: int = 50) -> bool:
-        """Return whether `min_share` is held, by grants that were all adopted after `after_ms`."""
+        """Return whether holders have `min_share` by grants that were all adopted after `after_ms`."""
         return self.held("open") >= min_share and all(
             record["at"] > after_ms for record in self.last("open").values()
         )
 
-    async def holder(self, gateway: int, demand: int = 1000) -> None:
+    async def start_holder(self, gateway: int, demand: int = 1000) -> None:
         self.starts += 1
         settings = {
             "door": gateway,
@@ -453,10 +453,10 @@
     (folder / "secret").write_text(SECRET)
     begin_history(folder / "data", CONFIG)
     try:
-        await fleet.service(0)
-        fleet.standby(1)
-        fleet.standby(2)
-        await asyncio.gather(*(fleet.holder(gateway) for gateway in range(holders)))
+        await fleet.start_service(0)
+        fleet.start_standby(1)
+        fleet.start_standby(2)
+        await asyncio.gather(*(fleet.start_holder(gateway) for gateway in range(holders)))
         yield fleet
     finally:
         for process in (*fleet.services, *fleet.holders.values()):
@@ -470,16 +470,16 @@
 
     Each grant counts until its holder adopts a later one, or its lease ends.
     """
-    deltas, open_ = [], {}
+    deltas, current = [], {}
     for record in records:
         if record["kind"] == "held" and record["budget"] == budget:
             holder_id = record["door"], record["mark"]
-            if holder_id in open_:
-                at, until, part = open_.pop(holder_id)
-                deltas += [(at, part), (min(until, record["at"]), -part)]
-            open_[holder_id] = record["at"], record["until"], record["part"]
-    for at, until, part in open_.values():
-        deltas += [(at, part), (until, -part)]
+            if holder_id in current:
+                adopted_ms, until_ms, share = current.pop(holder_id)
+                deltas += [(adopted_ms, share), (min(until_ms, record["at"]), -share)]
+            current[holder_id] = record["at"], record["until"], record["part"]
+    for adopted_ms, until_ms, share in current.values():
+        deltas += [(adopted_ms, share), (until_ms, -share)]
     maximum = total = 0
     for _, delta in sorted(deltas):
         total += delta
@@ -489,12 +489,14 @@
 
 def overspent_units(records: list[dict], budget: str) -> float:
     """Return by how many units the spends exceeded one token bucket with the budget's rate and burst."""
-    spent = [record["at"] for record in records if record["kind"] == "spent" and record["budget"] == budget]
-    limits, worst = LIMITS[budget], 0.0
-    store = TokenBucket(limits.total / 1000, limits.burst, spent[0] * 1000 if spent else 0)
-    for at in spent:
-        worst = min(worst, store.overdraw(1.0, at * 1000))
-    return -worst
+    spent_ms = [
+        record["at"] for record in records if record["kind"] == "spent" and record["budget"] == budget
+    ]
+    limits, lowest_level = LIMITS[budget], 0.0
+    bucket = TokenBucket(limits.total / 1000, limits.burst, spent_ms[0] * 1000 if spent_ms else 0)
+    for time_ms in spent_ms:
+        lowest_level = min(lowest_level, bucket.overdraw(1.0, time_ms * 1000))
+    return -lowest_level
 
 
 def assert_within_total(fleet: Fleet) -> None:
@@ -531,7 +533,7 @@
     run(scenario, tmp_path, 6)
 
 
-def test_a_leader_that_hangs_is_replaced_and_does_no_harm_when_it_resumes(tmp_path: Path) -> None:
+def test_a_leader_that_hangs_is_replaced_and_becomes_a_standby_when_it_resumes(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.wait_until(lambda: fleet.held("open") >= 50)
         fleet.services[0].process.send_signal(signal.SIGSTOP)
@@ -552,13 +554,13 @@
         await fleet.wait_until(lambda: fleet.held("open") >= 50)
         for turn in range(6):
             await asyncio.sleep(0.11 * turn)
-            if turn % 2:  # one of them, whether it leads or not
+            if turn % 2:  # one process, whether it is the leader or not
                 fleet.standbys[turn % len(fleet.standbys)].kill()
             else:
                 for process in (*fleet.services, *fleet.standbys):
                     process.kill()
-            fleet.standby(turn % 3)
-            fleet.standby((turn + 1) % 3)
+            fleet.start_standby(turn % 3)
+            fleet.start_standby((turn + 1) % 3)
         killed_ms = now_ms()
         await fleet.wait_until(lambda: fleet.granted_after(killed_ms))
 
@@ -589,8 +591,8 @@
         for gateway in (1, 2):
             fleet.holders[gateway].kill()
             await fleet.holders[gateway].process.wait()
-        await fleet.holder(1)  # restarts within the lease of its old incarnation
-        # Three of five are left, and get the shares of the dead and the paused holder.
+        await fleet.start_holder(1)  # restarts within the lease of its old incarnation
+        # Three of five holders run, and get the shares of the dead and the paused holder.
         await fleet.wait_until(lambda: fleet.held("open", 3) >= 17)
         assert fleet.held("open", 0) == 0
         fleet.holders[0].process.send_signal(signal.SIGCONT)
@@ -604,10 +606,10 @@
         await fleet.wait_until(lambda: fleet.held("open") >= 50)
         for process in (*fleet.services, *fleet.holders.values()):
             process.kill()
-        await asyncio.gather(*(fleet.holder(gateway) for gateway in range(5)))
-        marks = set(range(6, 11))
+        await asyncio.gather(*(fleet.start_holder(gateway) for gateway in range(5)))
+        incarnations = set(range(6, 11))
         await fleet.wait_until(
-            lambda: marks
+            lambda: incarnations
             <= {record["mark"] for record in fleet.records() if record["kind"] == "held" and record["part"]}
         )
 
@@ -687,14 +689,14 @@
         # The status command.
         (tmp_path / "s").write_text(SECRET)
         (tmp_path / "x").write_text("x" * 16)
-        at = "{}:{}".format(*address)
-        command = [sys.executable, "-m", "thistletrail.leasing", "status", "--at", at, "--secret"]
+        host_and_port = "{}:{}".format(*address)
+        command = [sys.executable, "-m", "thistletrail.leasing", "status", "--at", host_and_port, "--secret"]
         for arguments, code, expected in (
             (["s"], 0, '"intents": 1'),
             (["s", "--parked"], 0, "[]"),
             (["x"], 1, "not signed"),
         ):
-            done = await asyncio.to_thread(
+            result = await asyncio.to_thread(
                 subprocess.run,
                 [*command, str(tmp_path / arguments[0]), *arguments[1:]],
                 cwd=ROOT,
@@ -703,8 +705,8 @@
                 timeout=60,
                 check=False,
             )
-            assert done.returncode == code and expected in done.stdout + done.stderr
-            assert "Traceback" not in done.stderr
+            assert result.returncode == code and expected in result.stdout + result.stderr
+            assert "Traceback" not in result.stderr
 
     run(scenario, tmp_path, 0)
 
@@ -720,7 +722,7 @@
 def test_invalid_arguments_are_reported_without_a_traceback(
     arguments: list[str], expected: str, tmp_path: Path
 ) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "thistletrail.leasing", *arguments],
         cwd=ROOT,
         capture_output=True,
@@ -728,11 +730,11 @@
         timeout=30,
         check=False,
     )
-    assert done.returncode != 0 and expected in done.stderr and "Traceback" not in done.stderr
+    assert result.returncode != 0 and expected in result.stderr and "Traceback" not in result.stderr
 
 
 def test_the_check_command_reports_each_model() -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -751,4 +753,4 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 0 and done.stdout.count("states to depth 3") == 4
+    assert result.returncode == 0 and result.stdout.count("states to depth 3") == 4
--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -67,7 +67,7 @@
     assert set(total.values()) == {5 * 20}
 
 
-def test_excessive_demand_gets_a_fair_share_at_most() -> None:
+def test_excessive_demand_gets_no_more_than_a_fair_share() -> None:
     shares = divide(1000, {"liar": 10**12, "a": 100, "b": 400, "c": 400})
     assert shares == {"liar": 300, "a": 100, "b": 300, "c": 300}
 
@@ -78,9 +78,8 @@
         steps.append(bounded_step(steps[-1], 900, 1000))
     assert steps == [0, 250, 500, 750, 900]
     assert bounded_step(900, 10, 1000) == 10
-    assert (
-        bounded_step(100, 80, 1000) == 100 and bounded_step(100, 74, 1000) == 74
-    )  # a share that is at most a quarter too large is kept
+    # A share that is at most a quarter too large does not change.
+    assert bounded_step(100, 80, 1000) == 100 and bounded_step(100, 74, 1000) == 74
 
 
 # --- the checker ---
@@ -107,7 +106,7 @@
 
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: fault.name)
-def test_a_planted_fault_is_found(fault: type[BudgetModel]) -> None:
+def test_a_planted_fault_violates_a_property(fault: type[BudgetModel]) -> None:
     result = check_all_walks(fault, *WALKS)
     assert result.violation and result.trace
 
@@ -135,7 +134,7 @@
     assert find_violation(initial_world(BudgetModel, 2, 2, True)) == ""
 
 
-# --- the state machine by itself ---
+# --- the state machine alone ---
 
 
 def make_state(**limits_by_name: BudgetLimits) -> BudgetState:
@@ -167,7 +166,7 @@
     return lease.share if now < lease.until_ms else 0
 
 
-def test_two_gateways_settle_at_half_each_and_a_third_makes_them_share() -> None:
+def test_shares_converge_to_equal_parts_of_two_gateways_and_of_three() -> None:
     service, first, second, third = make_state(), make_holder(0), make_holder(1), make_holder(2)
     renew(service, first, times=5)
     assert leased_share(first, "open") == leasable_total(100) == 90
@@ -182,7 +181,8 @@
     renew(service, first, second, times=6)
     for now in range(NOW + 1000, NOW + LEASE_MS, 1000):
         renew(service, second, now=now)
-        assert leased_share(second, "open", now) <= 45  # what the dead gateway may still use is reserved
+        # The share that the dead gateway may still use stays reserved.
+        assert leased_share(second, "open", now) <= 45
     for step in range(4):
         renew(service, second, now=NOW + LEASE_MS + 1000 * step)
     assert leased_share(second, "open", NOW + LEASE_MS + 3000) == 90
@@ -197,9 +197,8 @@
     for step in range(5):
         renew(service, fresh, now=NOW + LEASE_MS + 1000 * step)
     assert leased_share(fresh, "open", NOW + LEASE_MS + 4000) == 90
-    assert (
-        leased_share(old, "open", NOW + LEASE_MS + 4000) == 0
-    )  # a paused gateway reads the clock when it resumes
+    # A paused gateway reads the clock when it resumes.
+    assert leased_share(old, "open", NOW + LEASE_MS + 4000) == 0
 
 
 def test_a_response_after_its_lease_or_of_another_incarnation_is_ignored() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -100,7 +100,7 @@
 
 def test_overload_control_engages_spreads_attempts_and_is_disengaged() -> None:
     world = loaded_world(0.9)
-    # 8 for each of 4 warm servers, divided between two gateways
+    # 8 for each of 4 servers that are not cold, divided between two gateways
     assert world.gateway.overload.admission_limit == 16
     for n in range(150):
         world.ask(f"r{n}", customer=f"c{n}")
@@ -110,7 +110,9 @@
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
         world.run(10 * MS)
-    sends = [at for at, action in world.log if isinstance(action, StartAttempt) and at >= start]
+    sends = [
+        time_us for time_us, action in world.log if isinstance(action, StartAttempt) and time_us >= start
+    ]
     assert len(sends) == allowed
     assert sends[-1] - sends[0] > 0.8 * S
     idle = loaded_world(0.3)
@@ -161,7 +163,7 @@
     world.ask("a")
     started = world.now
     world.run(3 * S)
-    rejected_at = [at for at, action in world.log if isinstance(action, RejectRequest)]
+    rejected_at = [time_us for time_us, action in world.log if isinstance(action, RejectRequest)]
     assert len(rejected_at) == 1
     assert rejected_at[0] - started < 2 * S
 
@@ -224,7 +226,7 @@
             if customer.owner == world.gateway.settings.gateway_index
         ]
     level = next(iter(owners[0].customers.by_key.values())).set_level
-    assert level > 6  # of 10, at nine tenths of the rate
+    assert level > 6  # the burst is 10, and requests arrive at nine tenths of the rate
 
 
 def test_granted_but_unsent_units_return_to_the_quota() -> None:
@@ -245,7 +247,7 @@
 
 
 def test_quota_is_used_while_messages_are_lost_or_the_owner_is_down() -> None:
-    """Requests inside the quota are sent in time without an answer from the quota owner."""
+    """Requests inside the quota are sent before their deadline even without the quota owner's answer."""
     for loss, down_index in ((0.3, -1), (0.0, 3)):
         gateways = Set(20, loss=loss)
         gateways.down = down_index
@@ -256,7 +258,7 @@
         assert gateways.sent() >= 180
 
 
-def test_messages_to_the_owner_stay_under_half_its_intake() -> None:
+def test_messages_to_the_owner_stay_below_half_of_its_intake_limit() -> None:
     """However many requests a customer sends, its quota owner can take in the messages about it."""
     for count in (3, 40):
         gateways, received = Set(count), 0
@@ -286,7 +288,7 @@
     assert len(of(SetTimer, [action for _, action in world.log])) <= 12
 
 
-def test_idle_customers_are_forgotten() -> None:
+def test_idle_customers_are_evicted() -> None:
     world = World()
     for n in range(50):
         world.ask(f"r{n}", customer=f"c{n}")
@@ -302,7 +304,7 @@
     assert next(iter(world.gateway.customers.by_key.values())).set_level == 20
 
 
-def test_plan_bounds_requests_in_flight() -> None:
+def test_request_beyond_the_in_flight_limit_of_its_plan_is_rejected() -> None:
     world = World(replace(SETTINGS, plans=(Plan(max_in_flight=2),)))
     assert of(StartAttempt, world.ask("a")) and of(StartAttempt, world.ask("b"))
     assert of(RejectRequest, world.ask("c"))
@@ -310,7 +312,7 @@
     assert of(StartAttempt, world.ask("d"))
 
 
-def test_true_units_are_settled() -> None:
+def test_true_units_of_an_answer_are_charged_to_the_quota() -> None:
     world = World(replace(SETTINGS, settles_true_units=True))
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
@@ -321,7 +323,7 @@
 # --- ceilings, deadlines, repeated requests and the endpoint list ---
 
 
-def test_ceiling_starts_empty_and_is_split() -> None:
+def test_ceiling_starts_empty_and_is_divided_between_gateways() -> None:
     plan = Plan(ceiling_rate=10.0, ceiling_burst=20.0)
     world = World(replace(SETTINGS, plans=(plan,), gateway_count=2))
     for n in range(40):
@@ -413,7 +415,11 @@
         world.ask("a", remaining_us=remaining_ms * MS, set_size=20)
         start = world.now
         world.run(S)
-        ends = [at - start for at, action in world.log if isinstance(action, RejectRequest | FailRequest)]
+        ends = [
+            time_us - start
+            for time_us, action in world.log
+            if isinstance(action, RejectRequest | FailRequest)
+        ]
         assert len(ends) == 1 and ends[0] <= remaining_ms * MS
 
 
@@ -490,7 +496,10 @@
         world.ask(f"r{n}")
         world.run((10 + n * 37 % 50) * MS)
         world.answer(f"r{n}")
-    counts = [sum(a.server == f"s{n}" for _, a in world.log if isinstance(a, StartAttempt)) for n in range(4)]
+    counts = [
+        sum(action.server == f"s{n}" for _, action in world.log if isinstance(action, StartAttempt))
+        for n in range(4)
+    ]
     assert 1 <= counts[3] <= min(counts[:3]) / 2
 
 
@@ -532,11 +541,14 @@
                 world.gateway = PolicyEngine(replace(world.gateway.settings, seed=n))
                 world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 1, servers(4)))
     times = sorted(
-        at for world in gateways.worlds for at, action in world.log if isinstance(action, StartAttempt)
+        time_us
+        for world in gateways.worlds
+        for time_us, action in world.log
+        if isinstance(action, StartAttempt)
     )
     level, last = 40.0, start
-    for at in times:
-        level, last = min(40.0, level + 18.0 * (at - last) / S) - 1, at
+    for time_us in times:
+        level, last = min(40.0, level + 18.0 * (time_us - last) / S) - 1, time_us
         assert level >= -4.0
     assert times
 
@@ -674,7 +686,7 @@
             world.gateway.servers.available.clear()
             world.answer("a", AttemptResult.CONNECT_FAILED)
         world.run(S)
-        rejected_at = [at for at, action in world.log if isinstance(action, RejectRequest)]
+        rejected_at = [time_us for time_us, action in world.log if isinstance(action, RejectRequest)]
         assert len(rejected_at) == 1
         assert 400 * MS < rejected_at[0] - start < 500 * MS
 
@@ -694,7 +706,7 @@
         assert gateway.overload.control_period_us == S // scale
         gateway.overload.utilization_samples = [0.9]
         gateway.overload.update_limit(100)
-        # 8 for each of 4 warm servers, divided between two gateways
+        # 8 for each of 4 servers that are not cold, divided between two gateways
         assert gateway.overload.admission_limit == 16
         gateway.overload.utilization_samples = [0.1]
         gateway.overload.update_limit(16)
@@ -753,7 +765,7 @@
     assert spending == 11 - 2 * 1.0  # two requests for one unit, each with a chance of 1
 
 
-def test_gone_servers_and_refilled_customers_are_forgotten() -> None:
+def test_gone_servers_and_refilled_customers_are_evicted() -> None:
     world = World(fleet=servers(2))
     for number in range(200):
         gone = Server(f"x{number}", 0, 0, 0, ServerState.SERVING)
@@ -773,7 +785,7 @@
     )
 
 
-def test_customer_is_remembered_until_its_buckets_are_full() -> None:
+def test_customer_is_evicted_only_when_its_buckets_are_full() -> None:
     world = World(replace(SETTINGS, plans=(Plan(rate=1.0, burst=30.0),)))
     for number in range(30):
         world.ask(f"a{number}")
@@ -788,7 +800,7 @@
 def test_ceiling_starts_empty_only_when_the_gateway_starts() -> None:
     plan = Plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
     world = World(replace(SETTINGS, plans=(plan,)), servers(8))
-    assert not of(StartAttempt, world.ask("a"))  # what was admitted before a restart is not known
+    assert not of(StartAttempt, world.ask("a"))  # the gateway may have admitted a burst before it restarted
     world.run(2 * S)
     sent = [of(StartAttempt, world.ask(f"b{number}", customer="another")) for number in range(20)]
     assert sum(map(len, sent)) == 20
@@ -824,7 +836,11 @@
         world.run(20 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
-    sent = [at for at, action in world.log if isinstance(action, StartAttempt) and at > world.now - S]
+    sent = [
+        time_us
+        for time_us, action in world.log
+        if isinstance(action, StartAttempt) and time_us > world.now - S
+    ]
     assert len(sent) > 30  # 50 arrived in the last second; with the fault, 4 were sent
 
 
@@ -850,7 +866,7 @@
 
 
 def test_last_answer_of_a_silent_owner_holds_for_one_second() -> None:
-    """Its figures used to hold for 10 s, while local demand was only added to the demand in them."""
+    """If its answer held for 10 s, the old demand in it would count beside the local demand for that time."""
     world = World(replace(SETTINGS, gateway_count=2), servers(8))
     name = customer_of_peer(world)
     key = zlib.crc32(name.encode()), 0, 0, 2
@@ -860,11 +876,15 @@
         world.ask(f"a{number}", customer=name, set_size=2, remaining_us=S)
         world.run(100 * MS)
     assert customer.refill(world.now).demand < 10  # 5 arrive in the time over which demand ages
-    sent = [at for at, action in world.log if isinstance(action, StartAttempt) and at > world.now - S]
+    sent = [
+        time_us
+        for time_us, action in world.log
+        if isinstance(action, StartAttempt) and time_us > world.now - S
+    ]
     assert len(sent) >= 8
 
 
-def test_silent_owner_is_not_waited_for() -> None:
+def test_fewer_than_half_of_requests_wait_for_a_silent_owner() -> None:
     world = World(replace(SETTINGS, gateway_count=2))
     name = customer_of_peer(world)
     waited = 0
@@ -903,7 +923,7 @@
 
 
 def test_request_too_far_back_in_the_queue_is_rejected_with_a_short_retry_after() -> None:
-    world = limited_world(2.0, 20)  # ten seconds' worth, with a latency objective of six
+    world = limited_world(2.0, 20)  # ten seconds' worth, and the latency objective is six seconds
     world.run(40 * MS)
     rejections = of(RejectRequest, [action for _, action in world.log])
     assert 8 <= len(rejections) <= 15
@@ -948,7 +968,8 @@
     world = World(fleet=fleet)
     called_for.clear()
     assert of(StartAttempt, world.ask("r1"))
-    assert called_for in (["cold"], ["cold", "cold"])  # the second is for its spacing, if it was chosen
+    # A second call spaces the attempts of the cold server, when the selector picks it.
+    assert called_for in (["cold"], ["cold", "cold"])
 
 
 def attempts_until_failed(world: World, name: str) -> int:
@@ -1034,7 +1055,8 @@
     before = world.gateway.customers.by_key[next(reversed(world.gateway.customers.by_key))].local_demand
     world.ask("poor-late-2", remaining_us=3 * S, customer="poor")
     after = world.gateway.customers.by_key[next(reversed(world.gateway.customers.by_key))].local_demand
-    assert after <= before  # it does not count as demand: requests in time keep their chance
+    # It does not count as demand, so that requests within their objective keep their chance of admission.
+    assert after <= before
 
 
 def test_late_retries_are_queued_last() -> None:
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -40,7 +40,7 @@
     "docs/ROADMAP.md": 1,
     "docs/fault_injection.md": 3,
     "tests/helpers.py": 1,
-    "tests/test_allowances.py": 3,
+    "tests/test_leased_budgets.py": 3,
     "tests/test_fault_injection_checks.py": 1,
     "tests/test_fault_injection_leases.py": 23,
     "tests/test_simulation_leased.py": 1,
--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -157,7 +157,7 @@
     fleet.now += 80
     assert not fleet.work.transfer_lost_items(fleet.now) and fleet.work.store.items["c/k"].owner == "0/1"
     fleet.call(0)
-    # By its own clock its lease had ended: it released the item, which waits to be requested again.
+    # By the holder's clock its lease had ended: it released the item, which waits to be requested again.
     assert not fleet.holders[0].owns("c/k", result.fence, fleet.now)
 
 
@@ -179,9 +179,8 @@
     fleet.call(0, ReleaseWork(name="c/k", fence=result.fence))
     owned = fleet.begin(1, begin_work(request_id="again", server="s2", place="west"))
     assert (owned.status, owned.server, owned.place) == ("kept", "s1", "east") and owned.fence > result.fence
-    assert (
-        fleet.begin(1, begin_work(request_id="again", server="s2", place="west")) == owned
-    )  # repeated, as its response was lost
+    # The same request is sent again, as its response was lost.
+    assert fleet.begin(1, begin_work(request_id="again", server="s2", place="west")) == owned
     assert fleet.begin(1, begin_work(request_id="third", server="s2", place="west")).status == "elsewhere"
 
 
@@ -191,9 +190,8 @@
     fleet.call(0, ReleaseWork(name="c/k", fence=result.fence, never_ran=True))
     assert not fleet.work.store.items
     result = fleet.begin(0, begin_work(effect=WorkEffect.UNSAFE))
-    fleet.call(
-        0, ReleaseWork(name="c/k", fence=result.fence, transfer=True, never_ran=True)
-    )  # as a draining gateway does
+    # A draining gateway releases its items for transfer.
+    fleet.call(0, ReleaseWork(name="c/k", fence=result.fence, transfer=True, never_ran=True))
     transferred = [item for gateway in (1, 2) for item in fleet.call(gateway)[1]]
     assert [item.server for item in transferred] == [""]
 
@@ -242,7 +240,7 @@
         assert fleet.begin(1, begin_work(request_id="again", effect=effect)).status == status
 
 
-def test_an_item_past_its_end_is_not_transferred_and_is_dropped_after_its_window() -> None:
+def test_an_item_past_its_deadline_is_not_transferred_and_is_dropped_after_its_window() -> None:
     fleet = Fleet(2)
     fleet.begin(0, begin_work(left_ms=500, window_ms=3000))
     fleet.advance(WORK_LEASE_MS + 100, 1)
@@ -373,9 +371,8 @@
     holder.requeue_unanswered()
     second = holder.next_request(START + 100)
     assert second.operations == first.operations
-    assert (
-        holder.on_response(response, START + 100) == AppliedResponse()
-    )  # the request is no longer in flight
+    # The request of this response is no longer in flight.
+    assert holder.on_response(response, START + 100) == AppliedResponse()
     again = fleet.work.handle(second, START + 100).response
     (result,) = [entry.result for entry in holder.on_response(again, START + 100).operations]
     assert result.status == "kept" and holder.owns("c/k", result.fence, START + 100)
@@ -432,9 +429,8 @@
     holder.next_request(START)
     assert [operation.name for operation in holder.on_not_persisted()] == ["c/k"]
     assert [operation.name for operation in holder.queue] == ["c/x"] and not holder.on_not_persisted()
-    assert (
-        sum(holder.enqueue(begin_work(str(n))) for n in range(5 * MAX_OPERATIONS)) < 5 * MAX_OPERATIONS
-    )  # bounded
+    # The queue is bounded.
+    assert sum(holder.enqueue(begin_work(str(n))) for n in range(5 * MAX_OPERATIONS)) < 5 * MAX_OPERATIONS
 
 
 def test_a_request_is_bounded_in_operations_and_bytes() -> None:
@@ -500,13 +496,13 @@
 def test_no_acknowledged_change_is_lost_wherever_the_log_is_cut(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(os, "fsync", lambda file: None)  # the cuts stand for what was not synced
+    monkeypatch.setattr(os, "fsync", lambda file: None)  # each cut simulates data that was not synced
     fixed_now_ms = now_ms()
     monkeypatch.setattr(journal_module, "now_ms", lambda: fixed_now_ms)
-    sizes, states = write_history(tmp_path / "whole")
-    complete_log = log_of(tmp_path / "whole").read_bytes()
+    sizes, states = write_history(tmp_path / "complete")
+    complete_log = log_of(tmp_path / "complete").read_bytes()
     for cut in range(sizes[0], len(complete_log) + 1):
-        journal = Journal(begin_term(copied(tmp_path / "whole", tmp_path / f"{cut}", complete_log[:cut])))
+        journal = Journal(begin_term(copied(tmp_path / "complete", tmp_path / f"{cut}", complete_log[:cut])))
         work = journal.open(CONFIG).work
         written_count = sum(size <= cut for size in sizes)
         if cut in sizes:
@@ -520,10 +516,10 @@
             if item.owner
         )
         journal.close()
-    journal = Journal(begin_term(tmp_path / "whole"))
+    journal = Journal(begin_term(tmp_path / "complete"))
     work = journal.open(CONFIG).work  # also writes a snapshot
     journal.close()
-    journal = Journal(begin_term(tmp_path / "whole"))
+    journal = Journal(begin_term(tmp_path / "complete"))
     assert item_states(journal.open(CONFIG).work) == item_states(work)
     journal.close()
 
@@ -570,7 +566,7 @@
 
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: fault.name)
-def test_each_planted_fault_is_found(fault: type[WorkModel]) -> None:
+def test_each_planted_fault_violates_a_property(fault: type[WorkModel]) -> None:
     assert check_walks(fault, 3, Walks(20_000, 25, 1)).violation
 
 
@@ -650,8 +646,8 @@
     )
     for cut in range(len(sent)):
         frames, received = FrameReader(secret), []
-        for part in (sent[:cut], sent[cut:]):
-            frames.feed(part)
+        for chunk in (sent[:cut], sent[cut:]):
+            frames.feed(chunk)
             while (frame := frames.next()) is not None:
                 received.append(frame)
         assert received == [
@@ -659,9 +655,9 @@
             Frame(STATUS_FULL, b""),
             Frame(STATUS_OK, bytes(range(256))),
         ]
-    for at in range(4, len(encode_frame(secret, b"one"))):
+    for index in range(4, len(encode_frame(secret, b"one"))):
         corrupted = bytearray(encode_frame(secret, b"one"))
-        corrupted[at] ^= 1
+        corrupted[index] ^= 1
         frames = FrameReader(secret)
         frames.feed(bytes(corrupted))
         with pytest.raises(FrameError, match="not signed"):
