--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.helpers import SETTINGS, S, World, of
-from thistletrail.benchmarks.process import ROOT, Tree
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
@@ -302,7 +302,7 @@
 
 @pytest.fixture(scope="module")
 def lease_run() -> RunHistory:
-    tree = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+    tree = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
     return play_once(load("leases"), 1, tree, lambda text: None)
 
 
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -14,14 +14,21 @@
 from tests.sockets import run
 from thistletrail.benchmarks import cost
 from thistletrail.benchmarks.__main__ import main
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.errors import BenchmarkError
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, Process, Tree, free_port, front_door, prepare
-from thistletrail.benchmarks.standins import HOST, Peer
+from thistletrail.benchmarks.process import (
+    ROOT,
+    GatewaySourceTree,
+    Process,
+    build_source_tree,
+    free_port,
+    running_gateway_process,
+)
+from thistletrail.benchmarks.stub_servers import HOST, StubPeer
 from thistletrail.policy.events import QuotaMessage
 from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
 
-HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 SMALL = replace(LOADS["steady"], requests=60, rate=300, servers=3, work_ms=2.0)
 PROC = Path("/proc/self/task")
 
@@ -50,9 +57,9 @@
     (gateway / "config.py").write_text("def read_addresses(): ...\n")
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "balancer.toml").write_text('build = "true"\nrun = "true"\n')
-    assert not prepare(tmp_path).has_lease_keys
+    assert not build_source_tree(tmp_path).has_lease_keys
     (gateway / "legacy_settings.py").touch()
-    assert prepare(tmp_path).has_lease_keys
+    assert build_source_tree(tmp_path).has_lease_keys
 
 
 @pytest.mark.parametrize(
@@ -102,15 +109,15 @@
 def test_front_door_that_does_not_start_is_one_plain_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    broken = replace(HERE, run="echo it is broken >&2; exit 3")
-    monkeypatch.setattr("thistletrail.benchmarks.__main__.prepare", lambda root: broken)
+    broken = replace(HERE, start_command="echo it is broken >&2; exit 3")
+    monkeypatch.setattr("thistletrail.benchmarks.__main__.build_source_tree", lambda root: broken)
     assert "did not start: it is broken" in told(["cost", "--load", "steady"], monkeypatch, capsys)
 
 
 def test_play_counts_what_it_asked() -> None:
     async def job() -> None:
         load = replace(SMALL, pipelined=2, idle=3, replace_every_s=0.05)
-        found = await cost.play(HERE, load, seed=5, timed=True)
+        found = await cost.run_load(HERE, load, seed=5, timed=True)
         assert (found.requests, found.served + found.refused + found.other) == (60, 60)
         assert found.served > 0 and found.other == 0
         assert found.processor_us > 0 and found.resident_end > 1 << 20 and found.resident_idle is not None
@@ -122,21 +129,25 @@
 
 
 def test_plays_of_one_seed_ask_the_same() -> None:
-    callers = [cost.Callers(SMALL, 3, (HOST, 1)) for _ in range(2)]
-    asked = [[caller.command() for _ in range(50)] for caller in callers]
-    assert asked[0] == asked[1] != [cost.Callers(SMALL, 4, (HOST, 1)).command() for _ in range(50)]
+    generators = [cost.LoadGenerator(SMALL, 3, (HOST, 1)) for _ in range(2)]
+    commands = [[generator.next_command() for _ in range(50)] for generator in generators]
+    assert (
+        commands[0]
+        == commands[1]
+        != [cost.LoadGenerator(SMALL, 4, (HOST, 1)).next_command() for _ in range(50)]
+    )
 
 
 def test_front_door_is_gone_when_a_play_is_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
     async def job() -> None:
         started: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
-        async def stay(tree: Tree, process: Process, *rest: object) -> None:
+        async def stay(tree: GatewaySourceTree, process: Process, *rest: object) -> None:
             started.set_result(process.process.pid)
             await asyncio.Event().wait()
 
         monkeypatch.setattr(cost, "measure", stay)
-        task = asyncio.create_task(cost.play(HERE, SMALL, seed=5))
+        task = asyncio.create_task(cost.run_load(HERE, SMALL, seed=5))
         pid = await started
         assert not gone(pid)
         task.cancel()
@@ -149,14 +160,14 @@
 
 def test_front_door_that_dies_ends_the_play(tmp_path: Path) -> None:
     async def job() -> None:
-        values = cost.config((HOST, 1), (HOST, 2), cost.free_port(), 1, False)
-        async with front_door(HERE, values, tmp_path) as process:
+        values = cost.gateway_config((HOST, 1), (HOST, 2), cost.free_port(), 1, False)
+        async with running_gateway_process(HERE, values, tmp_path) as process:
             process.kill()
             await process.process.wait()
-            with pytest.raises(BenchError, match="has ended"):
-                process.resident()
-            with pytest.raises(BenchError, match="has ended"):
-                process.descriptors()
+            with pytest.raises(BenchmarkError, match="has ended"):
+                process.resident_bytes()
+            with pytest.raises(BenchmarkError, match="has ended"):
+                process.descriptor_count()
 
     run(job())
 
@@ -166,8 +177,8 @@
 def test_all_is_gone_after_a_signal(number: int) -> None:
     code = (
         "import sys, thistletrail.benchmarks.__main__ as m\n"
-        "from thistletrail.benchmarks.process import ROOT, Tree\n"
-        f"m.prepare = lambda root: Tree(ROOT, {HERE.run!r}, True)\n"
+        "from thistletrail.benchmarks.process import ROOT, GatewaySourceTree\n"
+        f"m.build_source_tree = lambda root: GatewaySourceTree(ROOT, {HERE.start_command!r}, True)\n"
         "sys.argv[1:] = ['cost', '--load', 'steady', '--requests', '100000']; sys.exit(m.main())"
     )
     bench = subprocess.Popen(
@@ -188,8 +199,8 @@
 
 
 def test_differences_are_of_pairs() -> None:
-    def made(load: str, us: float, idle: float | None) -> cost.Play:
-        return cost.Play(load, 10, 10, 0, 0, us, 1, 2, idle, 0.5, 0.25, 0.0)
+    def made(load: str, us: float, idle: float | None) -> cost.LoadRun:
+        return cost.LoadRun(load, 10, 10, 0, 0, us, 1, 2, idle, 0.5, 0.25, 0.0)
 
     found = [
         (made("a", 90, 3.0), made("a", 100, 5.0)),
@@ -217,7 +228,7 @@
 
 
 def test_the_peer_answers_what_is_requested_and_nothing_else() -> None:
-    peer, transport = Peer(level=20.0), Sent()
+    peer, transport = StubPeer(level=20.0), Sent()
     peer.connection_made(transport)
     silent = QuotaMessage(7, 0, 0, 2, demand=1.0)
     request = QuotaMessage(9, 0, 0, 2, demand=3.0, requested=2.0)
--- a/tests/test_benchmarks_work.py
+++ b/tests/test_benchmarks_work.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from thistletrail.benchmarks import callers, cost, leases, work
+from thistletrail.benchmarks import cost, leases, load_generator, work
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, Tree
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 
-HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 
 
 @pytest.fixture
@@ -23,14 +23,14 @@
         for category in cost.SETTINGS["categories"]
     ]
     monkeypatch.setattr(cost, "SETTINGS", {**cost.SETTINGS, "categories": categories})
-    monkeypatch.setattr(callers, "WAIT_MS", 80_000)
-    monkeypatch.setattr(callers, "PATIENCE_S", 81.0)
+    monkeypatch.setattr(load_generator, "REQUEST_DEADLINE_MS", 80_000)
+    monkeypatch.setattr(load_generator, "ANSWER_TIMEOUT_S", 81.0)
 
 
 @pytest.mark.usefixtures("patient")
 def test_each_request_is_served_with_it_off_and_on_and_a_piece_takes_few_bytes_of_log() -> None:
     # With a scan server for each three requests, none is held, even if all come at once.
-    load = replace(cost.fitting(LOADS["steady"], 60), servers=20)
+    load = replace(cost.with_request_count(LOADS["steady"], 60), servers=20)
     found = asyncio.run(work.pairs(HERE, load, 1, 1))
     ((off, on),) = found
     assert (off.kept, on.kept) == (False, True) and off.served == on.served == 60
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 from thistletrail.fault_injection.checks import CHECKS, RunHistory, check
 from thistletrail.fault_injection.history import Record, merge
 from thistletrail.fault_injection.leases import (
@@ -19,7 +19,7 @@
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
 
-HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 S = 1_000_000
 PLAN = Plan(
     name="p",
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
-HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 S = 1_000_000
 
 
--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.report import write_report
 from thistletrail.fault_injection.runs import Run, load_run, play_once, run, store_run
 
 GATEWAY_COMMAND = f"exec {sys.executable} -m thistletrail.gateway"
-WORKING_TREE = Tree(ROOT, GATEWAY_COMMAND, tells_costs=True)
+WORKING_TREE = GatewaySourceTree(ROOT, GATEWAY_COMMAND, logs_costs=True)
 EXIT_TIMEOUT_S = 20.0  # for processes to end; exceeded only on a fault
 MARK_VARIABLE = "FAULT_INJECTION_TEST_MARK"
 
@@ -82,10 +82,10 @@
     mark = f"{os.getpid()}-{signal_number}"
     code = (
         "from thistletrail.command_line import end_on_signals\nend_on_signals()\n"
-        "from thistletrail.benchmarks.process import ROOT, Tree\n"
+        "from thistletrail.benchmarks.process import ROOT, GatewaySourceTree\n"
         "from thistletrail.fault_injection.plan import load\n"
         "from thistletrail.fault_injection.runs import play_once\n"
-        f"play_once(load('short'), 1, Tree(ROOT, {GATEWAY_COMMAND!r}, True), lambda text: None)"
+        f"play_once(load('short'), 1, GatewaySourceTree(ROOT, {GATEWAY_COMMAND!r}, True), lambda text: None)"
     )
     process = subprocess.Popen(
         [sys.executable, "-c", code],
@@ -112,7 +112,7 @@
 def test_failed_start_is_reported_in_one_line_and_leaves_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = f"{os.getpid()}-failed"
     monkeypatch.setenv(MARK_VARIABLE, mark)
-    broken = Tree(ROOT, "echo 'it cannot be' >&2; exit 3", tells_costs=True)
+    broken = GatewaySourceTree(ROOT, "echo 'it cannot be' >&2; exit 3", logs_costs=True)
     with pytest.raises(FaultInjectionError, match=r"doors-.: .*it cannot be") as error_info:
         play_once(load("short"), 1, broken, lambda text: None)
     assert "\n" not in str(error_info.value)
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -9,9 +9,15 @@
 import msgspec
 import pytest
 
-from thistletrail.benchmarks.cost import config
-from thistletrail.benchmarks.process import ROOT, Tree, free_port, front_door, start_door
-from thistletrail.benchmarks.standins import HOST
+from thistletrail.benchmarks.cost import gateway_config
+from thistletrail.benchmarks.process import (
+    ROOT,
+    GatewaySourceTree,
+    free_port,
+    running_gateway_process,
+    start_gateway_process,
+)
+from thistletrail.benchmarks.stub_servers import HOST
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.fleet import STALE_MS, aged
 from thistletrail.fault_injection.plan import Fault, Plan, load
@@ -20,7 +26,7 @@
 from thistletrail.gateway.snapshot_file import decode_snapshot
 from thistletrail.simulation.clock import Clock
 
-WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+WORKING_TREE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 
 
 def play_without_violations(name: str) -> RunHistory:
@@ -112,7 +118,7 @@
 
 def test_second_gateway_with_the_same_number_does_not_start(tmp_path: Path) -> None:
     """The address and the state folder of the first are in use; the second reports that in one line."""
-    values = config((HOST, free_port()), (HOST, free_port()), free_port(), 1, False)
+    values = gateway_config((HOST, free_port()), (HOST, free_port()), free_port(), 1, False)
     values |= {"state_dir": str(tmp_path / "state")}
     other_address = {**values, "listen": f"{HOST}:{free_port()}"}
 
@@ -120,12 +126,12 @@
         results = []
         (tmp_path / "first").mkdir()
         (tmp_path / "second").mkdir()
-        async with front_door(WORKING_TREE, values, tmp_path / "first") as first:
+        async with running_gateway_process(WORKING_TREE, values, tmp_path / "first") as first:
             for second_values in (values, other_address, {**values, "state_dir": str(tmp_path / "fresh")}):
-                second = await start_door(WORKING_TREE, second_values, tmp_path / "second")
+                second = await start_gateway_process(WORKING_TREE, second_values, tmp_path / "second")
                 code = await asyncio.wait_for(second.process.wait(), 20)
                 results.append((code, second.last_line()))
-            await first.ready()
+            await first.wait_until_ready()
         return results
 
     (same, other, fresh_folder) = asyncio.run(start_second_gateways())
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -10,9 +10,9 @@
 from typing import Any, NoReturn
 
 from thistletrail.benchmarks import cost, quickstart
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.errors import BenchmarkError
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, check_port, prepare, revision
+from thistletrail.benchmarks.process import ROOT, build_source_tree, check_out_revision, check_port
 
 MOST_PAIRS = 100
 
@@ -21,7 +21,7 @@
     """Bad input is one plain line."""
 
     def error(self, message: str) -> NoReturn:
-        raise BenchError(message)
+        raise BenchmarkError(message)
 
 
 def whole(most: int) -> Any:  # noqa: ANN401 - argparse takes any callable
@@ -40,7 +40,7 @@
     costs = commands.add_parser("cost", help="processor time, memory and descriptors of requests")
     costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
     costs.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
-    costs.add_argument("--requests", type=whole(cost.MOST_REQUESTS), metavar="N", help="of each load")
+    costs.add_argument("--requests", type=whole(cost.MAX_REQUESTS), metavar="N", help="of each load")
     costs.add_argument("--port", type=whole(65535), default=0, metavar="N", help="for the front door")
     costs.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
     costs.add_argument("--against", metavar="REV", help="play another revision in turns with this tree")
@@ -54,7 +54,7 @@
     work_ = commands.add_parser("takeover", help="what it costs that work in hand is kept")
     work_.add_argument("--load", choices=sorted(LOADS), default="steady")
     work_.add_argument("--seed", type=whole(1 << 30), default=1, metavar="N")
-    work_.add_argument("--requests", type=whole(cost.MOST_REQUESTS), metavar="N", help="of each play")
+    work_.add_argument("--requests", type=whole(cost.MAX_REQUESTS), metavar="N", help="of each play")
     work_.add_argument("--pairs", type=whole(MOST_PAIRS), default=3, metavar="N", help="of plays")
     work_.add_argument("--pieces", type=whole(10**6), default=10_000, metavar="N", help="at the steward")
     work_.add_argument("--json", type=Path, metavar="FILE", help="keep the figures")
@@ -69,7 +69,7 @@
 
 
 async def run_quickstart(_: argparse.Namespace) -> None:
-    print(quickstart.describe(await quickstart.play()))
+    print(quickstart.describe(await quickstart.run()))
 
 
 async def run_takeover(args: argparse.Namespace) -> None:
@@ -77,8 +77,8 @@
 
     if args.json:
         check_writable(args.json)
-    load = cost.fitting(LOADS[args.load], args.requests)
-    found = await work.pairs(prepare(ROOT), load, args.seed, args.pairs)
+    load = cost.with_request_count(LOADS[args.load], args.requests)
+    found = await work.pairs(build_source_tree(ROOT), load, args.seed, args.pairs)
     by_itself = await work.alone(args.pieces, args.seed)
     print(work.table(found, by_itself))
     if args.json:
@@ -99,21 +99,21 @@
 async def run_cost(args: argparse.Namespace) -> None:
     unknown = [name for name in args.load or () if name not in LOADS]
     if unknown:
-        raise BenchError(f"unknown load '{unknown[0]}'; known are {', '.join(LOADS)}")
-    loads = [cost.fitting(LOADS[name], args.requests) for name in args.load or LOADS]
+        raise BenchmarkError(f"unknown load '{unknown[0]}'; known are {', '.join(LOADS)}")
+    loads = [cost.with_request_count(LOADS[name], args.requests) for name in args.load or LOADS]
     if args.port:
         check_port(args.port)
     if args.json:
         check_writable(args.json)
     with contextlib.ExitStack() as stack:
-        theirs = stack.enter_context(revision(args.against)) if args.against else None
-        ours = prepare(ROOT)
+        theirs = stack.enter_context(check_out_revision(args.against)) if args.against else None
+        ours = build_source_tree(ROOT)
         if theirs is None:
-            plays = await cost.costs(ours, loads, args.seed, args.port)
+            plays = await cost.measure_costs(ours, loads, args.seed, args.port)
             print(cost.cost_table(plays))
             kept: Any = {"seed": args.seed, "plays": cost.as_json(plays)}
         else:
-            found = await cost.pairs(ours, theirs, loads, args.seed, args.port, args.pairs)
+            found = await cost.run_pairs(ours, theirs, loads, args.seed, args.port, args.pairs)
             rows = cost.differences(found)
             print(cost.difference_table(rows, args.against))
             kept = {
@@ -144,7 +144,7 @@
         with path.open("a"):
             pass
     except OSError as error:
-        raise BenchError(f"cannot write {path}: {error.strerror}") from error
+        raise BenchmarkError(f"cannot write {path}: {error.strerror}") from error
 
 
 async def until_told(args: argparse.Namespace) -> None:
@@ -166,7 +166,7 @@
 def main() -> int:
     try:
         asyncio.run(until_told(parser().parse_args()))
-    except BenchError as error:
+    except BenchmarkError as error:
         print(f"benchmarks: {error}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, asyncio.CancelledError):
--- a/thistletrail/benchmarks/cost.py
+++ b/thistletrail/benchmarks/cost.py
@@ -10,16 +10,16 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from thistletrail.benchmarks.callers import Callers
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.load_generator import LoadGenerator
 from thistletrail.benchmarks.loads import Load
-from thistletrail.benchmarks.process import Process, Tree, free_port, front_door
-from thistletrail.benchmarks.standins import HOST, Address, World, text
+from thistletrail.benchmarks.process import GatewaySourceTree, Process, free_port, running_gateway_process
+from thistletrail.benchmarks.stub_servers import HOST, Address, StubServers, format_address
 
 PLAN = {"name": "standard", "units-per-s": 100.0, "burst": 200.0}  # nobody is refused for a quota
-LOOK_S = 0.02  # between looks at open descriptors
-REST_S = 0.2  # after the start, before anything is measured
-MOST_REQUESTS = 200_000
+SAMPLE_INTERVAL_S = 0.02  # between looks at open descriptors
+SETTLE_TIME_S = 0.2  # after the start, before anything is measured
+MAX_REQUESTS = 200_000
 SETTINGS = {
     "me": 0,
     "balancers": 2,
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class LoadRun:
     """The figures of one play; those that were not taken are None."""
 
     load: str
@@ -75,7 +75,7 @@
     processor_us: float  # a request
     resident_start: int
     resident_end: int
-    resident_idle: float | None  # a quiet connection
+    resident_idle: float | None  # a idle_descriptors connection
     descriptors: float  # for each request open, when the most were
     handshakes: float  # with scan servers, a request
     datagrams: float  # to the peer, a request
@@ -95,81 +95,85 @@
         return {name: value for name, value in found.items() if value is not None}
 
 
-def config(discovery: Address, peer: Address, port: int, seed: int, timed: bool) -> dict[str, Any]:
-    own = text((HOST, free_port(socket.SOCK_DGRAM)))
+def gateway_config(discovery: Address, peer: Address, port: int, seed: int, timed: bool) -> dict[str, Any]:
+    own = format_address((HOST, free_port(socket.SOCK_DGRAM)))
     return {
         "name": "bench",
-        "listen": text((HOST, port)),
-        "discovery": text(discovery),
+        "listen": format_address((HOST, port)),
+        "discovery": format_address(discovery),
         "seed": f"{seed:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "time_stages": timed,
         "peer_listen": own,
-        "peers": [own, text(peer)],
+        "peers": [own, format_address(peer)],
         "known": {},
         "settings": SETTINGS,
     }
 
 
-class Watcher:
+class DescriptorSampler:
     """Looks at the descriptors while a load is played."""
 
-    def __init__(self, process: Process, callers: Callers) -> None:
-        self.process, self.callers = process, callers
-        self.most_open, self.most_descriptors = 0, 0
+    def __init__(self, process: Process, load_generator: LoadGenerator) -> None:
+        self.process, self.load_generator = process, load_generator
+        self.max_open_requests, self.max_descriptors = 0, 0
 
-    async def watch(self) -> None:
+    async def sample(self) -> None:
         while True:
-            opened = self.callers.open
-            if opened > self.most_open:
-                self.most_open, self.most_descriptors = opened, self.process.descriptors()
-            await asyncio.sleep(LOOK_S)
+            opened = self.load_generator.open_requests
+            if opened > self.max_open_requests:
+                self.max_open_requests, self.max_descriptors = opened, self.process.descriptor_count()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
-async def play(tree: Tree, load: Load, seed: int, port: int = 0, timed: bool = False) -> Play:
+async def run_load(
+    tree: GatewaySourceTree, load: Load, seed: int, port: int = 0, timed: bool = False
+) -> LoadRun:
     """Play a load against a front door that is started for it alone."""
-    world = World(load, seed, peer_level=PLAN["burst"])
+    stubs = StubServers(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as folder:
         try:
-            discovery = await world.start()
-            values = config(discovery, world.peer_address, port or free_port(), seed, timed)
-            async with front_door(tree, values, Path(folder)) as process:
-                return await measure(tree, process, world, load, seed, timed)
+            discovery = await stubs.start()
+            values = gateway_config(discovery, stubs.peer_address, port or free_port(), seed, timed)
+            async with running_gateway_process(tree, values, Path(folder)) as process:
+                return await measure(tree, process, stubs, load, seed, timed)
         except OSError as error:
-            raise BenchError(f"cannot play '{load.name}': {error}") from error
+            raise BenchmarkError(f"cannot play '{load.name}': {error}") from error
         finally:
-            await world.close()
+            await stubs.close()
 
 
-async def measure(tree: Tree, process: Process, world: World, load: Load, seed: int, timed: bool) -> Play:
-    callers = Callers(load, seed, process.address)
+async def measure(
+    tree: GatewaySourceTree, process: Process, stubs: StubServers, load: Load, seed: int, timed: bool
+) -> LoadRun:
+    load_generator = LoadGenerator(load, seed, process.address)
     try:
-        await asyncio.sleep(REST_S)
-        start = process.resident()
-        await callers.settle()
-        idle = (process.resident() - start) / load.idle if load.idle else None
-        said = await process.costs() if timed and tree.tells_costs else None
-        quiet, used = process.descriptors(), process.processor_us()
-        connections, datagrams = world.total("connections"), world.peer.datagrams
-        world.begin()
-        watcher = Watcher(process, callers)
-        watching = asyncio.get_running_loop().create_task(watcher.watch())
+        await asyncio.sleep(SETTLE_TIME_S)
+        start = process.resident_bytes()
+        await load_generator.open_idle_connections()
+        idle = (process.resident_bytes() - start) / load.idle if load.idle else None
+        before = await process.cost_report() if timed and tree.logs_costs else None
+        idle_descriptors, used = process.descriptor_count(), process.processor_us()
+        connections, datagrams = stubs.total("connections"), stubs.peer.datagrams
+        stubs.start_replacing()
+        sampler = DescriptorSampler(process, load_generator)
+        sampling = asyncio.get_running_loop().create_task(sampler.sample())
         try:
-            await callers.play()
+            await load_generator.run()
         finally:
-            watching.cancel()
+            sampling.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await watching
+                await sampling
         used = process.processor_us() - used
-        count = sum(callers.ended.values())
+        count = sum(load_generator.outcomes.values())
         stages = None
-        if said and (after := await process.costs()).get("stages_s"):
+        if before and (after := await process.cost_report()).get("stages_s"):
             stages = {
-                name: 1e6 * (spent - said["stages_s"].get(name, 0.0)) / count
+                name: 1e6 * (spent - before["stages_s"].get(name, 0.0)) / count
                 for name, spent in after["stages_s"].items()
             }
-        served, refused = callers.ended["served"], callers.ended["refused"]
-        return Play(
+        served, refused = load_generator.outcomes["served"], load_generator.outcomes["refused"]
+        return LoadRun(
             load.name,
             count,
             served,
@@ -177,41 +181,48 @@
             count - served - refused,
             used / count,
             start,
-            process.resident(),
+            process.resident_bytes(),
             idle,
-            (watcher.most_descriptors - quiet) / max(1, watcher.most_open),
-            (world.total("connections") - connections) / count,
-            (world.peer.datagrams - datagrams) / count,
+            (sampler.max_descriptors - idle_descriptors) / max(1, sampler.max_open_requests),
+            (stubs.total("connections") - connections) / count,
+            (stubs.peer.datagrams - datagrams) / count,
             stages,
         )
     finally:
-        callers.close()
+        load_generator.close()
 
 
-async def costs(tree: Tree, loads: Iterable[Load], seed: int, port: int) -> list[Play]:
+async def measure_costs(
+    tree: GatewaySourceTree, loads: Iterable[Load], seed: int, port: int
+) -> list[LoadRun]:
     """Each load once for the figures, and once more for the stages, as to time them costs time itself."""
     found = []
     for load in loads:
-        plain = await play(tree, load, seed, port)
-        timed = await play(tree, load, seed, port, timed=True) if tree.tells_costs else None
+        plain = await run_load(tree, load, seed, port)
+        timed = await run_load(tree, load, seed, port, timed=True) if tree.logs_costs else None
         found.append(replace(plain, stages_us=timed.stages_us if timed else None))
     return found
 
 
-async def pairs(
-    ours: Tree, theirs: Tree, loads: Iterable[Load], seed: int, port: int, count: int
-) -> list[tuple[Play, Play]]:
+async def run_pairs(
+    ours: GatewaySourceTree,
+    theirs: GatewaySourceTree,
+    loads: Iterable[Load],
+    seed: int,
+    port: int,
+    count: int,
+) -> list[tuple[LoadRun, LoadRun]]:
     """Plays of both in turns, each pair under a seed of its own; who goes first alternates."""
     found = []
     for load in loads:
         for number in range(count):
             order = (theirs, ours) if number % 2 else (ours, theirs)
-            plays = {tree.root: await play(tree, load, seed + number, port) for tree in order}
+            plays = {tree.root: await run_load(tree, load, seed + number, port) for tree in order}
             found.append((plays[ours.root], plays[theirs.root]))
     return found
 
 
-def fitting(load: Load, requests: int | None) -> Load:
+def with_request_count(load: Load, requests: int | None) -> Load:
     return replace(load, requests=requests) if requests else load
 
 
@@ -234,7 +245,7 @@
     return f"{size / (1 << 20):.1f}"
 
 
-def cost_table(plays: Sequence[Play]) -> str:
+def cost_table(plays: Sequence[LoadRun]) -> str:
     head = (
         "load",
         "requests",
@@ -251,31 +262,33 @@
     )
     rows = [
         (
-            play.load,
-            str(play.requests),
-            str(play.served),
-            str(play.refused),
-            str(play.other),
-            f"{play.processor_us:.0f}",
-            mib(play.resident_start),
-            mib(play.resident_end),
-            "-" if play.resident_idle is None else f"{play.resident_idle / 1024:.1f}",
-            f"{play.descriptors:.2f}",
-            f"{play.handshakes:.3f}",
-            f"{play.datagrams:.3f}",
+            load_run.load,
+            str(load_run.requests),
+            str(load_run.served),
+            str(load_run.refused),
+            str(load_run.other),
+            f"{load_run.processor_us:.0f}",
+            mib(load_run.resident_start),
+            mib(load_run.resident_end),
+            "-" if load_run.resident_idle is None else f"{load_run.resident_idle / 1024:.1f}",
+            f"{load_run.descriptors:.2f}",
+            f"{load_run.handshakes:.3f}",
+            f"{load_run.datagrams:.3f}",
         )
-        for play in plays
+        for load_run in plays
     ]
     text = table(head, rows)
-    timed = [play for play in plays if play.stages_us]
+    timed = [load_run for load_run in plays if load_run.stages_us]
     if not timed:
         return text
-    names = sorted({name for play in timed for name in play.stages_us})
-    stages = [(play.load, *(f"{play.stages_us.get(name, 0.0):.0f}" for name in names)) for play in timed]
+    names = sorted({name for load_run in timed for name in load_run.stages_us})
+    stages = [
+        (load_run.load, *(f"{load_run.stages_us.get(name, 0.0):.0f}" for name in names)) for load_run in timed
+    ]
     return f"{text}\n\nby stage, us a request, while stages are timed\n{table(('load', *names), stages)}"
 
 
-def differences(found: Sequence[tuple[Play, Play]]) -> list[dict[str, Any]]:
+def differences(found: Sequence[tuple[LoadRun, LoadRun]]) -> list[dict[str, Any]]:
     """For each load and figure: the means of both, and the mean and spread of ours less theirs."""
     rows = []
     for load in dict.fromkeys(ours.load for ours, _ in found):
@@ -325,5 +338,5 @@
     )
 
 
-def as_json(plays: Iterable[Play]) -> list[dict[str, Any]]:
-    return [asdict(play) for play in plays]
+def as_json(plays: Iterable[LoadRun]) -> list[dict[str, Any]]:
+    return [asdict(load_run) for load_run in plays]
--- a/thistletrail/benchmarks/errors.py
+++ b/thistletrail/benchmarks/errors.py
@@ -1,5 +1,5 @@
 """What ends a run of the harness with one plain line."""
 
 
-class BenchError(Exception):
+class BenchmarkError(Exception):
     """Bad input, or a front door that cannot be measured; the text is one plain line."""
--- a/thistletrail/benchmarks/loads.py
+++ b/thistletrail/benchmarks/loads.py
@@ -8,21 +8,21 @@
     """A bounded load. Requests come open-loop, at gaps drawn from the seed."""
 
     name: str
-    says: str
+    description: str
     requests: int
     rate: float  # requests a second
     pipelined: int = 1  # written at once on one connection
     idle: int = 0  # connections that have asked once and stay
     servers: int = 8
-    slots: int = 4  # requests that a scan server works on at once
-    waiting: int = 16  # and that wait there; more are turned away
+    max_concurrent: int = 4  # requests that a scan server works on at once
+    max_queued: int = 16  # and that wait there; more are turned away
     work_ms: float = 8.0  # the mean of a request's work
     replace_every_s: float = 0.0  # a scan server is drained and a new one comes; 0: never
 
     @property
     def capacity(self) -> float:
         """Requests a second that the scan servers can do."""
-        return self.servers * self.slots * 1000 / self.work_ms
+        return self.servers * self.max_concurrent * 1000 / self.work_ms
 
 
 LOADS = {
@@ -43,8 +43,8 @@
             "half as much again as the scan servers can do",
             requests=2000,
             rate=600,
-            slots=1,
-            waiting=8,
+            max_concurrent=1,
+            max_queued=8,
             work_ms=20.0,
         ),
         Load(
--- a/thistletrail/benchmarks/quickstart.py
+++ b/thistletrail/benchmarks/quickstart.py
@@ -9,12 +9,12 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from thistletrail.benchmarks.callers import Caller
-from thistletrail.benchmarks.cost import PLAN, config
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.cost import PLAN, gateway_config
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.load_generator import GatewayClient
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, Tree, free_port, front_door
-from thistletrail.benchmarks.standins import HOST, World, text
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree, free_port, running_gateway_process
+from thistletrail.benchmarks.stub_servers import HOST, StubServers, format_address
 from thistletrail.gateway.resp import encode
 
 SEED = 1
@@ -36,25 +36,27 @@
     attempts: int
 
 
-async def play() -> Outcome:
-    """Start the gateway with this interpreter, send one request, and end all; BenchError if it cannot."""
-    tree = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+async def run() -> Outcome:
+    """Start the gateway with this interpreter, send one request, and end all; BenchmarkError if it cannot."""
+    tree = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
     load = LOADS["steady"]
-    world = World(load, SEED, peer_level=PLAN["burst"])
+    stubs = StubServers(load, SEED, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="quickstart-") as folder:
         try:
-            discovery = await world.start()
-            values = config(discovery, world.peer_address, free_port(socket.SOCK_STREAM), SEED, timed=False)
-            async with front_door(tree, values, Path(folder)) as process:
-                caller = await Caller.open(process.address)
-                answer = await caller.ask([encode(list(COMMAND))])[0]
-                caller.close()
-                costs = await process.costs()
-                return Outcome(text(process.address), load.servers, answer, costs["attempts"])
+            discovery = await stubs.start()
+            values = gateway_config(
+                discovery, stubs.peer_address, free_port(socket.SOCK_STREAM), SEED, timed=False
+            )
+            async with running_gateway_process(tree, values, Path(folder)) as process:
+                client = await GatewayClient.open(process.address)
+                answer = await client.send_commands([encode(list(COMMAND))])[0]
+                client.close()
+                report = await process.cost_report()
+                return Outcome(format_address(process.address), load.servers, answer, report["attempts"])
         except OSError as error:
-            raise BenchError(f"cannot start on {HOST}: {error}") from error
+            raise BenchmarkError(f"cannot start on {HOST}: {error}") from error
         finally:
-            await world.close()
+            await stubs.close()
 
 
 def describe(outcome: Outcome) -> str:
--- a/thistletrail/benchmarks/registry.py
+++ b/thistletrail/benchmarks/registry.py
@@ -13,9 +13,9 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import END_S, Process, start_program
-from thistletrail.benchmarks.standins import HOST, Address
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.process import DRAIN_TIMEOUT_S, Process, start_program
+from thistletrail.benchmarks.stub_servers import HOST, Address
 from thistletrail.registry.backoff import full_jitter_s
 from thistletrail.registry.follower import BACKOFF_S, MAX_BACKOFF_S
 from thistletrail.registry.registration import InstanceSettings, Registration
@@ -126,7 +126,7 @@
     try:
         yield process
     finally:
-        await process.end()
+        await process.drain()
         process.kill()
         await process.process.wait()
 
@@ -193,7 +193,7 @@
     """Restart the registry at its address; return how many watchers came back in each bucket of time."""
     port = process.address[1]
     process.process.terminate()
-    await asyncio.wait_for(process.process.wait(), END_S)
+    await asyncio.wait_for(process.process.wait(), DRAIN_TIMEOUT_S)
     counts_before = [len(watcher.connected_at_s) for watcher in watchers]
     restarted_s = time.monotonic()
     async with registry_process(folder, port):
@@ -202,7 +202,7 @@
             for watcher, count in zip(watchers, counts_before, strict=True)
         ):
             if time.monotonic() - restarted_s > WAIT_TIMEOUT_S:
-                raise BenchError("not all watchers came back")
+                raise BenchmarkError("not all watchers came back")
             await asyncio.sleep(RECONNECT_POLL_S)
         delays_s = [
             watcher.connected_at_s[count] - restarted_s
@@ -226,10 +226,10 @@
         async with contextlib.AsyncExitStack() as stack:
             process = await stack.enter_async_context(registry_process(folder, 0))
             registrations = await register_instances(stack, process.address, instances)
-            memory_before = process.resident()
+            memory_before = process.resident_bytes()
             readers = start_watchers(stack, process.address, watchers, seed)
             await wait_for_all(readers, registrations[-1].generation)
-            memory_per_watcher = (process.resident() - memory_before) / watchers
+            memory_per_watcher = (process.resident_bytes() - memory_before) / watchers
             received_before = sum(reader.received_bytes for reader in readers)
             write_to_last_ms = await measure_changes(registrations, readers, changes)
             received = sum(reader.received_bytes for reader in readers) - received_before
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -16,12 +16,18 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from thistletrail.benchmarks.callers import Callers
-from thistletrail.benchmarks.cost import PLAN, REST_S, config
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.cost import PLAN, SETTLE_TIME_S, gateway_config
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.load_generator import LoadGenerator
 from thistletrail.benchmarks.loads import Load
-from thistletrail.benchmarks.process import Process, Tree, free_port, front_door, start_program
-from thistletrail.benchmarks.standins import HOST, World, text
+from thistletrail.benchmarks.process import (
+    GatewaySourceTree,
+    Process,
+    free_port,
+    running_gateway_process,
+    start_program,
+)
+from thistletrail.benchmarks.stub_servers import HOST, StubServers, format_address
 from thistletrail.leasing.client import WorkStream
 from thistletrail.leasing.framing import now_ms
 from thistletrail.leasing.leadership import latest_term, term_folder
@@ -82,59 +88,61 @@
         await process.process.wait()
 
 
-async def play(tree: Tree, load: Load, seed: int, kept: bool) -> Figures:
+async def play(tree: GatewaySourceTree, load: Load, seed: int, kept: bool) -> Figures:
     """A load against one front door, with its writes kept or not."""
-    world = World(load, seed, peer_level=PLAN["burst"])
+    stubs = StubServers(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
         try:
-            discovery = await world.start()
-            values = config(discovery, world.peer_address, free_port(), seed, False)
+            discovery = await stubs.start()
+            values = gateway_config(discovery, stubs.peer_address, free_port(), seed, False)
             async with contextlib.AsyncExitStack() as stack:
                 keeper = await stack.enter_async_context(steward(folder, seed)) if kept else None
                 if keeper:
                     key = "work_leases" if tree.has_lease_keys else "takeover"
                     values[key] = {
-                        "addresses": text(keeper.address),
+                        "addresses": format_address(keeper.address),
                         "classes": ["submit-record"],
                         "secret_file": str(folder / "secret"),
                     }
-                door = await stack.enter_async_context(front_door(tree, values, folder))
-                return await measure(door, keeper, world, load, seed)
+                door = await stack.enter_async_context(running_gateway_process(tree, values, folder))
+                return await measure(door, keeper, stubs, load, seed)
         except OSError as error:
-            raise BenchError(f"cannot play '{load.name}': {error}") from error
+            raise BenchmarkError(f"cannot play '{load.name}': {error}") from error
         finally:
-            await world.close()
+            await stubs.close()
 
 
-async def measure(door: Process, keeper: Process | None, world: World, load: Load, seed: int) -> Figures:
-    callers = Callers(load, seed, door.address)
+async def measure(
+    door: Process, keeper: Process | None, stubs: StubServers, load: Load, seed: int
+) -> Figures:
+    load_generator = LoadGenerator(load, seed, door.address)
     try:
-        await asyncio.sleep(REST_S)
-        world.begin()
+        await asyncio.sleep(SETTLE_TIME_S)
+        stubs.start_replacing()
         used, other = door.processor_us(), keeper.processor_us() if keeper else 0.0
-        await callers.play()
+        await load_generator.run()
         used = door.processor_us() - used
         other = (keeper.processor_us() if keeper else 0.0) - other
         histogram = HdrHistogram(1, MOST_US, DIGITS)
-        for took in callers.took_us:
+        for took in load_generator.write_latencies_us:
             histogram.record_value(min(MOST_US, took))
-        count = sum(callers.ended.values())
+        count = sum(load_generator.outcomes.values())
         return Figures(
             keeper is not None,
             count,
-            callers.ended["served"],
+            load_generator.outcomes["served"],
             used / count,
             other / count,
-            door.resident(),
+            door.resident_bytes(),
             int(histogram.get_value_at_percentile(50)),
             int(histogram.get_value_at_percentile(99)),
         )
     finally:
-        callers.close()
+        load_generator.close()
 
 
-async def pairs(tree: Tree, load: Load, seed: int, count: int) -> list[tuple[Figures, Figures]]:
+async def pairs(tree: GatewaySourceTree, load: Load, seed: int, count: int) -> list[tuple[Figures, Figures]]:
     """Plays with it off and on, in turns."""
     return [
         (await play(tree, load, seed + n, False), await play(tree, load, seed + n, True))
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -11,8 +11,8 @@
 
 import click
 
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import ROOT, prepare, revision
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.process import ROOT, build_source_tree, check_out_revision
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, inject_crashes, table
 from thistletrail.fault_injection.errors import FaultInjectionError
@@ -35,7 +35,7 @@
 
 
 class FaultInjectionGroup(Group):
-    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, ModelError, BenchError)
+    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, ModelError, BenchmarkError)
 
 
 def say(text: str) -> None:
@@ -97,7 +97,7 @@
 @OUT
 def run_(plan: str, seed: int, twin: bool, tree: Path, out: Path | None) -> None:
     """Play PLAN (a name or a .toml file) with real processes. The exit code is 3 if a rule was broken."""
-    result = run(load(plan), seed, prepare(tree), say, twin)
+    result = run(load(plan), seed, build_source_tree(tree), say, twin)
     if out is not None:
         store_run(result, out)
     click.echo(format_table(figure_table([("value", [result.figures.as_json()])])))
@@ -115,8 +115,8 @@
     """Compare the gateways of REV with this tree's, in turns on the same plan and seeds; prints medians."""
     loaded_plan = load(plan)
     sides: dict[str, list[Run]] = {rev: [], "this tree": []}
-    with revision(rev) as theirs:
-        trees = {rev: theirs, "this tree": prepare(ROOT)}
+    with check_out_revision(rev) as theirs:
+        trees = {rev: theirs, "this tree": build_source_tree(ROOT)}
         for number in range(seeds):
             order = list(trees) if number % 2 else list(reversed(trees))
             for side in order:
@@ -169,11 +169,11 @@
     if unknown := [name for name in state_names if name not in STATES]:
         raise FaultInjectionError(f"unknown state '{unknown[0]}'; known are {', '.join(STATES)}")
     with contextlib.ExitStack() as stack:
-        ours = {"this tree": prepare(ROOT).root}
+        ours = {"this tree": build_source_tree(ROOT).root}
         seed_range = range(first, first + seeds)
         cases = list_cases(ours, shares, state_names, seed_range)
         if against is not None:
-            theirs = stack.enter_context(revision(against)).root
+            theirs = stack.enter_context(check_out_revision(against)).root
             cases += list_cases({against: theirs}, shares, ["none"], seed_range)
             cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
         results = measure(loaded_plan, cases, jobs, out, say)
@@ -206,7 +206,7 @@
         raise FaultInjectionError(
             f"{loaded_plan.name}: the model has no {', nor '.join(dict.fromkeys(missing))}"
         )
-    tree, real, simulated = prepare(ROOT), [], []
+    tree, real, simulated = build_source_tree(ROOT), [], []
     for seed in range(first, first + seeds):
         result = run(loaded_plan, seed, tree, say)
         print_violations(result)
@@ -256,7 +256,7 @@
     """Play random plans; one that breaks a rule is shrunk and stored as a .toml file."""
     from thistletrail.fault_injection.soak import soak as run_soak
 
-    result = run_soak(seed, minutes, prepare(ROOT), out, say, count)
+    result = run_soak(seed, minutes, build_source_tree(ROOT), out, say, count)
     click.echo(f"{result.played} plans played, {len(result.stored)} kept")
     for path in result.stored:
         click.echo(str(path))
@@ -277,7 +277,7 @@
     loaded_plan = load(plan)
     if not loaded_plan.steward:
         raise FaultInjectionError(f"{loaded_plan.name}: no steward divides anything in it")
-    tree, has_violations = prepare(ROOT), False
+    tree, has_violations = build_source_tree(ROOT), False
     click.echo("seed  most held  regained s  not regained  renewals  stewards  served  broken")
     for seed in range(first, first + seeds):
         result = run(loaded_plan, seed, tree, say, with_baseline=False)
@@ -312,7 +312,7 @@
     chosen_points = tuple(points.split(","))
     if unknown := set(chosen_points) - set(POINTS):
         raise FaultInjectionError(f"there is no point '{min(unknown)}' (one of: {', '.join(POINTS)})")
-    tree, crashes = prepare(ROOT), []
+    tree, crashes = build_source_tree(ROOT), []
     for seed in range(first, first + seeds):
         with TemporaryDirectory(prefix="deaths-") as folder:
             crashes += asyncio.run(
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from thistletrail.benchmarks.callers import BODY, PING, Caller
+from thistletrail.benchmarks.load_generator import BODY, PING, GatewayClient
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.program import Order, ProcessConfig, orders, start
 from thistletrail.fault_injection.realtime import RealClock, now_us, watch_lag
@@ -30,15 +30,15 @@
 REFUSED = "refused"  # the outcome of a refused request; the retry delay in ms may follow it
 
 
-class GatewayConnection(Caller):
+class GatewayConnection(GatewayClient):
     """One connection to a gateway. A refusal's outcome has the retry delay; unrequested data is recorded."""
 
     def __init__(self, program: Program) -> None:
         super().__init__()
         self.program = program
 
-    def word(self, mark: str, rest: bytes) -> str:
-        outcome = super().word(mark, rest)
+    def parse_outcome(self, reply_type: str, rest: bytes) -> str:
+        outcome = super().parse_outcome(reply_type, rest)
         retry_after_ms = rest.removeprefix(b"BUSY").strip()
         return (
             f"{REFUSED} {int(retry_after_ms)}" if outcome == REFUSED and retry_after_ms.isdigit() else outcome
@@ -46,7 +46,7 @@
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
-        if self.buffer and not self.asked:
+        if self.buffer and not self.pending_answers:
             self.program.writer.note("extra", data=repr(bytes(self.buffer[:80])))
             self.close()
 
@@ -66,7 +66,7 @@
     async def serve(self, request: ClientRequest) -> None:
         program = self.program
         try:
-            while self.idle_connections and not self.idle_connections[-1].usable():
+            while self.idle_connections and not self.idle_connections[-1].is_open():
                 self.idle_connections.pop()
             if self.idle_connections:
                 connection = self.idle_connections.pop()
@@ -82,7 +82,7 @@
             self.idle_connections.append(connection)
             return
         self.busy_connections[request.id] = connection
-        outcome = await connection.ask([program.command(request, self.number)])[0]
+        outcome = await connection.send_commands([program.command(request, self.number)])[0]
         self.busy_connections.pop(request.id, None)
         how, _, retry_after_ms = outcome.partition(" ")
         if how == "closed":
@@ -90,7 +90,7 @@
                 self.start_probing()
                 program.clients.gateway_died(request)
             return
-        if connection.usable():
+        if connection.is_open():
             self.idle_connections.append(connection)
         if not request.is_over:
             program.clients.answered(request, how, int(retry_after_ms or 0) * 1000, None, self)
@@ -133,7 +133,7 @@
                         _, connection = await program.loop.create_connection(
                             lambda: GatewayConnection(program), *self.address
                         )
-                        outcome = await connection.ask([PING])[0]
+                        outcome = await connection.send_commands([PING])[0]
                         connection.close()
                     if outcome == "pong":
                         program.writer.note("pong", door=self.number)
--- a/thistletrail/fault_injection/deaths.py
+++ b/thistletrail/fault_injection/deaths.py
@@ -19,10 +19,10 @@
 
 from aiohttp import ClientSession
 
-from thistletrail.benchmarks.callers import Caller
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import Process, Tree, free_port, start_door
-from thistletrail.benchmarks.standins import HOST, Address, text
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.load_generator import GatewayClient
+from thistletrail.benchmarks.process import GatewaySourceTree, Process, free_port, start_gateway_process
+from thistletrail.benchmarks.stub_servers import HOST, Address, format_address
 from thistletrail.benchmarks.work import start_steward
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
@@ -200,7 +200,9 @@
 class CrashFleet:
     """A fleet of gateways with a lease service, and the crashes injected into it."""
 
-    def __init__(self, tree: Tree, folder: Path, seed: int, gateway_count: int, takeover: bool) -> None:
+    def __init__(
+        self, tree: GatewaySourceTree, folder: Path, seed: int, gateway_count: int, takeover: bool
+    ) -> None:
         self.tree, self.folder, self.random, self.takeover = tree, folder, random.Random(seed), takeover
         self.pending_crashes: dict[str, InjectedCrash] = {}  # by key
         self.execution_zones: dict[str, list[int]] = defaultdict(list)
@@ -264,7 +266,7 @@
         instances = [
             {
                 "instanceId": f"s-{n}",
-                "hostPort": text(address),
+                "hostPort": format_address(address),
                 "zone": f"zone-{n % ZONES}",
                 "machineType": "m1",
                 "cell": n,
@@ -275,7 +277,7 @@
             for n, address in enumerate(scans)
         ]
         work_lease_settings = {
-            "addresses": text(relay),
+            "addresses": format_address(relay),
             "secret_file": str(secret),
             "classes": list(CLASSES.values()),
         }
@@ -300,7 +302,7 @@
                 "window-us": IDEMPOTENCY_WINDOW_MS * 1000,
             },
         ]
-        listen, unused_address = text((HOST, free_port())), text((HOST, free_port()))
+        listen, unused_address = format_address((HOST, free_port())), format_address((HOST, free_port()))
         return {
             "name": f"door-{number}",
             "listen": listen,
@@ -335,15 +337,15 @@
         folder = self.folder / f"door-{number}"
         folder.mkdir(exist_ok=True)
         lines_before = self.count_in_log(number)
-        process = self.gateways[number] = await start_door(self.tree, self.configs[number], folder)
-        await process.ready()
+        process = self.gateways[number] = await start_gateway_process(self.tree, self.configs[number], folder)
+        await process.wait_until_ready()
         while (
             self.takeover
             and number not in self.cut_off_gateways
             and self.count_in_log(number) == lines_before
         ):
             if process.process.returncode is not None:
-                raise BenchError(f"gateway {number} has exited: {process.last_line()}")
+                raise BenchmarkError(f"gateway {number} has exited: {process.last_line()}")
             await asyncio.sleep(LOG_POLL_INTERVAL_S)
 
     def count_in_log(self, number: int, log_text: str = RECORDED_TEXT) -> int:
@@ -354,7 +356,7 @@
     async def work_counts(self) -> dict[str, int]:
         """The lease service's counts of work items so far."""
         secret = (self.folder / "secret").read_bytes()
-        url = f"http://{text(self.lease_service.address)}/status"
+        url = f"http://{format_address(self.lease_service.address)}/status"
         async with (
             ClientSession() as session,
             session.get(url, headers={SIGNATURE_HEADER: sign(secret, b"/status")}) as answer,
@@ -402,15 +404,15 @@
 
     async def send(self, gateway: int, command: bytes, timeout_s: float) -> str:
         try:
-            caller = await Caller.open(self.gateways[gateway].address)
+            client = await GatewayClient.open(self.gateways[gateway].address)
         except OSError:
             return "unreached"
         try:
-            return await asyncio.wait_for(caller.ask([command])[0], timeout_s)
+            return await asyncio.wait_for(client.send_commands([command])[0], timeout_s)
         except TimeoutError:
             return "unanswered"
         finally:
-            caller.close()
+            client.close()
 
     async def inject_crash(self, point: str, effect: str, gateway: int) -> InjectedCrash:
         """Send a work item, crash its gateway at the point, retry for the outcome, restart the gateway."""
@@ -444,7 +446,7 @@
 
 
 async def inject_crashes(
-    tree: Tree,
+    tree: GatewaySourceTree,
     folder: Path,
     points: tuple[str, ...],
     effects: tuple[str, ...],
@@ -476,9 +478,9 @@
             if takeover:
                 counts = await fleet.work_counts()
                 say(", ".join(f"{name} {counts[name]}" for name in ("kept", "handed", "served", "parked")))
-    except (BenchError, ExceptionGroup) as error:
+    except (BenchmarkError, ExceptionGroup) as error:
         inner = error.exceptions[0] if isinstance(error, ExceptionGroup) else error
-        if isinstance(inner, BenchError):
+        if isinstance(inner, BenchmarkError):
             raise FaultInjectionError(str(inner)) from error
         raise
     return crashes
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -18,9 +18,16 @@
 import msgspec
 import tomli_w
 
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
-from thistletrail.benchmarks.standins import text
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.process import (
+    GatewaySourceTree,
+    Process,
+    free_port,
+    start_gateway_process,
+    start_program,
+    start_without_waiting,
+)
+from thistletrail.benchmarks.stub_servers import format_address
 from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.history import Writer
@@ -125,7 +132,9 @@
 class Fleet:
     """All members of the fleet, the relays between them, and the state of each link."""
 
-    def __init__(self, plan: Plan, seed: int, tree: Tree, folder: Path, more: dict[str, Any]) -> None:
+    def __init__(
+        self, plan: Plan, seed: int, tree: GatewaySourceTree, folder: Path, more: dict[str, Any]
+    ) -> None:
         """`more` is added to the configuration of each gateway."""
         self.plan, self.seed, self.tree, self.folder, self.more = plan, seed, tree, folder, more
         self.loop = asyncio.get_running_loop()
@@ -229,7 +238,7 @@
         relay = self.relay("doors-servers", door, server, (host, int(port)), Requests)
         if not self.members[server].running:
             relay.refuse()
-        return text(relay.address)
+        return format_address(relay.address)
 
     def set_reachable(self, member: Member, is_reachable: bool) -> None:
         """Accept connections to a member, or refuse them while it is down."""
@@ -242,8 +251,8 @@
     def listen_argument(self, member: Member) -> str:
         """Return the address at which a service listens: any free port at first, then the same one again."""
         if member.process:
-            return text(member.process.address)
-        return text((f"{self.prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
+            return format_address(member.process.address)
+        return format_address((f"{self.prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
 
     async def start_list(self, member: Member) -> Process:
         arguments = (
@@ -265,7 +274,7 @@
             "-m",
             "thistletrail.registry",
             "--follow",
-            text(relay.address),
+            format_address(relay.address),
             "--listen",
             self.listen_argument(member),
         )
@@ -327,11 +336,11 @@
         if member.process is None:
             host = self.listen_argument(member).rpartition(":")[0]
             member.listen_address = host, free_port(host=host)
-        arguments = (*arguments, text(member.listen_address), "--standby")
+        arguments = (*arguments, format_address(member.listen_address), "--standby")
         if member.process is None and member.number == 0:
             process, _ = await start_program(arguments, member.folder / "log")
         else:
-            process = await start_quiet(arguments, member.folder / "log", member.listen_address)
+            process = await start_without_waiting(arguments, member.folder / "log", member.listen_address)
         return process
 
     def lease_service_settings(self, door: str) -> dict[str, Any]:
@@ -343,7 +352,9 @@
             return {}
         lease_services = self.members_of("steward")
         relays = [
-            text(self.relay("doors-steward", door, service.name, service.process.address, Renewals).address)
+            format_address(
+                self.relay("doors-steward", door, service.name, service.process.address, Renewals).address
+            )
             for service in lease_services
         ]
         first = self.members[door].number % len(relays)
@@ -385,12 +396,12 @@
     async def start_scan(self, member: Member) -> Process:
         relay = self.relay("servers-list", member.name, "list-0", self.members["list-0"].process.address)
         return await self.start_helper_program(
-            member, "thistletrail.fault_injection.scan", service=text(relay.address)
+            member, "thistletrail.fault_injection.scan", service=format_address(relay.address)
         )
 
     async def start_clients(self, member: Member) -> Process:
         doors = tuple(
-            text(self.relay("clients-doors", member.name, door.name, door.process.address).address)
+            format_address(self.relay("clients-doors", member.name, door.name, door.process.address).address)
             for door in self.members_of("doors")
         )
         return await self.start_helper_program(member, "thistletrail.fault_injection.clients", doors=doors)
@@ -400,7 +411,7 @@
         sources = [("list-0", "doors-list")]
         if self.plan.follower:  # every other gateway asks the follower first
             sources.insert(1 - number % 2, ("follower-0", "doors-follower"))
-        if not self.tree.many_lists:
+        if not self.tree.accepts_address_list:
             del sources[1:]
         relays = [
             self.relay(link, member.name, source, self.members[source].process.address)
@@ -408,22 +419,22 @@
         ]
         config = {
             "name": member.name,
-            "listen": text(self.listen_addresses[number]),
-            "discovery": ",".join(text(relay.address) for relay in relays),
+            "listen": format_address(self.listen_addresses[number]),
+            "discovery": ",".join(format_address(relay.address) for relay in relays),
             "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
-            "peer_listen": text(self.peer_listen_addresses[number]),
+            "peer_listen": format_address(self.peer_listen_addresses[number]),
             "known": {},
-            "peers": [text(address) for address in self.peers.addresses_for(number)],
+            "peers": [format_address(address) for address in self.peers.addresses_for(number)],
             "settings": self.world.settings(number),
             "clock_offset_ms": round(member.clock_s * 1000),
             **({"state_dir": str(member.state)} if self.plan.state else {}),
             **self.lease_service_settings(member.name),
             **self.more,
         }
-        process = await start_door(self.tree, config, member.folder)
+        process = await start_gateway_process(self.tree, config, member.folder)
         try:
-            await process.ready()
+            await process.wait_until_ready()
         except BaseException:
             process.kill()
             await process.process.wait()
@@ -434,7 +445,7 @@
         """Start or restart a member, and wait until it serves."""
         try:
             process = await member.start_process(member)
-        except BenchError as error:
+        except BenchmarkError as error:
             raise FaultInjectionError(f"{member.name}: {error}") from error
         member.process, member.is_end_expected = process, False
         self.writer.note("started", who=member.name, cold=member.cold)
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from thistletrail.benchmarks.process import Tree
+from thistletrail.benchmarks.process import GatewaySourceTree
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.fleet import Fleet, Member
 from thistletrail.fault_injection.history import (
@@ -240,7 +240,7 @@
 
 
 async def play(
-    plan: Plan, seed: int, tree: Tree, folder: Path, say: Say, more: dict[str, Any] | None = None
+    plan: Plan, seed: int, tree: GatewaySourceTree, folder: Path, say: Say, more: dict[str, Any] | None = None
 ) -> list[Record]:
     """Run a plan once, with its files in `folder`, and return its history.
 
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -11,7 +11,7 @@
 import msgspec
 import uvloop
 
-from thistletrail.benchmarks.process import Tree
+from thistletrail.benchmarks.process import GatewaySourceTree
 from thistletrail.fault_injection.checks import RunHistory, Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import Figures, compute_figures
@@ -34,7 +34,9 @@
     violations: list[Violation]
 
 
-def play_once(plan: Plan, seed: int, tree: Tree, say: Say, more: dict[str, Any] | None = None) -> RunHistory:
+def play_once(
+    plan: Plan, seed: int, tree: GatewaySourceTree, say: Say, more: dict[str, Any] | None = None
+) -> RunHistory:
     """Play a plan in a temporary folder. On Ctrl-C all processes end before KeyboardInterrupt is raised."""
     with (
         tempfile.TemporaryDirectory(prefix="fault_injection-") as folder,
@@ -49,7 +51,7 @@
 def run(
     plan: Plan,
     seed: int,
-    tree: Tree,
+    tree: GatewaySourceTree,
     say: Say,
     with_baseline: bool = True,
     more: dict[str, Any] | None = None,
--- a/thistletrail/fault_injection/scan.py
+++ b/thistletrail/fault_injection/scan.py
@@ -14,7 +14,7 @@
 import time
 from pathlib import Path
 
-from thistletrail.benchmarks.standins import VALUE
+from thistletrail.benchmarks.stub_servers import VALUE
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.plan import Plan
 from thistletrail.fault_injection.program import Order, ProcessConfig, orders, start
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from thistletrail.benchmarks.process import Tree
+from thistletrail.benchmarks.process import GatewaySourceTree
 from thistletrail.fault_injection.checks import Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import Fault, Plan, dump, verify
@@ -154,7 +154,9 @@
             return plan
 
 
-def soak(seed: int, minutes: float, tree: Tree, out: Path, say: Say, count: int | None = None) -> SoakResult:
+def soak(
+    seed: int, minutes: float, tree: GatewaySourceTree, out: Path, say: Say, count: int | None = None
+) -> SoakResult:
     """Play `count` random plans, or as many as start within `minutes` if it is None.
 
     Each plan that breaks a rule is shrunk and stored in `out`.
