--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 from pathlib import Path
 
+from thistletrail.benchmarks.process import working_tree
 from thistletrail.leasing.leadership import latest_term, term_folder
 from thistletrail.policy.actions import Action, SendPeerMessage, SetTimer, StartAttempt
 from thistletrail.policy.engine import PolicyEngine
@@ -44,6 +45,7 @@
     overload_window_us=S,
     answer_grace_us=8 * MS,
 )
+WORKING_TREE = working_tree()
 
 
 def servers(count: int, **changes: object) -> tuple[Server, ...]:
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -1,12 +1,10 @@
 """Leased budgets: a gateway's demand, its use of grants, and gateways with a running lease service."""
 
-import sys
 from dataclasses import replace
 
 import pytest
 
-from tests.helpers import SETTINGS, S, World, of
-from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
+from tests.helpers import SETTINGS, WORKING_TREE, S, World, of
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
@@ -302,8 +300,7 @@
 
 @pytest.fixture(scope="module")
 def lease_run() -> RunHistory:
-    tree = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
-    return play_once(load("leases"), 1, tree, lambda text: None)
+    return play_once(load("leases"), 1, WORKING_TREE, lambda text: None)
 
 
 def test_gateways_serve_by_leases_while_gateways_and_the_lease_service_are_killed(
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from tests.helpers import WORKING_TREE
 from tests.sockets import run
 from thistletrail.benchmarks import cost
 from thistletrail.benchmarks.__main__ import main
@@ -28,7 +29,6 @@
 from thistletrail.policy.events import QuotaMessage
 from thistletrail.policy.peer_codec import pack_datagrams, unpack_datagram
 
-HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 SMALL = replace(LOADS["steady"], requests=60, rate=300, servers=3, work_ms=2.0)
 PROC = Path("/proc/self/task")
 
@@ -109,7 +109,7 @@
 def test_front_door_that_does_not_start_is_one_plain_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    broken = replace(HERE, start_command="echo it is broken >&2; exit 3")
+    broken = replace(WORKING_TREE, start_command="echo it is broken >&2; exit 3")
     monkeypatch.setattr("thistletrail.benchmarks.__main__.build_source_tree", lambda root: broken)
     assert "did not start: it is broken" in told(["cost", "--load", "steady"], monkeypatch, capsys)
 
@@ -117,7 +117,7 @@
 def test_play_counts_what_it_asked() -> None:
     async def job() -> None:
         load = replace(SMALL, pipelined=2, idle=3, replace_every_s=0.05)
-        found = await cost.run_load(HERE, load, seed=5, timed=True)
+        found = await cost.run_load(WORKING_TREE, load, seed=5, timed=True)
         assert (found.requests, found.served + found.refused + found.other) == (60, 60)
         assert found.served > 0 and found.other == 0
         assert found.processor_us > 0 and found.resident_end > 1 << 20 and found.resident_idle is not None
@@ -147,7 +147,7 @@
             await asyncio.Event().wait()
 
         monkeypatch.setattr(cost, "measure", stay)
-        task = asyncio.create_task(cost.run_load(HERE, SMALL, seed=5))
+        task = asyncio.create_task(cost.run_load(WORKING_TREE, SMALL, seed=5))
         pid = await started
         assert not gone(pid)
         task.cancel()
@@ -161,7 +161,7 @@
 def test_front_door_that_dies_ends_the_play(tmp_path: Path) -> None:
     async def job() -> None:
         values = cost.gateway_config((HOST, 1), (HOST, 2), cost.free_port(), 1, False)
-        async with running_gateway_process(HERE, values, tmp_path) as process:
+        async with running_gateway_process(WORKING_TREE, values, tmp_path) as process:
             process.kill()
             await process.process.wait()
             with pytest.raises(BenchmarkError, match="has ended"):
@@ -177,8 +177,8 @@
 def test_all_is_gone_after_a_signal(number: int) -> None:
     code = (
         "import sys, thistletrail.benchmarks.__main__ as m\n"
-        "from thistletrail.benchmarks.process import ROOT, GatewaySourceTree\n"
-        f"m.build_source_tree = lambda root: GatewaySourceTree(ROOT, {HERE.start_command!r}, True)\n"
+        "from thistletrail.benchmarks.process import working_tree\n"
+        "m.build_source_tree = lambda root: working_tree()\n"
         "sys.argv[1:] = ['cost', '--load', 'steady', '--requests', '100000']; sys.exit(m.main())"
     )
     bench = subprocess.Popen(
--- a/tests/test_benchmarks_work.py
+++ b/tests/test_benchmarks_work.py
@@ -8,11 +8,10 @@
 
 import pytest
 
+from tests.helpers import WORKING_TREE
 from thistletrail.benchmarks import cost, leases, load_generator, work
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
-
-HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
+from thistletrail.benchmarks.process import ROOT
 
 
 @pytest.fixture
@@ -31,7 +30,7 @@
 def test_each_request_is_served_with_it_off_and_on_and_a_piece_takes_few_bytes_of_log() -> None:
     # With a scan server for each three requests, none is held, even if all come at once.
     load = replace(cost.with_request_count(LOADS["steady"], 60), servers=20)
-    found = asyncio.run(work.pairs(HERE, load, 1, 1))
+    found = asyncio.run(work.pairs(WORKING_TREE, load, 1, 1))
     ((off, on),) = found
     assert (off.kept, on.kept) == (False, True) and off.served == on.served == 60
     assert not off.steward_us and on.p50_us > 0
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -1,11 +1,9 @@
 """Budget leases in a history: sums of held shares, planted violations, and runs with real lease services."""
 
-import sys
-
 import msgspec
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
+from tests.helpers import WORKING_TREE
 from thistletrail.fault_injection.checks import CHECKS, RunHistory, check
 from thistletrail.fault_injection.history import Record, merge
 from thistletrail.fault_injection.leases import (
@@ -19,7 +17,6 @@
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
 
-HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 S = 1_000_000
 PLAN = Plan(
     name="p",
@@ -151,7 +148,7 @@
     fleet = msgspec.structs.replace(
         plan.fleet, doors=4, servers=msgspec.structs.replace(plan.fleet.servers, count=4)
     )
-    return play_once(msgspec.structs.replace(plan, fleet=fleet), 1, HERE, lambda text: None)
+    return play_once(msgspec.structs.replace(plan, fleet=fleet), 1, WORKING_TREE, lambda text: None)
 
 
 def test_real_doors_are_never_granted_more_than_the_whole_by_three_stewards(stewards: RunHistory) -> None:
@@ -174,7 +171,7 @@
     """Doors killed and paused, every word between doors lost, the steward killed: and no unit is allowed."""
     plan = load("quotas")
     assert plan.limits.quota_share == plan.limits.quota_units == 0
-    seen = play_once(plan, 1, HERE, lambda text: None)
+    seen = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(seen) == []
     served = {record["id"] for record in seen.by["end"] if record["how"] == "served"}
     costly = {plan.name for plan in plan.fleet.plans if plan.over_cost > plan.over_worth}
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -1,22 +1,20 @@
 """Gateways with a registry that is emptied, replaced by another one, or cut off from a zone."""
 
-import sys
 from itertools import pairwise
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
+from tests.helpers import WORKING_TREE
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
-HERE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 S = 1_000_000
 
 
 @pytest.fixture(scope="module")
 def lists() -> RunHistory:
-    return play_once(load("lists"), 1, HERE, lambda text: None)
+    return play_once(load("lists"), 1, WORKING_TREE, lambda text: None)
 
 
 def at(seen: RunHistory, kind: str, **values: object) -> list[int]:
--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -10,14 +10,13 @@
 
 import pytest
 
+from tests.helpers import WORKING_TREE
 from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.report import write_report
 from thistletrail.fault_injection.runs import Run, load_run, play_once, run, store_run
 
-GATEWAY_COMMAND = f"exec {sys.executable} -m thistletrail.gateway"
-WORKING_TREE = GatewaySourceTree(ROOT, GATEWAY_COMMAND, logs_costs=True)
 EXIT_TIMEOUT_S = 20.0  # for processes to end; exceeded only on a fault
 MARK_VARIABLE = "FAULT_INJECTION_TEST_MARK"
 
@@ -82,10 +81,10 @@
     mark = f"{os.getpid()}-{signal_number}"
     code = (
         "from thistletrail.command_line import end_on_signals\nend_on_signals()\n"
-        "from thistletrail.benchmarks.process import ROOT, GatewaySourceTree\n"
+        "from thistletrail.benchmarks.process import working_tree\n"
         "from thistletrail.fault_injection.plan import load\n"
         "from thistletrail.fault_injection.runs import play_once\n"
-        f"play_once(load('short'), 1, GatewaySourceTree(ROOT, {GATEWAY_COMMAND!r}, True), lambda text: None)"
+        "play_once(load('short'), 1, working_tree(), lambda text: None)"
     )
     process = subprocess.Popen(
         [sys.executable, "-c", code],
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -1,7 +1,6 @@
 """Recovery of real processes: which stored state restarted gateways restore, reject or continue without."""
 
 import asyncio
-import sys
 import zlib
 from dataclasses import replace
 from pathlib import Path
@@ -9,10 +8,10 @@
 import msgspec
 import pytest
 
+from tests.helpers import WORKING_TREE
 from thistletrail.benchmarks.cost import gateway_config
 from thistletrail.benchmarks.process import (
     ROOT,
-    GatewaySourceTree,
     free_port,
     running_gateway_process,
     start_gateway_process,
@@ -26,8 +25,6 @@
 from thistletrail.gateway.snapshot_file import decode_snapshot
 from thistletrail.simulation.clock import Clock
 
-WORKING_TREE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
-
 
 def play_without_violations(name: str) -> RunHistory:
     """Play a plan, assert that no rule is broken, and return its history."""
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -3,13 +3,12 @@
 import asyncio
 import resource
 import signal
-import sys
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
+from tests.helpers import WORKING_TREE
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.deaths import (
     EFFECTS,
@@ -23,8 +22,6 @@
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
-WORKING_TREE = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
-
 FLEET_COUNT = 3
 GATEWAYS_PER_FLEET = 3  # `inject_crashes` kills only the first of three gateways, repeatedly
 
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -46,6 +46,11 @@
     )
 
 
+def working_tree() -> GatewaySourceTree:
+    """Return the present sources, unbuilt, with gateways that are started by this Python interpreter."""
+    return GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
+
+
 def last_line(said: bytes) -> str:
     """What a program said last, of all that it printed."""
     return next(iter(reversed(said.decode(errors="replace").strip().splitlines())), "it said nothing")
--- a/thistletrail/benchmarks/quickstart.py
+++ b/thistletrail/benchmarks/quickstart.py
@@ -4,7 +4,6 @@
 """
 
 import socket
-import sys
 from dataclasses import dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -13,7 +12,7 @@
 from thistletrail.benchmarks.errors import BenchmarkError
 from thistletrail.benchmarks.load_generator import GatewayClient
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, GatewaySourceTree, free_port, running_gateway_process
+from thistletrail.benchmarks.process import free_port, running_gateway_process, working_tree
 from thistletrail.benchmarks.stub_servers import HOST, StubServers, format_address
 from thistletrail.gateway.resp import encode
 
@@ -38,7 +37,6 @@
 
 async def run() -> Outcome:
     """Start the gateway with this interpreter, send one request, and end all; BenchmarkError if it cannot."""
-    tree = GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
     load = LOADS["steady"]
     stubs = StubServers(load, SEED, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="quickstart-") as folder:
@@ -47,7 +45,7 @@
             values = gateway_config(
                 discovery, stubs.peer_address, free_port(socket.SOCK_STREAM), SEED, timed=False
             )
-            async with running_gateway_process(tree, values, Path(folder)) as process:
+            async with running_gateway_process(working_tree(), values, Path(folder)) as process:
                 client = await GatewayClient.open(process.address)
                 answer = await client.send_commands([encode(list(COMMAND))])[0]
                 client.close()
