--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -1,4 +1,4 @@
-"""Cost counters against counts of clients and backends, and stage times against a simulated clock."""
+"""Cost counters compared with counts at clients and backends, and stage times under a simulated clock."""
 
 import asyncio
 import json
@@ -24,8 +24,9 @@
 
 
 def read_figures(gateway_server: GatewayServer) -> dict[str, object]:
-    first_word, _, rest = gateway_server.cost_line().partition(" ")
-    assert first_word == "costs" and "\n" not in rest
+    """Return the figures of the line that the gateway would log."""
+    label, _, rest = gateway_server.cost_line().partition(" ")
+    assert label == "costs" and "\n" not in rest
     return json.loads(rest)
 
 
@@ -43,7 +44,7 @@
                 assert await client.ask(query(f"a{number}")) == b"ok"
             assert await client.ask(b"*1\r\n$4\r\nPING\r\n") == b"PONG"
             assert str(await client.ask(query("a!"))).startswith("-ERR")
-            assert await client.ask(query("b1")) == "-BUSY 750"  # an idempotent class without attempts left
+            assert await client.ask(query("b1")) == "-BUSY 750"  # an idempotent class, no attempt remaining
             leaving = await Client.open(address)
             leaving.send(query("z1"))
             await backend.received(1, b"z1")
@@ -97,7 +98,7 @@
     run(scenario())
 
 
-def test_figures_that_the_system_does_not_provide_are_left_out(
+def test_figures_that_the_system_does_not_provide_are_omitted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(costs, "DESCRIPTOR_FOLDER", tmp_path / "none")
@@ -116,7 +117,8 @@
     stages = StageTimer(True, clock=lambda: next(ticks))
     inner = stages.wrap("in", lambda text: text * 2)
     outer = stages.wrap("out", inner)
-    assert outer("a") == "aa"  # 0..10 rest, 10..13 out, 13..20 in, 20..27 out, then rest
+    # Stages by time in ns: 0..10 rest, 10..13 out, 13..20 in, 20..27 out, 27..30 rest.
+    assert outer("a") == "aa"
     assert stages.report() == {"in": 7e-9, "out": 10e-9, REST: 13e-9}
 
 
@@ -132,7 +134,7 @@
     assert stages.stage == REST and stages.report() == {"out": 5e-9, REST: 11e-9}
 
 
-def test_stages_that_are_off_change_nothing() -> None:
+def test_disabled_stage_timer_returns_functions_and_classes_unchanged() -> None:
     stages = StageTimer(False, clock=lambda: 1 // 0)
     assert stages.wrap("x", len) is len and stages.wrap_class("x", Backend, "serve") is Backend
     assert stages.report() == {}
@@ -145,9 +147,11 @@
             for number in range(50):
                 assert await client.ask(query(f"a{number}")) == b"ok"
             gateway_server.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # an unknown address
-            spent = read_figures(gateway_server)["stages_s"]
-            assert {"actions", "backends", "clients", "decisions", "discovery", "peers", "rest"} == set(spent)
-            assert all(seconds > 0 for seconds in spent.values())
+            stages = read_figures(gateway_server)["stages_s"]
+            assert {"actions", "backends", "clients", "decisions", "discovery", "peers", "rest"} == set(
+                stages
+            )
+            assert all(seconds > 0 for seconds in stages.values())
             assert read_figures(gateway_server)["datagrams_dropped"] == 1
 
     run(scenario())
--- a/tests/test_quickstart.py
+++ b/tests/test_quickstart.py
@@ -1,4 +1,4 @@
-"""The first command of the README: one gateway before stubs answers a request."""
+"""The first command of the README: a gateway with stub scan servers answers one request."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 
 def test_the_quickstart_serves_one_request_and_ends() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "thistletrail.benchmarks", "quickstart"],
         cwd=ROOT,
         capture_output=True,
@@ -15,8 +15,8 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
-    first, request, answer = done.stdout.splitlines()
+    assert completed.returncode == 0, completed.stderr
+    first, request, answer = completed.stdout.splitlines()
     assert first.startswith("a gateway serves at 127.0.0.1:")
     assert request.startswith("request: SVC.QUERY ")
     assert answer == "answer: served, after 1 attempt(s)"
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -12,7 +12,7 @@
 from thistletrail.benchmarks import cost, quickstart
 from thistletrail.benchmarks.errors import BenchmarkError
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, build_source_tree, check_out_revision, check_port
+from thistletrail.benchmarks.process import ROOT, build_revision, build_source_tree, check_port
 
 MOST_PAIRS = 100
 
@@ -106,7 +106,7 @@
     if args.json:
         check_writable(args.json)
     with contextlib.ExitStack() as stack:
-        theirs = stack.enter_context(check_out_revision(args.against)) if args.against else None
+        theirs = stack.enter_context(build_revision(args.against)) if args.against else None
         ours = build_source_tree(ROOT)
         if theirs is None:
             plays = await cost.measure_costs(ours, loads, args.seed, args.port)
--- a/thistletrail/benchmarks/cost.py
+++ b/thistletrail/benchmarks/cost.py
@@ -1,4 +1,4 @@
-"""What a request costs a front door: plays of a load, their figures, and pairs of plays of two revisions."""
+"""Measures what a request costs a gateway, and compares two revisions in pairs of runs of the same load."""
 
 import asyncio
 import contextlib
@@ -16,10 +16,14 @@
 from thistletrail.benchmarks.process import GatewaySourceTree, Process, free_port, running_gateway_process
 from thistletrail.benchmarks.stub_servers import HOST, Address, StubServers, format_address
 
-PLAN = {"name": "standard", "units-per-s": 100.0, "burst": 200.0}  # nobody is refused for a quota
-SAMPLE_INTERVAL_S = 0.02  # between looks at open descriptors
-SETTLE_TIME_S = 0.2  # after the start, before anything is measured
-MAX_REQUESTS = 200_000
+PLAN = {
+    "name": "standard",
+    "units-per-s": 100.0,
+    "burst": 200.0,
+}  # large enough that no request is refused for its quota
+SAMPLE_INTERVAL_S = 0.02  # between samples of the open file descriptors
+SETTLE_TIME_S = 0.2  # from the start of a gateway to its first measurement
+MAX_REQUESTS = 200_000  # in one run of a load
 SETTINGS = {
     "me": 0,
     "balancers": 2,
@@ -63,28 +67,39 @@
 }
 
 
+# Names of the compared figures in printed tables.
+FIGURE_LABELS = {
+    "processor_us": "CPU us/request",
+    "resident_end": "RSS bytes at end",
+    "resident_idle": "RSS bytes/idle connection",
+    "descriptors": "fds/open request",
+    "handshakes": "handshakes/request",
+    "datagrams": "datagrams/request",
+}
+
+
 @dataclass(frozen=True, slots=True)
 class LoadRun:
-    """The figures of one play; those that were not taken are None."""
+    """The figures of one run of a load. A figure that was not measured is None."""
 
     load: str
     requests: int
     served: int
     refused: int
-    other: int  # failed, closed, not answered
-    processor_us: float  # a request
-    resident_start: int
-    resident_end: int
-    resident_idle: float | None  # a idle_descriptors connection
-    descriptors: float  # for each request open, when the most were
-    handshakes: float  # with scan servers, a request
-    datagrams: float  # to the peer, a request
-    stages_us: dict[str, float] | None = None  # a request, while stages were timed
+    other: int  # failed, connection refused or closed, or no answer within `ANSWER_TIMEOUT_S`
+    processor_us: float  # microseconds of processor time per request
+    resident_start: int  # bytes of resident memory
+    resident_end: int  # bytes
+    resident_idle: float | None  # bytes per idle connection
+    descriptors: float  # per open request, at the largest number of open requests
+    handshakes: float  # connections opened to scan servers, per request
+    datagrams: float  # datagrams sent to the peer, per request
+    stages_us: dict[str, float] | None = None  # by stage, per request, in a run with `time_stages`
 
     @property
     def figures(self) -> dict[str, float]:
-        """Those that two revisions are compared by."""
-        found = {
+        """The figures by which two revisions are compared; those that were not measured are left out."""
+        figures = {
             "processor_us": self.processor_us,
             "resident_end": self.resident_end,
             "resident_idle": self.resident_idle,
@@ -92,10 +107,11 @@
             "handshakes": self.handshakes,
             "datagrams": self.datagrams,
         }
-        return {name: value for name, value in found.items() if value is not None}
+        return {name: value for name, value in figures.items() if value is not None}
 
 
 def gateway_config(discovery: Address, peer: Address, port: int, seed: int, timed: bool) -> dict[str, Any]:
+    """Return the configuration of a gateway on loopback; `timed` turns on `time_stages`."""
     own = format_address((HOST, free_port(socket.SOCK_DGRAM)))
     return {
         "name": "bench",
@@ -112,24 +128,25 @@
 
 
 class DescriptorSampler:
-    """Looks at the descriptors while a load is played."""
+    """Records the open file descriptors of a process at the largest number of open requests."""
 
     def __init__(self, process: Process, load_generator: LoadGenerator) -> None:
         self.process, self.load_generator = process, load_generator
         self.max_open_requests, self.max_descriptors = 0, 0
 
     async def sample(self) -> None:
+        """Take samples until the task is cancelled."""
         while True:
-            opened = self.load_generator.open_requests
-            if opened > self.max_open_requests:
-                self.max_open_requests, self.max_descriptors = opened, self.process.descriptor_count()
+            open_requests = self.load_generator.open_requests
+            if open_requests > self.max_open_requests:
+                self.max_open_requests, self.max_descriptors = open_requests, self.process.descriptor_count()
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
 async def run_load(
     tree: GatewaySourceTree, load: Load, seed: int, port: int = 0, timed: bool = False
 ) -> LoadRun:
-    """Play a load against a front door that is started for it alone."""
+    """Run a load against a gateway that is started for it alone; port 0 stands for any free port."""
     stubs = StubServers(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as folder:
         try:
@@ -138,7 +155,7 @@
             async with running_gateway_process(tree, values, Path(folder)) as process:
                 return await measure(tree, process, stubs, load, seed, timed)
         except OSError as error:
-            raise BenchmarkError(f"cannot play '{load.name}': {error}") from error
+            raise BenchmarkError(f"cannot run the load '{load.name}': {error}") from error
         finally:
             await stubs.close()
 
@@ -146,14 +163,15 @@
 async def measure(
     tree: GatewaySourceTree, process: Process, stubs: StubServers, load: Load, seed: int, timed: bool
 ) -> LoadRun:
+    """Run a load against a gateway that serves, and return the figures of the run."""
     load_generator = LoadGenerator(load, seed, process.address)
     try:
         await asyncio.sleep(SETTLE_TIME_S)
-        start = process.resident_bytes()
+        resident_start = process.resident_bytes()
         await load_generator.open_idle_connections()
-        idle = (process.resident_bytes() - start) / load.idle if load.idle else None
+        resident_idle = (process.resident_bytes() - resident_start) / load.idle if load.idle else None
         before = await process.cost_report() if timed and tree.logs_costs else None
-        idle_descriptors, used = process.descriptor_count(), process.processor_us()
+        idle_descriptors, used_us = process.descriptor_count(), process.processor_us()
         connections, datagrams = stubs.total("connections"), stubs.peer.datagrams
         stubs.start_replacing()
         sampler = DescriptorSampler(process, load_generator)
@@ -164,13 +182,13 @@
             sampling.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await sampling
-        used = process.processor_us() - used
+        used_us = process.processor_us() - used_us
         count = sum(load_generator.outcomes.values())
         stages = None
         if before and (after := await process.cost_report()).get("stages_s"):
             stages = {
-                name: 1e6 * (spent - before["stages_s"].get(name, 0.0)) / count
-                for name, spent in after["stages_s"].items()
+                name: 1e6 * (spent_s - before["stages_s"].get(name, 0.0)) / count
+                for name, spent_s in after["stages_s"].items()
             }
         served, refused = load_generator.outcomes["served"], load_generator.outcomes["refused"]
         return LoadRun(
@@ -179,10 +197,10 @@
             served,
             refused,
             count - served - refused,
-            used / count,
-            start,
+            used_us / count,
+            resident_start,
             process.resident_bytes(),
-            idle,
+            resident_idle,
             (sampler.max_descriptors - idle_descriptors) / max(1, sampler.max_open_requests),
             (stubs.total("connections") - connections) / count,
             (stubs.peer.datagrams - datagrams) / count,
@@ -195,13 +213,13 @@
 async def measure_costs(
     tree: GatewaySourceTree, loads: Iterable[Load], seed: int, port: int
 ) -> list[LoadRun]:
-    """Each load once for the figures, and once more for the stages, as to time them costs time itself."""
-    found = []
+    """Run each load once for the figures, and again for the stages, as timing them uses processor time."""
+    runs = []
     for load in loads:
         plain = await run_load(tree, load, seed, port)
         timed = await run_load(tree, load, seed, port, timed=True) if tree.logs_costs else None
-        found.append(replace(plain, stages_us=timed.stages_us if timed else None))
-    return found
+        runs.append(replace(plain, stages_us=timed.stages_us if timed else None))
+    return runs
 
 
 async def run_pairs(
@@ -212,17 +230,18 @@
     port: int,
     count: int,
 ) -> list[tuple[LoadRun, LoadRun]]:
-    """Plays of both in turns, each pair under a seed of its own; who goes first alternates."""
-    found = []
+    """Run both source trees in turns. Each pair has a seed of its own, and the order alternates."""
+    pairs = []
     for load in loads:
         for number in range(count):
             order = (theirs, ours) if number % 2 else (ours, theirs)
-            plays = {tree.root: await run_load(tree, load, seed + number, port) for tree in order}
-            found.append((plays[ours.root], plays[theirs.root]))
-    return found
+            by_root = {tree.root: await run_load(tree, load, seed + number, port) for tree in order}
+            pairs.append((by_root[ours.root], by_root[theirs.root]))
+    return pairs
 
 
 def with_request_count(load: Load, requests: int | None) -> Load:
+    """Return the load with another number of requests; unchanged if that is None."""
     return replace(load, requests=requests) if requests else load
 
 
@@ -230,6 +249,7 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return an aligned text table, with the first column to the left and the others to the right."""
     lines = [head, *rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
     return "\n".join(
@@ -242,23 +262,25 @@
 
 
 def mib(size: float) -> str:
+    """Return a size in bytes as a number of MiB."""
     return f"{size / (1 << 20):.1f}"
 
 
-def cost_table(plays: Sequence[LoadRun]) -> str:
+def cost_table(runs: Sequence[LoadRun]) -> str:
+    """Return the figures of each load as a table, and a second table with the processor time by stage."""
     head = (
         "load",
         "requests",
         "served",
         "refused",
         "other",
-        "us/request",
-        "MiB start",
-        "MiB end",
-        "KiB/idle conn",
-        "fds/open",
-        "handshakes",
-        "datagrams",
+        "CPU us/request",
+        "RSS MiB at start",
+        "RSS MiB at end",
+        "KiB/idle connection",
+        "fds/open request",
+        "handshakes/request",
+        "datagrams/request",
     )
     rows = [
         (
@@ -275,26 +297,27 @@
             f"{load_run.handshakes:.3f}",
             f"{load_run.datagrams:.3f}",
         )
-        for load_run in plays
+        for load_run in runs
     ]
     text = table(head, rows)
-    timed = [load_run for load_run in plays if load_run.stages_us]
+    timed = [load_run for load_run in runs if load_run.stages_us]
     if not timed:
         return text
     names = sorted({name for load_run in timed for name in load_run.stages_us})
     stages = [
         (load_run.load, *(f"{load_run.stages_us.get(name, 0.0):.0f}" for name in names)) for load_run in timed
     ]
-    return f"{text}\n\nby stage, us a request, while stages are timed\n{table(('load', *names), stages)}"
+    title = "CPU us/request by stage, from runs that time the stages"
+    return f"{text}\n\n{title}\n{table(('load', *names), stages)}"
 
 
-def differences(found: Sequence[tuple[LoadRun, LoadRun]]) -> list[dict[str, Any]]:
-    """For each load and figure: the means of both, and the mean and spread of ours less theirs."""
+def differences(pairs: Sequence[tuple[LoadRun, LoadRun]]) -> list[dict[str, Any]]:
+    """Return, for each load and figure, both means and the mean, range and deviation of ours minus theirs."""
     rows = []
-    for load in dict.fromkeys(ours.load for ours, _ in found):
-        plays = [pair for pair in found if pair[0].load == load]
-        for name in plays[0][0].figures:
-            values = [(ours.figures[name], theirs.figures[name]) for ours, theirs in plays]
+    for load in dict.fromkeys(ours.load for ours, _ in pairs):
+        load_pairs = [pair for pair in pairs if pair[0].load == load]
+        for name in load_pairs[0][0].figures:
+            values = [(ours.figures[name], theirs.figures[name]) for ours, theirs in load_pairs]
             gaps = [ours - theirs for ours, theirs in values]
             rows.append(
                 {
@@ -313,7 +336,8 @@
 
 
 def difference_table(rows: Iterable[dict[str, Any]], against: str) -> str:
-    head = ("load", "figure", "pairs", against, "here", "difference", "%", "least", "most", "deviation")
+    """Return the rows of `differences` as a table; `against` names the other revision."""
+    head = ("load", "figure", "pairs", against, "here", "difference", "%", "min", "max", "deviation")
 
     def cell(value: float | None) -> str:
         return "-" if value is None else f"{value:.3f}" if abs(value) < 10 else f"{value:.0f}"
@@ -323,7 +347,7 @@
         [
             (
                 row["load"],
-                row["figure"],
+                FIGURE_LABELS[row["figure"]],
                 str(row["pairs"]),
                 cell(row["theirs"]),
                 cell(row["ours"]),
@@ -338,5 +362,6 @@
     )
 
 
-def as_json(plays: Iterable[LoadRun]) -> list[dict[str, Any]]:
-    return [asdict(load_run) for load_run in plays]
+def as_json(runs: Iterable[LoadRun]) -> list[dict[str, Any]]:
+    """Return the runs as JSON objects."""
+    return [asdict(load_run) for load_run in runs]
--- a/thistletrail/benchmarks/errors.py
+++ b/thistletrail/benchmarks/errors.py
@@ -1,5 +1,5 @@
-"""What ends a run of the harness with one plain line."""
+"""The error that ends a benchmark with a message of one line."""
 
 
 class BenchmarkError(Exception):
-    """Bad input, or a front door that cannot be measured; the text is one plain line."""
+    """Invalid input, or a process that cannot be measured; the text is one line."""
--- a/thistletrail/benchmarks/load_generator.py
+++ b/thistletrail/benchmarks/load_generator.py
@@ -33,6 +33,7 @@
         return client
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Store the transport of the new connection."""
         self.transport = transport
 
     def send_commands(self, commands: list[bytes]) -> list[asyncio.Future[str]]:
@@ -47,6 +48,7 @@
         return answers
 
     def data_received(self, data: bytes) -> None:
+        """Complete the pending answers that the buffered data contains."""
         self.buffer += data
         while self.pending_answers and (outcome := self.next_outcome()):
             if not (future := self.pending_answers.popleft()).done():
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -1,4 +1,4 @@
-"""A front door as a process: a tree of sources, its start by the deploy file, and figures from outside."""
+"""Starts a gateway as a process from a source tree, and measures that process from outside."""
 
 import asyncio
 import contextlib
@@ -23,27 +23,27 @@
 from thistletrail.benchmarks.stub_servers import HOST, Address
 from thistletrail.process_lifetime import die_with_parent
 
-READY_TIMEOUT_S = 20.0  # for a front door to answer PING: machines may be slow
-DRAIN_TIMEOUT_S = 10.0  # for its drain
+READY_TIMEOUT_S = 20.0  # for a gateway to answer PING; long, as machines may be slow
+DRAIN_TIMEOUT_S = 10.0  # for a graceful shutdown after SIGTERM
 BUILD_TIMEOUT_S = 300.0
-COST_LINE_TIMEOUT_S = 5.0  # for the line on costs to come
-POLL_INTERVAL_S = 0.02  # between looks at whether it is ready
+COST_LINE_TIMEOUT_S = 5.0  # for a `costs` line in the log after SIGUSR1
+POLL_INTERVAL_S = 0.02  # between checks of the log or of readiness
 ROOT = Path(__file__).resolve().parents[2]
 KIB = 1024
-RESERVED_SOCKETS: list[socket.socket] = []  # bound and not listening, one for each port that `free_port` gave
+RESERVED_SOCKETS: list[socket.socket] = []  # bound, not listening: the TCP ports of `free_port`
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySourceTree:
-    """Sources that can be built and started by their deploy file."""
+    """The sources of one revision, with the command that starts a gateway from them."""
 
     root: Path
-    start_command: str
-    logs_costs: bool  # whether SIGUSR1 brings a line; else it would end the process
-    accepts_address_list: bool = True  # whether a front door takes several addresses of discovery
-    has_lease_keys: bool = (
-        True  # whether its file has `budget_leases`, `work_leases`; else `steward`, `takeover`
-    )
+    start_command: str  # for a shell, with `root` as its working directory
+    # Whether the gateway logs a `costs` line on SIGUSR1; in revisions without that, the signal ends it.
+    logs_costs: bool
+    accepts_address_list: bool = True  # whether `discovery` may hold several addresses
+    # Whether the configuration has the keys `budget_leases` and `work_leases`; else `steward` and `takeover`.
+    has_lease_keys: bool = True
 
 
 def working_tree() -> GatewaySourceTree:
@@ -51,49 +51,60 @@
     return GatewaySourceTree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", logs_costs=True)
 
 
-def last_line(said: bytes) -> str:
-    """What a program said last, of all that it printed."""
-    return next(iter(reversed(said.decode(errors="replace").strip().splitlines())), "it said nothing")
+def last_line(output: bytes) -> str:
+    """Return the last line of a program's output."""
+    return next(iter(reversed(output.decode(errors="replace").strip().splitlines())), "no output")
 
 
-def git(*words: str) -> bytes:
-    done = subprocess.run(["git", "-C", str(ROOT), *words], capture_output=True, check=False)
-    if done.returncode:
-        raise BenchmarkError(f"git {words[0]}: {last_line(done.stderr)}")
-    return done.stdout
+def git(*arguments: str) -> bytes:
+    """Run git in this repository and return its standard output; BenchmarkError if git fails."""
+    completed = subprocess.run(["git", "-C", str(ROOT), *arguments], capture_output=True, check=False)
+    if completed.returncode:
+        raise BenchmarkError(f"git {arguments[0]}: {last_line(completed.stderr)}")
+    return completed.stdout
 
 
 def gateway_folder(root: Path) -> Path:
-    """Where a tree has the gateway process; revisions before the single package call it otherwise."""
-    today = root / "thistletrail" / "gateway"
-    return today if today.is_dir() else root / "molereach"
+    """Return the gateway package's folder, which had another name before the project became one package."""
+    present = root / "thistletrail" / "gateway"
+    return present if present.is_dir() else root / "molereach"
 
 
 def build_source_tree(root: Path) -> GatewaySourceTree:
-    """Build a tree."""
+    """Run the build command of the deploy file, and find out from the sources what their gateway supports.
+
+    BenchmarkError if the deploy file is unusable or the build fails.
+    """
     try:
         deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
-        build, run = deploy["build"], deploy["run"]
+        build_command, start_command = deploy["build"], deploy["run"]
     except (OSError, ValueError, KeyError) as error:
         raise BenchmarkError(f"no usable deploy file in {root}: {error}") from error
     try:
-        done = subprocess.run(
-            ["/bin/sh", "-c", build], cwd=root, capture_output=True, check=False, timeout=BUILD_TIMEOUT_S
+        completed = subprocess.run(
+            ["/bin/sh", "-c", build_command],
+            cwd=root,
+            capture_output=True,
+            check=False,
+            timeout=BUILD_TIMEOUT_S,
         )
     except subprocess.TimeoutExpired:
         raise BenchmarkError(f"the build took more than {BUILD_TIMEOUT_S:.0f} s") from None
-    if done.returncode:
-        raise BenchmarkError(f"the build failed: {last_line(done.stderr or done.stdout)}")
+    if completed.returncode:
+        raise BenchmarkError(f"the build failed: {last_line(completed.stderr or completed.stdout)}")
     folder = gateway_folder(root)
     accepts_address_list = "read_addresses" in (folder / "config.py").read_text()
     logs_costs = any((folder / name).exists() for name in ("cost_counters.py", "costs.py"))
     has_lease_keys = (folder / "legacy_settings.py").exists()
-    return GatewaySourceTree(root, run, logs_costs, accepts_address_list, has_lease_keys)
+    return GatewaySourceTree(root, start_command, logs_costs, accepts_address_list, has_lease_keys)
 
 
 @contextlib.contextmanager
-def check_out_revision(name: str) -> Iterator[GatewaySourceTree]:
-    """Another revision, in a folder of its own; with our packages where it asks for the same."""
+def build_revision(name: str) -> Iterator[GatewaySourceTree]:
+    """Build another revision in a temporary folder.
+
+    It gets the virtual environment of this tree if both trees require the same packages.
+    """
     if name.startswith("-"):
         raise BenchmarkError(f"'{name}' is no revision")
     try:
@@ -104,39 +115,41 @@
         root = Path(folder)
         with tarfile.open(fileobj=io.BytesIO(git("archive", commit))) as archive:
             archive.extractall(root, filter="data")
-        ours = ROOT / ".venv"
+        environment = ROOT / ".venv"
         same = (root / "requirements.txt").read_bytes() == (ROOT / "requirements.txt").read_bytes()
-        if same and ours.exists():
-            (root / ".venv").symlink_to(ours)
+        if same and environment.exists():
+            (root / ".venv").symlink_to(environment)
         yield build_source_tree(root)
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM, host: str = HOST) -> int:
-    """One that nobody has; of TCP it stays so until this process ends, but for whoever is told of it.
+    """Return a free port. A TCP port stays reserved for the caller until this process ends.
 
-    The system gives no connection a port that is bound, and lets a server that binds it with SO_REUSEADDR
-    listen there. One of datagrams is let go of, as two sockets would share what comes.
+    A bound socket that does not listen reserves it: the system assigns a bound port to no other connection,
+    and still lets a server that binds it with SO_REUSEADDR listen there. A datagram port is not reserved, as
+    two bound sockets would share the datagrams that arrive.
     """
-    found = socket.socket(socket.AF_INET, kind)
+    reserved = socket.socket(socket.AF_INET, kind)
     try:
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, kind is socket.SOCK_STREAM)
-        found.bind((host, 0))
-        port = found.getsockname()[1]
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, kind is socket.SOCK_STREAM)
+        reserved.bind((host, 0))
+        port = reserved.getsockname()[1]
     except OSError as error:
-        found.close()
+        reserved.close()
         raise BenchmarkError(f"no port is free: {error.strerror}") from error
     if kind is socket.SOCK_STREAM:
-        RESERVED_SOCKETS.append(found)
+        RESERVED_SOCKETS.append(reserved)
     else:
-        found.close()
+        reserved.close()
     return port
 
 
 def check_port(port: int) -> None:
+    """Raise BenchmarkError if a server could not listen on this TCP port."""
     try:
-        with socket.socket() as found:
-            found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            found.bind((HOST, port))
+        with socket.socket() as probe:
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            probe.bind((HOST, port))
     except (OSError, OverflowError) as error:
         raise BenchmarkError(
             f"port {port} is not free: {getattr(error, 'strerror', None) or error}"
@@ -144,14 +157,14 @@
 
 
 class Process:
-    """A front door that runs; its figures are the system's own."""
+    """A running process with its log and the address that it serves at; the figures come from /proc."""
 
     def __init__(self, process: asyncio.subprocess.Process, log: Path, address: Address) -> None:
         self.process, self.log, self.address = process, log, address
         self.proc_folder = Path("/proc") / str(process.pid)
 
     def processor_us(self) -> float:
-        """Used so far by all its threads."""
+        """Return the processor time used so far by all threads, in microseconds."""
         try:
             threads = list((self.proc_folder / "task").iterdir())
             return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / 1e3
@@ -161,32 +174,36 @@
             fields = (self.proc_folder / "stat").read_text().rpartition(")")[2].split()
             return (int(fields[11]) + int(fields[12])) * 1e6 / os.sysconf("SC_CLK_TCK")
         except (OSError, ValueError, IndexError) as error:
-            raise BenchmarkError(f"the front door has ended: {self.last_line()}") from error
+            raise BenchmarkError(f"the gateway has ended: {self.last_line()}") from error
 
     def resident_bytes(self) -> int:
+        """Return the resident memory; BenchmarkError if the process has ended."""
         try:
             for line in (self.proc_folder / "status").read_text().splitlines():
                 if line.startswith("VmRSS:"):
                     return int(line.split()[1]) * KIB
         except OSError:
             pass
-        raise BenchmarkError(f"the front door has ended: {self.last_line()}")
+        raise BenchmarkError(f"the gateway has ended: {self.last_line()}")
 
     def descriptor_count(self) -> int:
+        """Return the number of open file descriptors; BenchmarkError if the process has ended."""
         try:
             return len(os.listdir(self.proc_folder / "fd"))
         except OSError:
-            raise BenchmarkError(f"the front door has ended: {self.last_line()}") from None
+            raise BenchmarkError(f"the gateway has ended: {self.last_line()}") from None
 
     def last_line(self) -> str:
+        """Return the last line of the log."""
         return last_line(self.log.read_bytes())
 
     def cost_reports(self) -> list[dict[str, Any]]:
+        """Return the contents of all `costs` lines in the log."""
         lines = self.log.read_text(errors="replace").splitlines()
         return [json.loads(line.partition(" costs ")[2]) for line in lines if " costs {" in line]
 
     async def cost_report(self) -> dict[str, Any]:
-        """What it says of its own costs by now."""
+        """Make a gateway log its cost counters by SIGUSR1, and return them."""
         known = len(self.cost_reports())
         self.process.send_signal(signal.SIGUSR1)
         with contextlib.suppress(TimeoutError):
@@ -194,10 +211,10 @@
                 while len(self.cost_reports()) == known:
                     await asyncio.sleep(POLL_INTERVAL_S)
                 return self.cost_reports()[known]
-        raise BenchmarkError("the front door does not tell its costs")
+        raise BenchmarkError(f"the gateway logged no `costs` line within {COST_LINE_TIMEOUT_S:g} s")
 
     async def wait_until_ready(self) -> None:
-        """Wait until it answers PING."""
+        """Wait until the gateway answers PING; BenchmarkError if it ends or takes over `READY_TIMEOUT_S`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(READY_TIMEOUT_S):
                 while self.process.returncode is None:
@@ -210,21 +227,22 @@
                     client.close()
                     if outcome == "pong":
                         return
-        raise BenchmarkError(f"the front door did not start: {self.last_line()}")
+        raise BenchmarkError(f"the gateway did not start: {self.last_line()}")
 
     async def drain(self) -> None:
-        """Drain it; what is left of its group after that is killed."""
+        """Send SIGTERM and wait for the graceful shutdown, for `DRAIN_TIMEOUT_S` at most."""
         with contextlib.suppress(ProcessLookupError, TimeoutError):
             self.process.terminate()
             await asyncio.wait_for(self.process.wait(), DRAIN_TIMEOUT_S)
 
     def kill(self) -> None:
+        """Send SIGKILL to the process group."""
         with contextlib.suppress(ProcessLookupError, PermissionError):
             os.killpg(self.process.pid, signal.SIGKILL)
 
 
 async def start_gateway_process(tree: GatewaySourceTree, config: dict[str, Any], folder: Path) -> Process:
-    """A front door, started by the deploy file; it need not serve yet. Its log is added to what is there."""
+    """Start a gateway and return at once. Its output is appended to the file `log` in `folder`."""
     file, log = folder / "config.json", folder / "log"
     file.write_text(json.dumps(config))
     env = {name: text for name, text in os.environ.items() if not name.startswith("PROXY_")}
@@ -237,7 +255,7 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=output,
             stderr=output,
-            start_new_session=True,  # a group of its own, ended as one
+            start_new_session=True,  # a process group of its own, killed as one
             preexec_fn=partial(die_with_parent, os.getpid()),
         )
     return Process(process, log, (host, int(port)))
@@ -247,52 +265,59 @@
 async def running_gateway_process(
     tree: GatewaySourceTree, config: dict[str, Any], folder: Path
 ) -> AsyncIterator[Process]:
-    """A front door that serves; it is gone at the end, whatever happens in between."""
-    found = await start_gateway_process(tree, config, folder)
+    """A gateway that serves during the block. No process of it remains after the block, also on errors."""
+    process = await start_gateway_process(tree, config, folder)
     try:
-        await found.wait_until_ready()
-        yield found
-        await found.drain()
+        await process.wait_until_ready()
+        yield process
+        await process.drain()
     finally:
-        found.kill()
-        await found.process.wait()
+        process.kill()
+        await process.process.wait()
 
 
-async def spawn_python(words: Sequence[str], log: Path, **more: Any) -> asyncio.subprocess.Process:  # noqa: ANN401
-    """A Python program of the project's own, in a group of its own; it dies with this process."""
+async def spawn_python(arguments: Sequence[str], log: Path, **options: Any) -> asyncio.subprocess.Process:  # noqa: ANN401
+    """Start one of the project's programs in a process group of its own; it is killed if this process dies.
+
+    `options` are forwarded to asyncio's subprocess call.
+    """
     with log.open("ab") as errors:
         return await asyncio.create_subprocess_exec(
             sys.executable,
-            *words,
+            *arguments,
             cwd=ROOT,
             stderr=errors,
             start_new_session=True,
             preexec_fn=partial(die_with_parent, os.getpid()),
-            **more,
+            **options,
         )
 
 
-async def start_without_waiting(words: Sequence[str], log: Path, address: Address) -> Process:
-    """A program that is not waited for, as it serves at `address` only once its turn has come."""
-    return Process(await spawn_python(words, log, stdout=asyncio.subprocess.DEVNULL), log, address)
+async def start_without_waiting(arguments: Sequence[str], log: Path, address: Address) -> Process:
+    """Start a program that serves at `address` at a later time, as a standby does, and return at once."""
+    return Process(await spawn_python(arguments, log, stdout=asyncio.subprocess.DEVNULL), log, address)
 
 
-async def start_program(words: Sequence[str], log: Path, **more: Any) -> tuple[Process, str]:  # noqa: ANN401
-    """A Python program of the project's own that prints one line once it serves, with its address at the end
-    where it has one: the process and that line. One that ends before is a BenchmarkError."""
-    process = await spawn_python(words, log, stdout=asyncio.subprocess.PIPE, **more)
-    found = Process(process, log, (HOST, 0))
+async def start_program(arguments: Sequence[str], log: Path, **options: Any) -> tuple[Process, str]:  # noqa: ANN401
+    """Start one of the project's programs and return it with the line that it prints once it serves.
+
+    An address at the end of the line is stored in the process. BenchmarkError if the program ends before or
+    does not serve within `READY_TIMEOUT_S`.
+    """
+    child = await spawn_python(arguments, log, stdout=asyncio.subprocess.PIPE, **options)
+    process = Process(child, log, (HOST, 0))
     try:
-        line = (await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)).decode().strip()
+        line = (await asyncio.wait_for(child.stdout.readline(), READY_TIMEOUT_S)).decode().strip()
         if not line:
-            raise BenchmarkError(f"'{' '.join(words[:2])}' does not start: {found.last_line()}")
+            raise BenchmarkError(f"'{' '.join(arguments[:2])}' does not start: {process.last_line()}")
         host, _, port = line.split()[-1].rpartition(":")
         if port.isdecimal():
-            found.address = host, int(port)
-        return found, line
+            process.address = host, int(port)
+        return process, line
     except BaseException as error:
-        found.kill()
-        await process.wait()
+        process.kill()
+        await child.wait()
         if isinstance(error, TimeoutError):
-            raise BenchmarkError(f"'{' '.join(words[:2])}' does not start in {READY_TIMEOUT_S:g} s") from None
+            command = " ".join(arguments[:2])
+            raise BenchmarkError(f"'{command}' does not start in {READY_TIMEOUT_S:g} s") from None
         raise
--- a/thistletrail/benchmarks/quickstart.py
+++ b/thistletrail/benchmarks/quickstart.py
@@ -1,6 +1,6 @@
-"""One gateway before stubs of its scan servers, and one request through it: a first look at the program.
+"""Sends one request through a gateway with stub scan servers, as a first demonstration of the program.
 
-Everything runs on loopback, at ports that the system chooses, and ends with the command.
+Everything runs on loopback at ports that the system chooses, and ends with the command.
 """
 
 import socket
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What was tried: where the gateway served, before how many stubs, and how the request ended."""
+    """The gateway's address, the number of its stub scan servers, and the outcome of the request."""
 
     address: str
     servers: int
@@ -36,7 +36,7 @@
 
 
 async def run() -> Outcome:
-    """Start the gateway with this interpreter, send one request, and end all; BenchmarkError if it cannot."""
+    """Start a gateway, send it one request and stop it; BenchmarkError if the gateway cannot be started."""
     load = LOADS["steady"]
     stubs = StubServers(load, SEED, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="quickstart-") as folder:
@@ -58,7 +58,7 @@
 
 
 def describe(outcome: Outcome) -> str:
-    """The outcome as the lines that the command prints."""
+    """Return the outcome as the lines that the command prints."""
     return (
         f"a gateway serves at {outcome.address}, before {outcome.servers} stub scan servers\n"
         f"request: {b' '.join(COMMAND).decode()}\n"
--- a/thistletrail/benchmarks/stub_servers.py
+++ b/thistletrail/benchmarks/stub_servers.py
@@ -73,6 +73,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Store the transport and count the connection."""
         self.transport = transport
         self.server.connections += 1
 
@@ -137,7 +138,7 @@
         return self.encode_line(True, self.entries.values())
 
     def publish(self, server: StubScanServer, lifecycle: str) -> None:
-        """Change a server's lifecycle in the list and send the change on all watch streams."""
+        """Set the state of a server in the list to `lifecycle`, and send the change on all watch streams."""
         self.generation += 1
         self.entries[server.name] = changed = registry_entry(server, lifecycle)
         if lifecycle == "DELETED":
@@ -190,6 +191,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
+        """Store the transport of the datagram socket."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Address) -> None:
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -12,7 +12,7 @@
 import click
 
 from thistletrail.benchmarks.errors import BenchmarkError
-from thistletrail.benchmarks.process import ROOT, build_source_tree, check_out_revision
+from thistletrail.benchmarks.process import ROOT, build_revision, build_source_tree
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.deaths import EFFECTS, POINTS, inject_crashes, table
 from thistletrail.fault_injection.errors import FaultInjectionError
@@ -115,7 +115,7 @@
     """Compare the gateways of REV with this tree's, in turns on the same plan and seeds; prints medians."""
     loaded_plan = load(plan)
     sides: dict[str, list[Run]] = {rev: [], "this tree": []}
-    with check_out_revision(rev) as theirs:
+    with build_revision(rev) as theirs:
         trees = {rev: theirs, "this tree": build_source_tree(ROOT)}
         for number in range(seeds):
             order = list(trees) if number % 2 else list(reversed(trees))
@@ -173,7 +173,7 @@
         seed_range = range(first, first + seeds)
         cases = list_cases(ours, shares, state_names, seed_range)
         if against is not None:
-            theirs = stack.enter_context(check_out_revision(against)).root
+            theirs = stack.enter_context(build_revision(against)).root
             cases += list_cases({against: theirs}, shares, ["none"], seed_range)
             cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
         results = measure(loaded_plan, cases, jobs, out, say)
