--- a/tests/test_benchmarks_work.py
+++ b/tests/test_benchmarks_work.py
@@ -8,11 +8,10 @@
 
 import pytest
 
-from thistletrail.benchmarks import callers, cost, leases, work
+from tests.helpers import WORKING_TREE
+from thistletrail.benchmarks import cost, leases, load_generator, work
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, Tree
-
-HERE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
+from thistletrail.benchmarks.process import ROOT
 
 
 @pytest.fixture
@@ -23,15 +22,15 @@
         for category in cost.SETTINGS["categories"]
     ]
     monkeypatch.setattr(cost, "SETTINGS", {**cost.SETTINGS, "categories": categories})
-    monkeypatch.setattr(callers, "WAIT_MS", 80_000)
-    monkeypatch.setattr(callers, "PATIENCE_S", 81.0)
+    monkeypatch.setattr(load_generator, "REQUEST_DEADLINE_MS", 80_000)
+    monkeypatch.setattr(load_generator, "ANSWER_TIMEOUT_S", 81.0)
 
 
 @pytest.mark.usefixtures("long_deadlines")
 def test_all_requests_are_served_without_and_with_work_leases_and_a_work_item_logs_under_3000_bytes() -> None:
     # One scan server for three requests: no request is queued, even if all arrive at once.
-    load = replace(cost.fitting(LOADS["steady"], 60), servers=20)
-    pairs = asyncio.run(work.run_pairs(HERE, load, 1, 1))
+    load = replace(cost.with_request_count(LOADS["steady"], 60), servers=20)
+    pairs = asyncio.run(work.run_pairs(WORKING_TREE, load, 1, 1))
     ((without, with_),) = pairs
     assert (without.with_leases, with_.with_leases) == (False, True)
     assert without.served == with_.served == 60
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -1,11 +1,9 @@
 """Budget leases in a history: sums of granted shares, planted violations, and runs with lease services."""
 
-import sys
-
 import msgspec
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from tests.helpers import WORKING_TREE
 from thistletrail.fault_injection.checks import CHECKS, RunHistory, check
 from thistletrail.fault_injection.history import Record, merge
 from thistletrail.fault_injection.leases import (
@@ -19,7 +17,6 @@
 from thistletrail.fault_injection.runs import play_once
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
 
-WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 US_PER_S = 1_000_000
 PLAN = Plan(
     name="p",
@@ -99,10 +96,7 @@
     [
         [*TWO_RENEWALS, CONFIRMATION, *renewal(3 * US_PER_S + 1, 1, 1, 12, HALF_TOTAL)],
         # The second grant comes after the first lease has expired.
-        [
-            *renewal(US_PER_S, 0, 1, 10, DIVISIBLE_TOTAL),
-            *renewal(4 * US_PER_S, 1, 1, 11, DIVISIBLE_TOTAL),
-        ],
+        [*renewal(US_PER_S, 0, 1, 10, DIVISIBLE_TOTAL), *renewal(4 * US_PER_S, 1, 1, 11, DIVISIBLE_TOTAL)],
         [*renewal(US_PER_S, 0, 1, 10, HALF_TOTAL), *renewal(US_PER_S, 1, 1, 11, HALF_TOTAL)],
     ],
 )
@@ -114,10 +108,7 @@
     "records, expected_text",
     [
         # Granted before the first gateway has confirmed the smaller grant.
-        (
-            [*TWO_RENEWALS, *renewal(2 * US_PER_S + 5000, 1, 1, 12, HALF_TOTAL)],
-            "may be believed in",
-        ),
+        ([*TWO_RENEWALS, *renewal(2 * US_PER_S + 5000, 1, 1, 12, HALF_TOTAL)], "may be believed in"),
         (
             [*TWO_RENEWALS, CONFIRMATION, *renewal(3 * US_PER_S + 1, 1, 1, 12, HALF_TOTAL + 2)],
             "may be believed in",
@@ -136,10 +127,7 @@
             ],
             "may be believed in",
         ),
-        (
-            [*renewal(US_PER_S, 0, 1, 10, 1), *renewal(US_PER_S, 1, 1, 10, 1)],
-            "of two grants",
-        ),
+        ([*renewal(US_PER_S, 0, 1, 10, 1), *renewal(US_PER_S, 1, 1, 10, 1)], "of two grants"),
     ],
 )
 def test_planted_overcommitment_or_reused_fencing_number_is_found(
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -1,18 +1,16 @@
 """Gateways whose registry loses its state, is replaced by another one, or is cut off from a zone."""
 
-import sys
 from collections.abc import Iterable
 from itertools import pairwise
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from tests.helpers import WORKING_TREE
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.history import Record
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
-WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
 US_PER_S = 1_000_000
 US_PER_MS = 1_000
 
--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -10,14 +10,13 @@
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from tests.helpers import WORKING_TREE
+from thistletrail.benchmarks.process import ROOT, GatewaySourceTree
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.report import write_report
 from thistletrail.fault_injection.runs import Run, load_run, play_once, run, store_run
 
-GATEWAY_COMMAND = f"exec {sys.executable} -m thistletrail.gateway"
-WORKING_TREE = Tree(ROOT, GATEWAY_COMMAND, tells_costs=True)
 EXIT_TIMEOUT_S = 20.0  # until all processes have exited; exceeded only on a failure
 MARK_VARIABLE = "FAULT_INJECTION_TEST_MARK"
 
@@ -89,11 +88,12 @@
     """SIGKILL simulates a crash of the fault injection itself."""
     mark = f"{os.getpid()}-{signal_number}"
     code = (
-        "from thistletrail.command_line import end_on_signals\nend_on_signals()\n"
-        "from thistletrail.benchmarks.process import ROOT, Tree\n"
+        "from thistletrail.command_line import end_on_signals\n"
+        "end_on_signals()\n"
+        "from thistletrail.benchmarks.process import working_tree\n"
         "from thistletrail.fault_injection.plan import load\n"
         "from thistletrail.fault_injection.runs import play_once\n"
-        f"play_once(load('short'), 1, Tree(ROOT, {GATEWAY_COMMAND!r}, True), lambda text: None)"
+        "play_once(load('short'), 1, working_tree(), lambda text: None)"
     )
     process = subprocess.Popen(
         [sys.executable, "-c", code],
@@ -120,7 +120,7 @@
 def test_failed_start_is_reported_in_one_line_and_leaves_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = f"{os.getpid()}-failed"
     monkeypatch.setenv(MARK_VARIABLE, mark)
-    tree_with_broken_gateway = Tree(ROOT, "echo 'no such module' >&2; exit 3", tells_costs=True)
+    tree_with_broken_gateway = GatewaySourceTree(ROOT, "echo 'no such module' >&2; exit 3", logs_costs=True)
     with pytest.raises(FaultInjectionError, match=r"doors-.: .*no such module") as error_info:
         play_once(load("short"), 1, tree_with_broken_gateway, lambda text: None)
     assert "\n" not in str(error_info.value)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -3,13 +3,12 @@
 import asyncio
 import resource
 import signal
-import sys
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 import pytest
 
-from thistletrail.benchmarks.process import ROOT, Tree
+from tests.helpers import WORKING_TREE
 from thistletrail.fault_injection.checks import RunHistory, check
 from thistletrail.fault_injection.crash_injection import (
     EFFECTS,
@@ -23,8 +22,6 @@
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
 
-WORKING_TREE = Tree(ROOT, f"exec {sys.executable} -m thistletrail.gateway", tells_costs=True)
-
 FLEET_COUNT = 3
 GATEWAYS_PER_FLEET = 3  # `inject_crashes` kills only the first of three gateways, repeatedly
 
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -10,9 +10,9 @@
 from typing import Any, NoReturn
 
 from thistletrail.benchmarks import cost, quickstart
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.errors import BenchmarkError
 from thistletrail.benchmarks.loads import LOADS
-from thistletrail.benchmarks.process import ROOT, check_port, prepare, revision
+from thistletrail.benchmarks.process import ROOT, build_revision, build_source_tree, check_port
 
 MAX_PAIRS = 100
 
@@ -21,8 +21,8 @@
     """A parser that reports bad input as an error of one line."""
 
     def error(self, message: str) -> NoReturn:
-        """Raise a `BenchError` in place of printing the usage and exiting."""
-        raise BenchError(message)
+        """Raise a `BenchmarkError` in place of printing the usage and exiting."""
+        raise BenchmarkError(message)
 
 
 def bounded_integer(maximum: int) -> Any:  # noqa: ANN401 - argparse takes any callable
@@ -47,7 +47,7 @@
     costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
     costs.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
     costs.add_argument(
-        "--requests", type=bounded_integer(cost.MOST_REQUESTS), metavar="N", help="of each load"
+        "--requests", type=bounded_integer(cost.MAX_REQUESTS), metavar="N", help="of each load"
     )
     costs.add_argument("--port", type=bounded_integer(65535), default=0, metavar="N", help="for the gateway")
     costs.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
@@ -65,7 +65,7 @@
     takeover_.add_argument("--load", choices=sorted(LOADS), default="steady")
     takeover_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
     takeover_.add_argument(
-        "--requests", type=bounded_integer(cost.MOST_REQUESTS), metavar="N", help="of each run"
+        "--requests", type=bounded_integer(cost.MAX_REQUESTS), metavar="N", help="of each run"
     )
     takeover_.add_argument("--pairs", type=bounded_integer(MAX_PAIRS), default=3, metavar="N", help="of runs")
     takeover_.add_argument(
@@ -92,7 +92,7 @@
 
 async def run_quickstart(_: argparse.Namespace) -> None:
     """Run the command `quickstart` and print its result."""
-    print(quickstart.describe(await quickstart.play()))
+    print(quickstart.describe(await quickstart.run()))
 
 
 async def run_takeover(args: argparse.Namespace) -> None:
@@ -101,8 +101,8 @@
 
     if args.json:
         check_writable(args.json)
-    load = cost.fitting(LOADS[args.load], args.requests)
-    pairs = await work.run_pairs(prepare(ROOT), load, args.seed, args.pairs)
+    load = cost.with_request_count(LOADS[args.load], args.requests)
+    pairs = await work.run_pairs(build_source_tree(ROOT), load, args.seed, args.pairs)
     service = await work.measure_service(args.pieces, args.seed)
     print(work.format_table(pairs, service))
     if args.json:
@@ -125,21 +125,21 @@
     """Run the command `cost`, print its table and write its JSON file."""
     unknown = [name for name in args.load or () if name not in LOADS]
     if unknown:
-        raise BenchError(f"unknown load '{unknown[0]}'; known are {', '.join(LOADS)}")
-    loads = [cost.fitting(LOADS[name], args.requests) for name in args.load or LOADS]
+        raise BenchmarkError(f"unknown load '{unknown[0]}'; known are {', '.join(LOADS)}")
+    loads = [cost.with_request_count(LOADS[name], args.requests) for name in args.load or LOADS]
     if args.port:
         check_port(args.port)
     if args.json:
         check_writable(args.json)
     with contextlib.ExitStack() as stack:
-        other_tree = stack.enter_context(revision(args.against)) if args.against else None
-        tree = prepare(ROOT)
+        other_tree = stack.enter_context(build_revision(args.against)) if args.against else None
+        tree = build_source_tree(ROOT)
         if other_tree is None:
-            runs = await cost.costs(tree, loads, args.seed, args.port)
+            runs = await cost.measure_costs(tree, loads, args.seed, args.port)
             print(cost.cost_table(runs))
             report: Any = {"seed": args.seed, "plays": cost.as_json(runs)}
         else:
-            pairs = await cost.pairs(tree, other_tree, loads, args.seed, args.port, args.pairs)
+            pairs = await cost.run_pairs(tree, other_tree, loads, args.seed, args.port, args.pairs)
             rows = cost.differences(pairs)
             print(cost.difference_table(rows, args.against))
             report = {
@@ -166,12 +166,12 @@
 
 
 def check_writable(path: Path) -> None:
-    """Raise a `BenchError` before the runs if their figures could not be written to `path`."""
+    """Raise a `BenchmarkError` before the runs if their figures could not be written to `path`."""
     try:
         with path.open("a"):
             pass
     except OSError as error:
-        raise BenchError(f"cannot write {path}: {error.strerror}") from error
+        raise BenchmarkError(f"cannot write {path}: {error.strerror}") from error
 
 
 async def run_until_signalled(args: argparse.Namespace) -> None:
@@ -196,7 +196,7 @@
     """Run the command line; return the exit status."""
     try:
         asyncio.run(run_until_signalled(build_parser().parse_args()))
-    except BenchError as error:
+    except BenchmarkError as error:
         print(f"benchmarks: {error}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, asyncio.CancelledError):
--- a/thistletrail/benchmarks/registry.py
+++ b/thistletrail/benchmarks/registry.py
@@ -13,9 +13,9 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import END_S, Process, start_program
-from thistletrail.benchmarks.standins import HOST, Address
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.process import DRAIN_TIMEOUT_S, Process, start_program
+from thistletrail.benchmarks.stub_servers import HOST, Address
 from thistletrail.registry.backoff import full_jitter_s
 from thistletrail.registry.follower import BACKOFF_S, MAX_BACKOFF_S
 from thistletrail.registry.registration import InstanceSettings, Registration
@@ -120,13 +120,12 @@
     data = str(folder / "list")
     listen = f"{HOST}:{port}"
     process, _ = await start_program(
-        ("-m", "thistletrail.registry", "--data", data, "--listen", listen, "--fill", "0"),
-        folder / "log.txt",
+        ("-m", "thistletrail.registry", "--data", data, "--listen", listen, "--fill", "0"), folder / "log.txt"
     )
     try:
         yield process
     finally:
-        await process.end()
+        await process.drain()
         process.kill()
         await process.process.wait()
 
@@ -139,10 +138,7 @@
     for number in range(count):
         subnet, host = divmod(number, INSTANCES_PER_SUBNET)
         settings = InstanceSettings(
-            address=f"127.1.{subnet}.{host + 1}:6379",
-            zone="east",
-            machine_type="m1",
-            lease_ms=LEASE_MS,
+            address=f"127.1.{subnet}.{host + 1}:6379", zone="east", machine_type="m1", lease_ms=LEASE_MS
         )
         registration = Registration("{}:{}".format(*address), f"s-{number}", settings)
         registrations.append(registration)
@@ -193,7 +189,7 @@
     """Restart the registry at its address; return how many watchers connected again in each bucket."""
     port = process.address[1]
     process.process.terminate()
-    await asyncio.wait_for(process.process.wait(), END_S)
+    await asyncio.wait_for(process.process.wait(), DRAIN_TIMEOUT_S)
     counts_before = [len(watcher.connected_at_s) for watcher in watchers]
     restarted_s = time.monotonic()
     async with registry_process(folder, port):
@@ -202,7 +198,7 @@
             for watcher, count in zip(watchers, counts_before, strict=True)
         ):
             if time.monotonic() - restarted_s > WAIT_TIMEOUT_S:
-                raise BenchError(
+                raise BenchmarkError(
                     f"not all watchers connected again within {WAIT_TIMEOUT_S:g} s of the registry's restart"
                 )
             await asyncio.sleep(RECONNECT_POLL_S)
@@ -228,10 +224,10 @@
         async with contextlib.AsyncExitStack() as stack:
             process = await stack.enter_async_context(registry_process(folder, 0))
             registrations = await register_instances(stack, process.address, instances)
-            memory_before = process.resident()
+            memory_before = process.resident_bytes()
             watching = start_watchers(stack, process.address, watchers, seed)
             await wait_for_all(watching, registrations[-1].generation)
-            memory_per_watcher = (process.resident() - memory_before) / watchers
+            memory_per_watcher = (process.resident_bytes() - memory_before) / watchers
             received_before = sum(watcher.received_bytes for watcher in watching)
             write_to_last_ms = await measure_changes(registrations, watching, changes)
             received = sum(watcher.received_bytes for watcher in watching) - received_before
@@ -253,8 +249,8 @@
     return "\n".join(
         [
             f"{figures.watchers} watchers, {figures.instances} leased instances, {len(times_ms)} changes",
-            f"write to the last watcher: median {statistics.median(times_ms):.1f} ms, "
-            f"at most {times_ms[-1]:.1f} ms",
+            f"write to the last watcher: median {statistics.median(times_ms):.1f} ms, at most "
+            f"{times_ms[-1]:.1f} ms",
             f"a change costs each watcher {figures.bytes_a_change:.0f} bytes",
             f"a watcher costs the registry {figures.memory_a_watcher / BYTES_PER_KIB:.1f} KiB",
             f"a renewal costs the registry {figures.cpu_a_renewal_us:.0f} us of processor time",
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -16,12 +16,18 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from thistletrail.benchmarks.callers import Callers
-from thistletrail.benchmarks.cost import PLAN, REST_S, config
-from thistletrail.benchmarks.errors import BenchError
+from thistletrail.benchmarks.cost import PLAN, SETTLE_TIME_S, gateway_config
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.load_generator import LoadGenerator
 from thistletrail.benchmarks.loads import Load
-from thistletrail.benchmarks.process import Process, Tree, free_port, front_door, start_program
-from thistletrail.benchmarks.standins import HOST, World, text
+from thistletrail.benchmarks.process import (
+    GatewaySourceTree,
+    Process,
+    free_port,
+    running_gateway_process,
+    start_program,
+)
+from thistletrail.benchmarks.stub_servers import HOST, StubServers, format_address
 from thistletrail.leasing.client import WorkStream
 from thistletrail.leasing.framing import now_ms
 from thistletrail.leasing.leadership import latest_term, term_folder
@@ -106,72 +112,71 @@
         await process.process.wait()
 
 
-async def run_load(tree: Tree, load: Load, seed: int, with_leases: bool) -> Figures:
+async def run_load(tree: GatewaySourceTree, load: Load, seed: int, with_leases: bool) -> Figures:
     """Run a load against one gateway, with or without work leases for its writes."""
-    world = World(load, seed, peer_level=PLAN["burst"])
+    stubs = StubServers(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
         try:
-            discovery = await world.start()
-            values = config(discovery, world.peer_address, free_port(), seed, False)
+            discovery = await stubs.start()
+            values = gateway_config(discovery, stubs.peer_address, free_port(), seed, False)
             async with contextlib.AsyncExitStack() as stack:
                 lease_service = None
                 if with_leases:
                     lease_service = await stack.enter_async_context(running_lease_service(folder, seed))
                     key = "work_leases" if tree.has_lease_keys else "takeover"
                     values[key] = {
-                        "addresses": text(lease_service.address),
+                        "addresses": format_address(lease_service.address),
                         "classes": ["submit-record"],
                         "secret_file": str(folder / "secret"),
                     }
-                gateway = await stack.enter_async_context(front_door(tree, values, folder))
-                return await measure(gateway, lease_service, world, load, seed)
+                gateway = await stack.enter_async_context(running_gateway_process(tree, values, folder))
+                return await measure(gateway, lease_service, stubs, load, seed)
         except OSError as error:
-            raise BenchError(f"cannot run load '{load.name}': {error}") from error
+            raise BenchmarkError(f"cannot run load '{load.name}': {error}") from error
         finally:
-            await world.close()
+            await stubs.close()
 
 
 async def measure(
-    gateway: Process, lease_service: Process | None, world: World, load: Load, seed: int
+    gateway: Process, lease_service: Process | None, stubs: StubServers, load: Load, seed: int
 ) -> Figures:
     """Send a load's requests to a running gateway and return the figures."""
-    callers = Callers(load, seed, gateway.address)
+    load_generator = LoadGenerator(load, seed, gateway.address)
     try:
-        await asyncio.sleep(REST_S)
-        world.begin()
+        await asyncio.sleep(SETTLE_TIME_S)
+        stubs.start_replacing()
         gateway_us, lease_service_us = (
             gateway.processor_us(),
             lease_service.processor_us() if lease_service else 0.0,
         )
-        await callers.play()
+        await load_generator.run()
         gateway_us = gateway.processor_us() - gateway_us
         lease_service_us = (lease_service.processor_us() if lease_service else 0.0) - lease_service_us
         histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-        for latency_us in callers.took_us:
+        for latency_us in load_generator.write_latencies_us:
             histogram.record_value(min(MAX_LATENCY_US, latency_us))
-        count = sum(callers.ended.values())
+        count = sum(load_generator.outcomes.values())
         return Figures(
             with_leases=lease_service is not None,
             requests=count,
-            served=callers.ended["served"],
+            served=load_generator.outcomes["served"],
             gateway_cpu_us=gateway_us / count,
             lease_service_cpu_us=lease_service_us / count,
-            gateway_rss_bytes=gateway.resident(),
+            gateway_rss_bytes=gateway.resident_bytes(),
             latency_p50_us=int(histogram.get_value_at_percentile(50)),
             latency_p99_us=int(histogram.get_value_at_percentile(99)),
         )
     finally:
-        callers.close()
+        load_generator.close()
 
 
-async def run_pairs(tree: Tree, load: Load, seed: int, count: int) -> list[tuple[Figures, Figures]]:
+async def run_pairs(
+    tree: GatewaySourceTree, load: Load, seed: int, count: int
+) -> list[tuple[Figures, Figures]]:
     """Run a load without and with work leases, `count` times in turns."""
     return [
-        (
-            await run_load(tree, load, seed + number, False),
-            await run_load(tree, load, seed + number, True),
-        )
+        (await run_load(tree, load, seed + number, False), await run_load(tree, load, seed + number, True))
         for number in range(count)
     ]
 
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -11,8 +11,8 @@
 
 import click
 
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import ROOT, prepare, revision
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.process import ROOT, build_revision, build_source_tree
 from thistletrail.command_line import HELP, Group, end_on_signals
 from thistletrail.fault_injection.crash_injection import EFFECTS, POINTS, format_crash_table, inject_crashes
 from thistletrail.fault_injection.errors import FaultInjectionError
@@ -38,7 +38,7 @@
 class FaultInjectionGroup(Group):
     """A group of commands whose errors of these types are reported in one line, with exit code 2."""
 
-    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, SimulationError, BenchError)
+    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, SimulationError, BenchmarkError)
 
 
 def report_progress(text: str) -> None:
@@ -106,7 +106,7 @@
 @OUT_OPTION
 def run_(plan: str, seed: int, twin: bool, tree: Path, out: Path | None) -> None:
     """Play PLAN (a name or a .toml file) with real processes. The exit code is 3 if a rule was broken."""
-    result = run(load(plan), seed, prepare(tree), report_progress, twin)
+    result = run(load(plan), seed, build_source_tree(tree), report_progress, twin)
     if out is not None:
         store_run(result, out)
     click.echo(format_table(figure_table([("value", [result.figures.as_json()])], LABELS)))
@@ -127,8 +127,8 @@
     """
     loaded_plan = load(plan)
     sides: dict[str, list[Run]] = {rev: [], "this tree": []}
-    with revision(rev) as other_tree:
-        trees = {rev: other_tree, "this tree": prepare(ROOT)}
+    with build_revision(rev) as other_tree:
+        trees = {rev: other_tree, "this tree": build_source_tree(ROOT)}
         for number in range(seeds):
             order = list(trees) if number % 2 else list(reversed(trees))
             for side in order:
@@ -191,11 +191,11 @@
     if unknown := [name for name in state_names if name not in STATES]:
         raise FaultInjectionError(f"unknown state '{unknown[0]}'; the states are {', '.join(STATES)}")
     with contextlib.ExitStack() as stack:
-        this_tree = {"this tree": prepare(ROOT).root}
+        this_tree = {"this tree": build_source_tree(ROOT).root}
         seed_range = range(first, first + seeds)
         cases = list_cases(this_tree, shares, state_names, seed_range)
         if against is not None:
-            other_tree = stack.enter_context(revision(against)).root
+            other_tree = stack.enter_context(build_revision(against)).root
             cases += list_cases({against: other_tree}, shares, ["none"], seed_range)
             cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
         results = measure(loaded_plan, cases, jobs, out, report_progress)
@@ -228,15 +228,15 @@
         raise FaultInjectionError(
             f"{loaded_plan.name}: the model has no {', nor '.join(dict.fromkeys(missing))}"
         )
-    tree, real, simulated = prepare(ROOT), [], []
+    tree, real, simulated = build_source_tree(ROOT), [], []
     for seed in range(first, first + seeds):
         result = run(loaded_plan, seed, tree, report_progress)
         print_violations(result)
         real.append(result.figures.as_json())
         simulated.append(simulated_figures(scenario, seed))
         report_progress(
-            f"seed {seed}: full service after {real[-1]['full_s']} s, "
-            f"in the model after {simulated[-1]['full_s']} s"
+            f"seed {seed}: full service after {real[-1]['full_s']} s, in the model after "
+            f"{simulated[-1]['full_s']} s"
         )
     click.echo(format_table(figure_table([("fault injection", real), ("model", simulated)], LABELS)))
 
@@ -289,7 +289,7 @@
     """Play random plans; each that breaks a rule is shrunk and stored as a .toml file."""
     from thistletrail.fault_injection.soak import soak as run_soak
 
-    result = run_soak(seed, minutes, prepare(ROOT), out, report_progress, count)
+    result = run_soak(seed, minutes, build_source_tree(ROOT), out, report_progress, count)
     click.echo(f"{result.played} plans played, {len(result.stored)} broke a rule")
     for path in result.stored:
         click.echo(str(path))
@@ -312,7 +312,7 @@
         raise FaultInjectionError(
             f"{loaded_plan.name}: its budgets are not divided by leases (steward = true)"
         )
-    tree, has_violations = prepare(ROOT), False
+    tree, has_violations = build_source_tree(ROOT), False
     click.echo(
         "seed  max share held  regrant time, s  not regranted  renewals  lease services  served  violations"
     )
@@ -323,8 +323,9 @@
         regrant_s = format_value(leases.median_regrant_s)
         has_violations = has_violations or bool(count)
         click.echo(
-            f"{seed:4}  {leases.max_granted_fraction:14.3f}  {regrant_s:>15}  {leases.not_regranted:13}  "
-            f"{leases.renewals:8}  {leases.lease_services:14}  {result.figures.served:6.3f}  {count:10}"
+            f"{seed:4}  {leases.max_granted_fraction:14.3f}  {regrant_s:>15}  "
+            f"{leases.not_regranted:13}  {leases.renewals:8}  {leases.lease_services:14}  "
+            f"{result.figures.served:6.3f}  {count:10}"
         )
     if has_violations:
         sys.exit(EXIT_RULE_BROKEN)
@@ -364,7 +365,7 @@
     chosen_points = tuple(points.split(","))
     if unknown := set(chosen_points) - set(POINTS):
         raise FaultInjectionError(f"there is no point '{min(unknown)}' (one of: {', '.join(POINTS)})")
-    tree, crashes = prepare(ROOT), []
+    tree, crashes = build_source_tree(ROOT), []
     for seed in range(first, first + seeds):
         with TemporaryDirectory(prefix="deaths-") as folder:
             crashes += asyncio.run(
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -18,9 +18,16 @@
 import msgspec
 import tomli_w
 
-from thistletrail.benchmarks.errors import BenchError
-from thistletrail.benchmarks.process import Process, Tree, free_port, start_door, start_program, start_quiet
-from thistletrail.benchmarks.standins import text
+from thistletrail.benchmarks.errors import BenchmarkError
+from thistletrail.benchmarks.process import (
+    GatewaySourceTree,
+    Process,
+    free_port,
+    start_gateway_process,
+    start_program,
+    start_without_waiting,
+)
+from thistletrail.benchmarks.stub_servers import format_address
 from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.history import Writer
@@ -129,7 +136,12 @@
     """All processes of a run, the relays between them, and the state of each link."""
 
     def __init__(
-        self, plan: Plan, seed: int, tree: Tree, folder: Path, extra_gateway_config: dict[str, Any]
+        self,
+        plan: Plan,
+        seed: int,
+        tree: GatewaySourceTree,
+        folder: Path,
+        extra_gateway_config: dict[str, Any],
     ) -> None:
         """`extra_gateway_config` is added to the configuration of each gateway."""
         self.plan, self.seed, self.tree, self.folder, self.extra_gateway_config = (
@@ -263,7 +275,7 @@
         relay = self.relay("doors-servers", gateway, server, (host, int(port)), RequestRelay)
         if not self.members[server].is_running:
             relay.refuse()
-        return text(relay.address)
+        return format_address(relay.address)
 
     def set_reachable(self, member: Member, is_reachable: bool) -> None:
         """Make all relays to a member accept connections, or refuse them while it is down."""
@@ -276,8 +288,8 @@
     def listen_argument(self, member: Member) -> str:
         """Return the address at which a service listens: any free port at first, then the same one again."""
         if member.process:
-            return text(member.process.address)
-        return text((f"{self.address_prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
+            return format_address(member.process.address)
+        return format_address((f"{self.address_prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
 
     async def start_registry(self, member: Member) -> Process:
         """Start the registry with its stored state."""
@@ -301,7 +313,7 @@
             "-m",
             "thistletrail.registry",
             "--follow",
-            text(relay.address),
+            format_address(relay.address),
             "--listen",
             self.listen_argument(member),
         )
@@ -363,11 +375,11 @@
         if member.process is None:
             host = self.listen_argument(member).rpartition(":")[0]
             member.listen_address = host, free_port(host=host)
-        arguments = (*arguments, text(member.listen_address), "--standby")
+        arguments = (*arguments, format_address(member.listen_address), "--standby")
         if member.process is None and member.number == 0:
             process, _ = await start_program(arguments, member.folder / "log")
         else:
-            process = await start_quiet(arguments, member.folder / "log", member.listen_address)
+            process = await start_without_waiting(arguments, member.folder / "log", member.listen_address)
         return process
 
     def lease_service_settings(self, gateway: str) -> dict[str, Any]:
@@ -380,7 +392,7 @@
             return {}
         lease_services = self.members_of("steward")
         relays = [
-            text(
+            format_address(
                 self.relay(
                     "doors-steward", gateway, service.name, service.process.address, RenewalRelay
                 ).address
@@ -427,13 +439,15 @@
         """Start a stub scan server, which registers through a relay."""
         relay = self.relay("servers-list", member.name, "list-0", self.members["list-0"].process.address)
         return await self.start_helper_process(
-            member, "thistletrail.fault_injection.stub_scan_server", service=text(relay.address)
+            member, "thistletrail.fault_injection.stub_scan_server", service=format_address(relay.address)
         )
 
     async def start_load_generator(self, member: Member) -> Process:
         """Start a load generator, which connects to the gateways through relays."""
         gateway_addresses = tuple(
-            text(self.relay("clients-doors", member.name, gateway.name, gateway.process.address).address)
+            format_address(
+                self.relay("clients-doors", member.name, gateway.name, gateway.process.address).address
+            )
             for gateway in self.members_of("doors")
         )
         return await self.start_helper_process(
@@ -446,7 +460,7 @@
         registries = [("list-0", "doors-list")]
         if self.plan.follower:  # the first address of every other gateway
             registries.insert(1 - number % 2, ("follower-0", "doors-follower"))
-        if not self.tree.many_lists:
+        if not self.tree.accepts_address_list:
             del registries[1:]
         relays = [
             self.relay(link, member.name, registry, self.members[registry].process.address)
@@ -454,22 +468,22 @@
         ]
         config = {
             "name": member.name,
-            "listen": text(self.listen_addresses[number]),
-            "discovery": ",".join(text(relay.address) for relay in relays),
+            "listen": format_address(self.listen_addresses[number]),
+            "discovery": ",".join(format_address(relay.address) for relay in relays),
             "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
-            "peer_listen": text(self.peer_listen_addresses[number]),
+            "peer_listen": format_address(self.peer_listen_addresses[number]),
             "known": {},
-            "peers": [text(address) for address in self.peers.addresses_for(number)],
+            "peers": [format_address(address) for address in self.peers.addresses_for(number)],
             "settings": self.world.settings(number),
             "clock_offset_ms": round(member.clock_offset_s * 1000),
             **({"state_dir": str(member.state_folder)} if self.plan.state else {}),
             **self.lease_service_settings(member.name),
             **self.extra_gateway_config,
         }
-        process = await start_door(self.tree, config, member.folder)
+        process = await start_gateway_process(self.tree, config, member.folder)
         try:
-            await process.ready()
+            await process.wait_until_ready()
         except BaseException:
             process.kill()
             await process.process.wait()
@@ -483,7 +497,7 @@
         """
         try:
             process = await member.start_process(member)
-        except BenchError as error:
+        except BenchmarkError as error:
             raise FaultInjectionError(f"{member.name}: {error}") from error
         member.process, member.is_exit_expected = process, False
         self.writer.note("started", who=member.name, cold=member.cold)
--- a/thistletrail/fault_injection/load_generator.py
+++ b/thistletrail/fault_injection/load_generator.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from thistletrail.benchmarks.callers import BODY, PING, Caller
+from thistletrail.benchmarks.load_generator import BODY, PING, GatewayClient
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.program import Order, ProcessConfig, handle_orders, run_program
 from thistletrail.fault_injection.realtime import RealClock, now_us, record_event_loop_lag
@@ -31,16 +31,16 @@
 REFUSED = "refused"  # outcome of a refused request; the retry delay in ms may follow it
 
 
-class GatewayConnection(Caller):
+class GatewayConnection(GatewayClient):
     """A connection to a gateway, which records data that are no answer to a request and then closes."""
 
     def __init__(self, generator: LoadGenerator) -> None:
         super().__init__()
         self.generator = generator
 
-    def word(self, mark: str, rest: bytes) -> str:
+    def parse_outcome(self, reply_type: str, rest: bytes) -> str:
         """Return the outcome of an answer, with the retry delay in ms if it is refused and has one."""
-        outcome = super().word(mark, rest)
+        outcome = super().parse_outcome(reply_type, rest)
         retry_after_ms = rest.removeprefix(b"BUSY").strip()
         return (
             f"{REFUSED} {int(retry_after_ms)}" if outcome == REFUSED and retry_after_ms.isdigit() else outcome
@@ -48,7 +48,7 @@
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
-        if self.buffer and not self.asked:
+        if self.buffer and not self.pending_answers:
             self.generator.writer.note("extra", data=repr(bytes(self.buffer[:80])))
             self.close()
 
@@ -73,7 +73,7 @@
         """Send a request over an idle or new connection, and report its outcome to the clients."""
         generator = self.generator
         try:
-            while self.idle_connections and not self.idle_connections[-1].usable():
+            while self.idle_connections and not self.idle_connections[-1].is_open():
                 self.idle_connections.pop()
             if self.idle_connections:
                 connection = self.idle_connections.pop()
@@ -89,7 +89,7 @@
             self.idle_connections.append(connection)
             return
         self.busy_connections[request.id] = connection
-        outcome = await connection.ask([generator.encode_command(request, self.number)])[0]
+        outcome = await connection.send_commands([generator.encode_command(request, self.number)])[0]
         self.busy_connections.pop(request.id, None)
         result, _, retry_after_ms = outcome.partition(" ")
         if result == "closed":
@@ -97,7 +97,7 @@
                 self.start_probing()
                 generator.clients.gateway_died(request)
             return
-        if connection.usable():
+        if connection.is_open():
             self.idle_connections.append(connection)
         if not request.is_over:
             generator.clients.answered(request, result, int(retry_after_ms or 0) * 1000, None, self)
@@ -141,7 +141,7 @@
                         _, connection = await generator.loop.create_connection(
                             lambda: GatewayConnection(generator), *self.address
                         )
-                        outcome = await connection.ask([PING])[0]
+                        outcome = await connection.send_commands([PING])[0]
                         connection.close()
                     if outcome == "pong":
                         generator.writer.note("pong", door=self.number)
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from thistletrail.benchmarks.process import Tree
+from thistletrail.benchmarks.process import GatewaySourceTree
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.fleet import Fleet, Member
 from thistletrail.fault_injection.history import (
@@ -126,10 +126,7 @@
             for number, member in enumerate(targets):
                 group.create_task(
                     self.inject_into_member(
-                        fault,
-                        member,
-                        spread_s * number / max(1, len(targets)),
-                        rng.uniform(*fault.back_s),
+                        fault, member, spread_s * number / max(1, len(targets)), rng.uniform(*fault.back_s)
                     )
                 )
         self.record_fault(index, fault, [member.name for member in targets], "undone")
@@ -254,7 +251,7 @@
 async def play(
     plan: Plan,
     seed: int,
-    tree: Tree,
+    tree: GatewaySourceTree,
     folder: Path,
     report_progress: ProgressCallback,
     extra_gateway_config: dict[str, Any] | None = None,
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -12,7 +12,7 @@
 import msgspec
 import uvloop
 
-from thistletrail.benchmarks.process import Tree
+from thistletrail.benchmarks.process import GatewaySourceTree
 from thistletrail.fault_injection.checks import RunHistory, Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.figures import Figures, compute_figures
@@ -40,7 +40,7 @@
 def play_once(
     plan: Plan,
     seed: int,
-    tree: Tree,
+    tree: GatewaySourceTree,
     report_progress: ProgressCallback,
     extra_gateway_config: dict[str, Any] | None = None,
 ) -> RunHistory:
@@ -65,7 +65,7 @@
 def run(
     plan: Plan,
     seed: int,
-    tree: Tree,
+    tree: GatewaySourceTree,
     report_progress: ProgressCallback,
     with_baseline: bool = True,
     extra_gateway_config: dict[str, Any] | None = None,
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from thistletrail.benchmarks.process import Tree
+from thistletrail.benchmarks.process import GatewaySourceTree
 from thistletrail.fault_injection.checks import Violation, check
 from thistletrail.fault_injection.errors import FaultInjectionError
 from thistletrail.fault_injection.plan import Fault, Plan, dump, verify
@@ -98,11 +98,9 @@
     elif kind == "full_disk":
         target = rng.choice(("list", *lease_services))
     links = (*DRAWN_LINKS, "doors-steward") if has_lease_service else DRAWN_LINKS
-    size = {
-        "delay": rng.uniform(1, 200),
-        "limit": rng.uniform(2e4, 1e6),
-        "slow": rng.uniform(1.5, 6),
-    }.get(kind, rng.uniform(0.05, 0.6))
+    size = {"delay": rng.uniform(1, 200), "limit": rng.uniform(2e4, 1e6), "slow": rng.uniform(1.5, 6)}.get(
+        kind, rng.uniform(0.05, 0.6)
+    )
     return Fault(
         kind=kind,
         at_s=at_s,
@@ -159,7 +157,7 @@
 def soak(
     seed: int,
     minutes: float,
-    tree: Tree,
+    tree: GatewaySourceTree,
     out: Path,
     report_progress: ProgressCallback,
     count: int | None = None,
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/world.py
@@ -48,7 +48,7 @@
         self.gateways: list[Any] = list(range(scenario.doors))
         self.demand = Demand(self)  # type: ignore[arg-type]
         self.clients: Any = None
-        self.takeover = Takeover(self)  # type: ignore[arg-type] - unused: gateways and lease service are real
+        self.takeover = Takeover(self)  # type: ignore[arg-type]  # unused: gateways and lease service are real
 
     def capacity(self) -> float:
         """Return the capacity of all scan servers, in cores of normal speed."""
