--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -43,7 +43,7 @@
 
 
 def error_line(args: list[str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> str:
-    """Return the one line that a call with invalid input prints to standard error."""
+    """Run the command line with invalid input, and return the one line that it prints to standard error."""
     monkeypatch.setattr(sys, "argv", ["benchmarks", *args])
     assert main() == 2
     output, errors = capsys.readouterr()
@@ -91,7 +91,7 @@
         assert f"port {port} is not free" in error_line(["cost", "--port", port], monkeypatch, capsys)
 
 
-def test_free_port_stays_reserved_between_starts_of_its_server() -> None:
+def test_free_port_stays_reserved_while_its_server_is_stopped() -> None:
     port = free_port()
 
     async def scenario() -> None:
@@ -99,7 +99,8 @@
             with (
                 socket.socket() as other,
                 pytest.raises(OSError),
-            ):  # as connections and other servers bind: without SO_REUSEADDR
+            ):
+                # Connections and other servers bind like this, without SO_REUSEADDR.
                 other.bind((HOST, port))
             owner = await asyncio.start_server(lambda reader, writer: None, HOST, port)
             with pytest.raises(OSError):
@@ -202,7 +203,7 @@
     assert all(map(has_ended, child_pids))
 
 
-def test_differences_are_computed_within_pairs() -> None:
+def test_differences_of_figures_are_computed_within_pairs() -> None:
     def load_run(load: str, us: float, idle: float | None) -> cost.LoadRun:
         return cost.LoadRun(load, 10, 10, 0, 0, us, 1, 2, idle, 0.5, 0.25, 0.0)
 
--- a/tests/test_benchmarks_work.py
+++ b/tests/test_benchmarks_work.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.usefixtures("long_deadlines")
 def test_all_requests_are_served_without_and_with_work_leases_and_a_work_item_logs_under_3000_bytes() -> None:
-    # One scan server for three requests: no request is queued, even if all arrive at once.
+    # A scan server for each three requests: none is queued, even if all requests arrive at once.
     load = replace(cost.with_request_count(LOADS["steady"], 60), servers=20)
     pairs = asyncio.run(work.run_pairs(WORKING_TREE, load, 1, 1))
     ((without, with_),) = pairs
@@ -44,7 +44,7 @@
 
 def test_every_renewal_of_several_gateways_is_granted_and_stays_below_its_size_limit() -> None:
     figures = asyncio.run(leases.measure(6, 4, 2, 2, 1))
-    # Four renewals for each gateway, less those that a busy machine has left out.
+    # Four renewals for each gateway, of which a busy machine may skip one.
     assert figures.renewals + figures.late >= 6 * 4 - 6 and figures.renewals > 0
     assert figures.granted == figures.renewals * figures.budgets
     assert figures.request_bytes < 60 + 4 * 80 and figures.response_bytes < 60 + 4 * 80
--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -1,4 +1,4 @@
-"""Cost counters compared with counts at clients and backends, and stage times under a simulated clock."""
+"""Cost counters, compared with counts at clients and backends, and stage times on a simulated clock."""
 
 import asyncio
 import json
@@ -160,31 +160,34 @@
 def test_datagrams_are_counted() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        ports = []
+        addresses = []
         for _ in range(2):
             transport, _ = await loop.create_datagram_endpoint(
                 asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
             )
-            ports.append(transport.get_extra_info("sockname"))
+            addresses.append(transport.get_extra_info("sockname"))
             transport.close()
         received: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
         counters = [CostCounters(), CostCounters()]
-        ends = [
-            PeerTransport(tuple(ports), number, received.put_nowait, counters[number]) for number in (0, 1)
+        transports = [
+            PeerTransport(tuple(addresses), number, received.put_nowait, counters[number])
+            for number in (0, 1)
         ]
-        for end, port in zip(ends, ports, strict=True):
+        for peer_transport, address in zip(transports, addresses, strict=True):
             await asyncio.sleep(0)
-            await loop.create_datagram_endpoint(lambda end=end: end, local_addr=port)
+            await loop.create_datagram_endpoint(
+                lambda peer_transport=peer_transport: peer_transport, local_addr=address
+            )
         for _ in range(3):
-            ends[0].send(SendPeerMessage(1, (QuotaMessage(7, 0, 0, 2),)))
+            transports[0].send(SendPeerMessage(1, (QuotaMessage(7, 0, 0, 2),)))
             await received.get()
-        ends[0].transport.sendto(b"nonsense", ports[1])
+        transports[0].transport.sendto(b"nonsense", addresses[1])
         while not counters[1].datagrams_dropped:
             await asyncio.sleep(0.001)
         assert counters[0].datagrams_out == counters[1].datagrams_in == 3
         assert counters[1].datagrams_dropped == 1
-        for end in ends:
-            end.close()
+        for peer_transport in transports:
+            peer_transport.close()
 
     run(scenario())
 
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -21,19 +21,19 @@
     """A parser that reports bad input as an error of one line."""
 
     def error(self, message: str) -> NoReturn:
-        """Raise a `BenchmarkError` in place of printing the usage and exiting."""
+        """Raise a `BenchmarkError` instead of printing the usage and exiting."""
         raise BenchmarkError(message)
 
 
 def bounded_integer(maximum: int) -> Any:  # noqa: ANN401 - argparse takes any callable
-    """Return a converter of arguments that accepts decimal integers from 1 to `maximum`."""
+    """Return a function for argparse that parses decimal integers from 1 to `maximum`."""
 
-    def read(text: str) -> int:
+    def parse(text: str) -> int:
         if not text.isascii() or not text.isdigit() or len(text) > 12 or not 1 <= int(text) <= maximum:
             raise argparse.ArgumentTypeError(f"'{text}' is no whole number from 1 to {maximum}")
         return int(text)
 
-    return read
+    return parse
 
 
 def build_parser() -> Parser:
@@ -42,51 +42,88 @@
         prog="benchmarks", description="Measure what a gateway costs, on loopback, with stub servers."
     )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    commands.add_parser("quickstart", help="start one gateway before stubs, and send one request through it")
-    costs = commands.add_parser("cost", help="processor time, memory and descriptors of requests")
-    costs.add_argument("--load", action="append", metavar="NAME", help=f"of {', '.join(LOADS)}; default: all")
-    costs.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
-    costs.add_argument(
-        "--requests", type=bounded_integer(cost.MAX_REQUESTS), metavar="N", help="of each load"
-    )
-    costs.add_argument("--port", type=bounded_integer(65535), default=0, metavar="N", help="for the gateway")
-    costs.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
-    costs.add_argument("--against", metavar="REV", help="run another revision in turns with this tree")
-    costs.add_argument("--pairs", type=bounded_integer(MAX_PAIRS), default=5, metavar="N", help="of runs")
-    registry_ = commands.add_parser("registry", help="what watchers, changes and renewals cost the registry")
-    registry_.add_argument("--watchers", type=bounded_integer(900), default=200, metavar="N")
-    registry_.add_argument("--instances", type=bounded_integer(2000), default=200, metavar="N")
-    registry_.add_argument("--changes", type=bounded_integer(10_000), default=50, metavar="N")
-    registry_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
-    registry_.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
-    takeover_ = commands.add_parser(
+    commands.add_parser(
+        "quickstart", help="start one gateway in front of stub servers, and send it one request"
+    )
+    cost_parser = commands.add_parser(
+        "cost", help="what requests cost a gateway: processor time, memory, descriptors"
+    )
+    cost_parser.add_argument(
+        "--load",
+        action="append",
+        metavar="NAME",
+        help=f"run this load only; may be repeated: {', '.join(LOADS)}",
+    )
+    cost_parser.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    cost_parser.add_argument(
+        "--requests", type=bounded_integer(cost.MAX_REQUESTS), metavar="N", help="requests in each load"
+    )
+    cost_parser.add_argument(
+        "--port",
+        type=bounded_integer(65535),
+        default=0,
+        metavar="N",
+        help="port of the gateway; default: any free one",
+    )
+    cost_parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    cost_parser.add_argument(
+        "--against", metavar="REV", help="compare with a revision, in turns with this tree"
+    )
+    cost_parser.add_argument(
+        "--pairs", type=bounded_integer(MAX_PAIRS), default=5, metavar="N", help="pairs of runs"
+    )
+    registry_parser = commands.add_parser(
+        "registry", help="what watchers, changes and renewals cost the registry"
+    )
+    registry_parser.add_argument(
+        "--watchers", type=bounded_integer(900), default=200, metavar="N", help="number of watchers"
+    )
+    registry_parser.add_argument(
+        "--instances", type=bounded_integer(2000), default=200, metavar="N", help="number of leased instances"
+    )
+    registry_parser.add_argument(
+        "--changes", type=bounded_integer(10_000), default=50, metavar="N", help="number of measured changes"
+    )
+    registry_parser.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    registry_parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    takeover_parser = commands.add_parser(
         "takeover", help="what work leases cost the gateway and the lease service"
     )
-    takeover_.add_argument("--load", choices=sorted(LOADS), default="steady")
-    takeover_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
-    takeover_.add_argument(
-        "--requests", type=bounded_integer(cost.MAX_REQUESTS), metavar="N", help="of each run"
+    takeover_parser.add_argument("--load", choices=sorted(LOADS), default="steady")
+    takeover_parser.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    takeover_parser.add_argument(
+        "--requests", type=bounded_integer(cost.MAX_REQUESTS), metavar="N", help="requests in each run"
     )
-    takeover_.add_argument("--pairs", type=bounded_integer(MAX_PAIRS), default=3, metavar="N", help="of runs")
-    takeover_.add_argument(
+    takeover_parser.add_argument(
+        "--pairs", type=bounded_integer(MAX_PAIRS), default=3, metavar="N", help="pairs of runs"
+    )
+    takeover_parser.add_argument(
         "--pieces",
         type=bounded_integer(10**6),
         default=10_000,
         metavar="N",
-        help="work items at the lease service alone",
+        help="work items sent to the lease service alone",
+    )
+    takeover_parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    leases_parser = commands.add_parser(
+        "leases", help="what renewals of budget leases cost the lease service"
     )
-    takeover_.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
-    leases_ = commands.add_parser("leases", help="what renewals of budget leases cost the lease service")
-    leases_.add_argument("--holders", type=bounded_integer(900), default=200, metavar="N", help="gateways")
-    leases_.add_argument(
-        "--budgets", type=bounded_integer(2000), default=20, metavar="N", help="of each renewal"
+    leases_parser.add_argument(
+        "--holders", type=bounded_integer(900), default=200, metavar="N", help="number of gateways"
     )
-    leases_.add_argument(
-        "--rate", type=bounded_integer(100), default=3, metavar="N", help="renewals a second of each"
+    leases_parser.add_argument(
+        "--budgets", type=bounded_integer(2000), default=20, metavar="N", help="budgets in each renewal"
+    )
+    leases_parser.add_argument(
+        "--rate",
+        type=bounded_integer(100),
+        default=3,
+        metavar="N",
+        help="renewals per second of each gateway",
     )
-    leases_.add_argument("--seconds", type=bounded_integer(600), default=5, metavar="N")
-    leases_.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
-    leases_.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
+    leases_parser.add_argument("--seconds", type=bounded_integer(600), default=5, metavar="N")
+    leases_parser.add_argument("--seed", type=bounded_integer(1 << 30), default=1, metavar="N")
+    leases_parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures to a file")
     return parser
 
 
@@ -97,7 +134,7 @@
 
 async def run_takeover(args: argparse.Namespace) -> None:
     """Run the command `takeover`, print its table and write its JSON file."""
-    from thistletrail.benchmarks import work  # needs packages that a gateway does not
+    from thistletrail.benchmarks import work  # it imports packages that a gateway does not need
 
     if args.json:
         check_writable(args.json)
@@ -111,7 +148,7 @@
 
 async def run_leases(args: argparse.Namespace) -> None:
     """Run the command `leases`, print its table and write its JSON file."""
-    from thistletrail.benchmarks import leases  # needs packages that a gateway does not
+    from thistletrail.benchmarks import leases  # it imports packages that a gateway does not need
 
     if args.json:
         check_writable(args.json)
@@ -155,7 +192,7 @@
 
 async def run_registry(args: argparse.Namespace) -> None:
     """Run the command `registry`, print its table and write its JSON file."""
-    from thistletrail.benchmarks import registry  # needs packages that a gateway does not
+    from thistletrail.benchmarks import registry  # it imports packages that a gateway does not need
 
     if args.json:
         check_writable(args.json)
@@ -166,7 +203,7 @@
 
 
 def check_writable(path: Path) -> None:
-    """Raise a `BenchmarkError` before the runs if their figures could not be written to `path`."""
+    """Raise a `BenchmarkError`, before any run, if the figures cannot be written to `path`."""
     try:
         with path.open("a"):
             pass
--- a/thistletrail/benchmarks/cost.py
+++ b/thistletrail/benchmarks/cost.py
@@ -16,13 +16,10 @@
 from thistletrail.benchmarks.process import GatewaySourceTree, Process, free_port, running_gateway_process
 from thistletrail.benchmarks.stub_servers import HOST, Address, StubServers, format_address
 
-PLAN = {
-    "name": "standard",
-    "units-per-s": 100.0,
-    "burst": 200.0,
-}  # large enough that no request is refused for its quota
+# A quota so large that no request is refused for it.
+PLAN = {"name": "standard", "units-per-s": 100.0, "burst": 200.0}
 SAMPLE_INTERVAL_S = 0.02  # between samples of the open file descriptors
-SETTLE_TIME_S = 0.2  # from the start of a gateway to its first measurement
+SETTLE_TIME_S = 0.2  # from the time at which a gateway serves to its first measurement
 MAX_REQUESTS = 200_000  # in one run of a load
 SETTINGS = {
     "me": 0,
@@ -67,7 +64,7 @@
 }
 
 
-# Names of the compared figures in printed tables.
+# Labels of the compared figures in printed tables.
 FIGURE_LABELS = {
     "processor_us": "CPU us/request",
     "resident_end": "RSS bytes at end",
@@ -80,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadRun:
-    """The figures of one run of a load. A figure that was not measured is None."""
+    """The figures of one run of a load; None for those that it did not measure."""
 
     load: str
     requests: int
@@ -91,14 +88,14 @@
     resident_start: int  # bytes of resident memory
     resident_end: int  # bytes
     resident_idle: float | None  # bytes per idle connection
-    descriptors: float  # per open request, at the largest number of open requests
+    descriptors: float  # open file descriptors per open request, at the largest number of open requests
     handshakes: float  # connections opened to scan servers, per request
     datagrams: float  # datagrams sent to the peer, per request
     stages_us: dict[str, float] | None = None  # by stage, per request, in a run with `time_stages`
 
     @property
     def figures(self) -> dict[str, float]:
-        """The figures by which two revisions are compared; those that were not measured are left out."""
+        """The figures by which two revisions are compared, without those that are None."""
         figures = {
             "processor_us": self.processor_us,
             "resident_end": self.resident_end,
@@ -135,7 +132,7 @@
         self.max_open_requests, self.max_descriptors = 0, 0
 
     async def sample(self) -> None:
-        """Take samples until the task is cancelled."""
+        """Take samples until cancelled."""
         while True:
             open_requests = self.load_generator.open_requests
             if open_requests > self.max_open_requests:
@@ -146,7 +143,7 @@
 async def run_load(
     tree: GatewaySourceTree, load: Load, seed: int, port: int = 0, timed: bool = False
 ) -> LoadRun:
-    """Run a load against a gateway that is started for it alone; port 0 stands for any free port."""
+    """Run a load against a gateway that is started for it alone; with port 0 it gets any free port."""
     stubs = StubServers(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as folder:
         try:
@@ -163,7 +160,7 @@
 async def measure(
     tree: GatewaySourceTree, process: Process, stubs: StubServers, load: Load, seed: int, timed: bool
 ) -> LoadRun:
-    """Run a load against a gateway that serves, and return the figures of the run."""
+    """Run a load against a gateway that is already serving, and return the figures."""
     load_generator = LoadGenerator(load, seed, process.address)
     try:
         await asyncio.sleep(SETTLE_TIME_S)
@@ -213,7 +210,7 @@
 async def measure_costs(
     tree: GatewaySourceTree, loads: Iterable[Load], seed: int, port: int
 ) -> list[LoadRun]:
-    """Run each load once for the figures, and again for the stages, as timing them uses processor time."""
+    """Run each load once for the figures, and again to time the stages, which itself uses processor time."""
     runs = []
     for load in loads:
         plain = await run_load(tree, load, seed, port)
@@ -241,7 +238,7 @@
 
 
 def with_request_count(load: Load, requests: int | None) -> Load:
-    """Return the load with another number of requests; unchanged if that is None."""
+    """Return the load with this number of requests, or unchanged if it is None."""
     return replace(load, requests=requests) if requests else load
 
 
@@ -249,7 +246,7 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Return an aligned text table, with the first column to the left and the others to the right."""
+    """Return a text table with the first column aligned to the left and the others to the right."""
     lines = [head, *rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
     return "\n".join(
@@ -312,7 +309,7 @@
 
 
 def differences(pairs: Sequence[tuple[LoadRun, LoadRun]]) -> list[dict[str, Any]]:
-    """Return, for each load and figure, both means and the mean, range and deviation of ours minus theirs."""
+    """Return by load and figure both means, and mean, range and standard deviation of ours minus theirs."""
     rows = []
     for load in dict.fromkeys(ours.load for ours, _ in pairs):
         load_pairs = [pair for pair in pairs if pair[0].load == load]
--- a/thistletrail/benchmarks/errors.py
+++ b/thistletrail/benchmarks/errors.py
@@ -2,4 +2,4 @@
 
 
 class BenchmarkError(Exception):
-    """Invalid input, or a process that cannot be measured; the text is one line."""
+    """The input is invalid, or a process cannot be started or measured; the text is one line."""
--- a/thistletrail/benchmarks/holders.py
+++ b/thistletrail/benchmarks/holders.py
@@ -1,8 +1,8 @@
-"""A holder of budget leases as a separate process: it renews and spends them, and records both for a test.
+"""A holder of budget leases as a separate process: renews and spends them, and records both for a test.
 
 Its argument is the path of its settings. It spends one unit of each rate whenever its token bucket has one,
-and records each adopted grant with the time until which it may be used, so that a test can add up what all
-holders could use at any moment. It runs until it is ended.
+and records each grant that it starts to use, with the time until which it may be used, so that a test can
+add up what all holders could use at any moment. It runs until it is killed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from thistletrail.leasing.client import LeaseRenewer, ServiceSettings
 from thistletrail.leasing.framing import now_ms
 
-WAITING_UNITS = 10  # units that wait for a rate budget, in each renewal
+WAITING_UNITS = 10  # units that each renewal states as waited for, of each budget with a rate
 SPEND_INTERVAL_S = 0.01
 
 
@@ -68,14 +68,14 @@
             self.holder.set_demand(name, limits, demand, now_ms())
 
     def record_grants(self) -> None:
-        """Record grants that were adopted since the last call, and those whose lease was renewed."""
+        """Record the grants that are new since the last call, renewed ones included."""
         for name, lease in self.holder.leases.items():
             if lease.fence != self.recorded_fences.get(name):
                 self.recorded_fences[name] = lease.fence
                 self.record("held", budget=name, part=lease.share, until=lease.until_ms, fence=lease.fence)
 
     async def run(self) -> None:
-        """Renew and spend until cancelled."""
+        """Renew and spend the leases until cancelled."""
         renewer = LeaseRenewer(
             self.holder,
             ServiceSettings(self.settings.addresses, self.settings.secret.encode(), self.settings.lease_ms),
--- a/thistletrail/benchmarks/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -25,7 +25,7 @@
 
 RATE, BURST = 15.0, 30  # units a second and units of each budget: the largest plan of the operators' site
 GATEWAYS_PER_CUSTOMER = 17  # gateways that share a budget: the middle of the site's large fleets
-WAITING_SHARE = 0.3  # share of the budgets of a renewal that have requests waiting
+WAITING_SHARE = 0.3  # share of the budgets in a renewal for whose units a request waits
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     """Budgets in each renewal."""
     renewals: int
     late: int
-    """Renewals that were left out, as the previous one was unanswered when they were due."""
+    """Renewals that were skipped, as the previous one was still unanswered when they were due."""
     granted: int
     cpu_us: float
     """Processor time of the lease service for each renewal, in microseconds."""
@@ -70,7 +70,7 @@
 
 
 class RenewingHolder:
-    """One gateway's renewals at fixed times; one that is due while another is unanswered is left out."""
+    """One gateway's renewals at fixed intervals; one that is due while another is unanswered is skipped."""
 
     def __init__(
         self, number: int, budgets: list[str], connection: RenewalConnection, secret: bytes, seed: int
@@ -120,10 +120,10 @@
     """
     with TemporaryDirectory(prefix="bench-") as folder_name:
         folder = Path(folder_name)
-        text = f'doors = {holders}\n[[budgets]]\nname = "quota/*"\nrate = {RATE}\nburst = {BURST}\n'
-        (folder / "begin.toml").write_text(text)
+        config_text = f'doors = {holders}\n[[budgets]]\nname = "quota/*"\nrate = {RATE}\nburst = {BURST}\n'
+        (folder / "begin.toml").write_text(config_text)
         begin_history(folder / "state", read_config(folder / "begin.toml"))
-        async with running_lease_service(folder, seed, text) as process:
+        async with running_lease_service(folder, seed, config_text) as process:
             secret = (folder / "secret").read_bytes()
             renewing = [
                 RenewingHolder(
@@ -165,7 +165,7 @@
     return "\n".join(
         [
             f"{figures.holders} gateways, {figures.budgets} budgets each: {figures.renewals} renewals, "
-            f"{figures.late} left out as late, "
+            f"{figures.late} skipped as late, "
             f"{figures.granted} grants",
             f"the lease service: {figures.cpu_us:.0f} us of processor time a renewal, "
             f"{1e6 / figures.cpu_us:.0f} renewals a second of one core",
--- a/thistletrail/benchmarks/load_generator.py
+++ b/thistletrail/benchmarks/load_generator.py
@@ -28,7 +28,7 @@
 
     @classmethod
     async def open(cls, address: Address) -> "GatewayClient":
-        """Connect to a gateway; OSError if that fails."""
+        """Connect to a gateway; raises OSError if that fails."""
         _, client = await asyncio.get_running_loop().create_connection(cls, *address)
         return client
 
@@ -70,7 +70,7 @@
         return self.parse_outcome(reply_type, rest)
 
     def parse_outcome(self, reply_type: str, rest: bytes) -> str:
-        """Return the outcome of an answer, given the type byte and the rest of its first line."""
+        """Return the outcome of an answer from its type byte and the rest of its first line."""
         return {"$": "served", "+": "pong"}.get(reply_type) or (
             "refused" if rest.startswith(b"BUSY") else "failed"
         )
@@ -92,26 +92,28 @@
 
 
 class LoadGenerator:
-    """Sends the requests of a load. Each uses a free connection if there is one, else a new one."""
+    """Sends the requests of a load, each on a free connection if there is one, else on a new one."""
 
     def __init__(self, load: Load, seed: int, address: Address) -> None:
         self.load, self.random, self.address = load, random.Random(seed), address
         self.free_connections: list[GatewayClient] = []
         self.idle_connections: list[GatewayClient] = []
         self.outcomes: Counter[str] = Counter()
-        self.open_requests = 0  # requests without an answer so far
-        self.write_latencies_us: list[int] = []  # of each served SVC.SUBMIT, from sending to answer
-        self.serial = 0
+        self.open_requests = 0  # requests that are sent or due, and not answered
+        self.write_latencies_us: list[int] = []  # time from sending to answer of each served SVC.SUBMIT
+        self.request_number = 0
 
     def next_command(self) -> bytes:
         """Draw the next request and return its encoded command."""
-        self.serial += 1
+        self.request_number += 1
         customer = b"%016x" % (1 + self.random.randrange(CUSTOMER_COUNT))
-        name = b"%016x" % self.serial
+        request_id = b"%016x" % self.request_number
         fields = b"t=standard,d=%d,units=1,spread=2,first=0" % REQUEST_DEADLINE_MS
         if self.random.random() < 0.56:  # the share of reads at the Trust's scan service
-            return encode([b"SVC.QUERY", customer, name, b"c=view-sheet," + fields])
-        return encode([b"SVC.SUBMIT", customer, name, b"c=submit-record,k=%b,%b" % (name, fields), BODY])
+            return encode([b"SVC.QUERY", customer, request_id, b"c=view-sheet," + fields])
+        return encode(
+            [b"SVC.SUBMIT", customer, request_id, b"c=submit-record,k=%b,%b" % (request_id, fields), BODY]
+        )
 
     async def open_idle_connections(self) -> None:
         """Open the connections that stay idle during the load; each sends one request first."""
@@ -157,7 +159,7 @@
 
     @staticmethod
     async def wait_for_outcomes(answers: list[asyncio.Future[str]]) -> list[str]:
-        """Wait `ANSWER_TIMEOUT_S` at most; the outcome of a missing answer is "unanswered"."""
+        """Wait for `ANSWER_TIMEOUT_S` at most; the outcome without an answer is "unanswered"."""
         await asyncio.wait(answers, timeout=ANSWER_TIMEOUT_S)
         return [future.result() if future.done() else "unanswered" for future in answers]
 
--- a/thistletrail/benchmarks/loads.py
+++ b/thistletrail/benchmarks/loads.py
@@ -1,22 +1,22 @@
-"""The loads of the cost runs: number and rate of requests, and the fleet of stub scan servers."""
+"""The loads of the benchmarks: number and rate of requests, and the fleet of stub scan servers."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A bounded load. Requests are sent open-loop, at intervals drawn from the seed."""
+    """A load. Requests are sent at random intervals, whether or not earlier ones have been answered."""
 
     name: str
     description: str
-    requests: int
+    requests: int  # in total
     rate: float  # requests per second
     pipelined: int = 1  # requests written at once on one connection
     idle: int = 0  # connections that send one request before the load and then stay open
     servers: int = 8  # stub scan servers
-    max_concurrent: int = 4  # requests that a scan server works on at once, the others are queued
+    max_concurrent: int = 4  # requests that a scan server works on at once; others are queued
     max_queued: int = 16  # requests queued at a scan server; more are rejected
-    work_ms: float = 8.0  # the mean time of a request at its scan server
+    work_ms: float = 8.0  # mean time for which a scan server works on a request
     replace_every_s: float = 0.0  # interval at which a scan server is replaced; 0: never
 
     @property
@@ -29,10 +29,10 @@
     load.name: load
     for load in (
         Load("steady", "one request at a time on each connection", requests=2000, rate=400),
-        Load("thin", "the low rate at one gateway of a large fleet", requests=400, rate=40),
+        Load("thin", "a low rate, as at one gateway of a large fleet", requests=400, rate=40),
         Load(
             "idle",
-            "as `steady`, with many idle connections beside it",
+            "as `steady`, with many idle connections in addition",
             requests=2000,
             rate=400,
             idle=500,
--- a/thistletrail/benchmarks/process.py
+++ b/thistletrail/benchmarks/process.py
@@ -1,4 +1,4 @@
-"""Starts a gateway as a process from a source tree, and measures that process from outside."""
+"""Starts gateways and other programs as processes, and measures these processes from outside."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 from thistletrail.benchmarks.stub_servers import HOST, Address
 from thistletrail.process_lifetime import die_with_parent
 
-READY_TIMEOUT_S = 20.0  # for a gateway to answer PING; long, as machines may be slow
+READY_TIMEOUT_S = 20.0  # until a gateway answers PING; long, as machines may be slow
 DRAIN_TIMEOUT_S = 10.0  # for a graceful shutdown after SIGTERM
 BUILD_TIMEOUT_S = 300.0
 COST_LINE_TIMEOUT_S = 5.0  # for a `costs` line in the log after SIGUSR1
@@ -38,11 +38,12 @@
     """The sources of one revision, with the command that starts a gateway from them."""
 
     root: Path
-    start_command: str  # for a shell, with `root` as its working directory
+    start_command: str  # a shell command with `root` as its working directory
     # Whether the gateway logs a `costs` line on SIGUSR1; in revisions without that, the signal ends it.
     logs_costs: bool
-    accepts_address_list: bool = True  # whether `discovery` may hold several addresses
-    # Whether the configuration has the keys `budget_leases` and `work_leases`; else `steward` and `takeover`.
+    # Whether `discovery` may hold several addresses.
+    accepts_address_list: bool = True
+    # Whether the keys of the configuration are `budget_leases` and `work_leases`; else `steward`, `takeover`.
     has_lease_keys: bool = True
 
 
@@ -60,7 +61,7 @@
     """Run git in this repository and return its standard output; BenchmarkError if git fails."""
     completed = subprocess.run(["git", "-C", str(ROOT), *arguments], capture_output=True, check=False)
     if completed.returncode:
-        raise BenchmarkError(f"git {arguments[0]}: {last_line(completed.stderr)}")
+        raise BenchmarkError(f"git {arguments[0]} failed: {last_line(completed.stderr)}")
     return completed.stdout
 
 
@@ -116,8 +117,10 @@
         with tarfile.open(fileobj=io.BytesIO(git("archive", commit))) as archive:
             archive.extractall(root, filter="data")
         environment = ROOT / ".venv"
-        same = (root / "requirements.txt").read_bytes() == (ROOT / "requirements.txt").read_bytes()
-        if same and environment.exists():
+        has_same_requirements = (root / "requirements.txt").read_bytes() == (
+            ROOT / "requirements.txt"
+        ).read_bytes()
+        if has_same_requirements and environment.exists():
             (root / ".venv").symlink_to(environment)
         yield build_source_tree(root)
 
@@ -174,7 +177,7 @@
             fields = (self.proc_folder / "stat").read_text().rpartition(")")[2].split()
             return (int(fields[11]) + int(fields[12])) * 1e6 / os.sysconf("SC_CLK_TCK")
         except (OSError, ValueError, IndexError) as error:
-            raise BenchmarkError(f"the gateway has ended: {self.last_line()}") from error
+            raise BenchmarkError(f"the process has ended: {self.last_line()}") from error
 
     def resident_bytes(self) -> int:
         """Return the resident memory; BenchmarkError if the process has ended."""
@@ -184,14 +187,14 @@
                     return int(line.split()[1]) * KIB
         except OSError:
             pass
-        raise BenchmarkError(f"the gateway has ended: {self.last_line()}")
+        raise BenchmarkError(f"the process has ended: {self.last_line()}")
 
     def descriptor_count(self) -> int:
         """Return the number of open file descriptors; BenchmarkError if the process has ended."""
         try:
             return len(os.listdir(self.proc_folder / "fd"))
         except OSError:
-            raise BenchmarkError(f"the gateway has ended: {self.last_line()}") from None
+            raise BenchmarkError(f"the process has ended: {self.last_line()}") from None
 
     def last_line(self) -> str:
         """Return the last line of the log."""
@@ -203,14 +206,14 @@
         return [json.loads(line.partition(" costs ")[2]) for line in lines if " costs {" in line]
 
     async def cost_report(self) -> dict[str, Any]:
-        """Make a gateway log its cost counters by SIGUSR1, and return them."""
-        known = len(self.cost_reports())
+        """Send SIGUSR1 to a gateway, which then logs its cost counters, and return them."""
+        report_count = len(self.cost_reports())
         self.process.send_signal(signal.SIGUSR1)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(COST_LINE_TIMEOUT_S):
-                while len(self.cost_reports()) == known:
+                while len(self.cost_reports()) == report_count:
                     await asyncio.sleep(POLL_INTERVAL_S)
-                return self.cost_reports()[known]
+                return self.cost_reports()[report_count]
         raise BenchmarkError(f"the gateway logged no `costs` line within {COST_LINE_TIMEOUT_S:g} s")
 
     async def wait_until_ready(self) -> None:
@@ -242,7 +245,7 @@
 
 
 async def start_gateway_process(tree: GatewaySourceTree, config: dict[str, Any], folder: Path) -> Process:
-    """Start a gateway and return at once. Its output is appended to the file `log` in `folder`."""
+    """Start a gateway and return before it serves. Its output is appended to the file `log` in `folder`."""
     file, log = folder / "config.json", folder / "log"
     file.write_text(json.dumps(config))
     env = {name: text for name, text in os.environ.items() if not name.startswith("PROXY_")}
@@ -255,7 +258,7 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=output,
             stderr=output,
-            start_new_session=True,  # a process group of its own, killed as one
+            start_new_session=True,  # a process group of its own, so that `kill` ends all of it
             preexec_fn=partial(die_with_parent, os.getpid()),
         )
     return Process(process, log, (host, int(port)))
@@ -265,7 +268,7 @@
 async def running_gateway_process(
     tree: GatewaySourceTree, config: dict[str, Any], folder: Path
 ) -> AsyncIterator[Process]:
-    """A gateway that serves during the block. No process of it remains after the block, also on errors."""
+    """Run a gateway during the block; no process of it remains afterwards, also after an error."""
     process = await start_gateway_process(tree, config, folder)
     try:
         await process.wait_until_ready()
@@ -294,22 +297,22 @@
 
 
 async def start_without_waiting(arguments: Sequence[str], log: Path, address: Address) -> Process:
-    """Start a program that serves at `address` at a later time, as a standby does, and return at once."""
+    """Start a program that will serve at `address` later, as a standby does, and return at once."""
     return Process(await spawn_python(arguments, log, stdout=asyncio.subprocess.DEVNULL), log, address)
 
 
 async def start_program(arguments: Sequence[str], log: Path, **options: Any) -> tuple[Process, str]:  # noqa: ANN401
     """Start one of the project's programs and return it with the line that it prints once it serves.
 
-    An address at the end of the line is stored in the process. BenchmarkError if the program ends before or
-    does not serve within `READY_TIMEOUT_S`.
+    An address at the end of the line is stored in the process. BenchmarkError if the program ends before it
+    serves, or does not serve within `READY_TIMEOUT_S`.
     """
     child = await spawn_python(arguments, log, stdout=asyncio.subprocess.PIPE, **options)
     process = Process(child, log, (HOST, 0))
     try:
         line = (await asyncio.wait_for(child.stdout.readline(), READY_TIMEOUT_S)).decode().strip()
         if not line:
-            raise BenchmarkError(f"'{' '.join(arguments[:2])}' does not start: {process.last_line()}")
+            raise BenchmarkError(f"'{' '.join(arguments[:2])}' did not start: {process.last_line()}")
         host, _, port = line.split()[-1].rpartition(":")
         if port.isdecimal():
             process.address = host, int(port)
@@ -319,5 +322,5 @@
         await child.wait()
         if isinstance(error, TimeoutError):
             command = " ".join(arguments[:2])
-            raise BenchmarkError(f"'{command}' does not start in {READY_TIMEOUT_S:g} s") from None
+            raise BenchmarkError(f"'{command}' did not serve within {READY_TIMEOUT_S:g} s") from None
         raise
--- a/thistletrail/benchmarks/quickstart.py
+++ b/thistletrail/benchmarks/quickstart.py
@@ -1,4 +1,4 @@
-"""Sends one request through a gateway with stub scan servers, as a first demonstration of the program.
+"""Sends one request through a gateway to stub scan servers, as a first demonstration.
 
 Everything runs on loopback at ports that the system chooses, and ends with the command.
 """
@@ -31,7 +31,7 @@
 
     address: str
     servers: int
-    answer: str  # "served", "refused" or "failed"
+    answer: str  # "served", "refused", "failed" or "closed"
     attempts: int
 
 
@@ -60,7 +60,7 @@
 def describe(outcome: Outcome) -> str:
     """Return the outcome as the lines that the command prints."""
     return (
-        f"a gateway serves at {outcome.address}, before {outcome.servers} stub scan servers\n"
+        f"a gateway serves at {outcome.address}, in front of {outcome.servers} stub scan servers\n"
         f"request: {b' '.join(COMMAND).decode()}\n"
         f"answer: {outcome.answer}, after {outcome.attempts} attempt(s)"
     )
--- a/thistletrail/benchmarks/registry.py
+++ b/thistletrail/benchmarks/registry.py
@@ -1,4 +1,4 @@
-"""The cost of the registry: many watchers and leased instances, one change at a time, and a restart."""
+"""The cost of the service registry: many watchers and leased instances, changes one at a time, a restart."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 """Time for all watchers to receive a change, or to connect again after a restart."""
 
 RENEWALS_PER_INSTANCE = 10
-"""Number of renewals of each instance over which the mean cost is taken."""
+"""Number of renewals of each instance, over which the cost of one is averaged."""
 
 LEASE_MS = 600_000
-"""Length of a lease: so long that no instance renews by itself during a run."""
+"""Duration of a lease: so long that no instance renews by itself during a run."""
 
 RECONNECT_BUCKET_S = 0.5
-"""Width of the histogram of reconnects after the restart."""
+"""Width of a bucket in the histogram of reconnects after the restart."""
 
 RECONNECT_POLL_S = 0.05
 """Interval between checks whether all watchers are connected again."""
 
 MAX_LINE_BYTES = 1 << 24
-"""Largest size of one update: far above the complete endpoint list of the largest run."""
+"""Maximum size of one update: far above the complete endpoint list of the largest run."""
 
 INSTANCES_PER_SUBNET = 250
-"""Instances with consecutive made-up addresses, before the third octet counts up."""
+"""Instances whose made-up addresses share the first three octets."""
 
 BYTES_PER_KIB = 1024
 MS_PER_SECOND = 1000
@@ -52,6 +52,7 @@
     watchers: int
     instances: int
     write_to_last_ms: list[float]
+    """For each change, the time from the write until the last watcher received it."""
     bytes_a_change: float
     memory_a_watcher: float
     cpu_a_renewal_us: float
@@ -60,7 +61,7 @@
 
 
 class Watcher:
-    """One watch, read as bytes and resumed with full jitter when it ends."""
+    """One watch, whose JSON is not decoded; it is resumed after a backoff with full jitter when it ends."""
 
     def __init__(self, address: Address, generator: random.Random) -> None:
         self.received_bytes = 0
@@ -101,7 +102,7 @@
             self._changed.set()
 
     async def wait_for_generation(self, generation: int) -> float:
-        """Return the monotonic time at which the watcher had that generation."""
+        """Wait until the watcher has received this generation, and return the monotonic time."""
         while self.generation < generation:
             self._changed.clear()
             await self._changed.wait()
@@ -109,14 +110,14 @@
 
 
 async def wait_for_all(watchers: Sequence[Watcher], generation: int) -> list[float]:
-    """Return when each watcher had that generation; raises `TimeoutError` after `WAIT_TIMEOUT_S`."""
+    """Return when each watcher received this generation; raises `TimeoutError` after `WAIT_TIMEOUT_S`."""
     waits = (watcher.wait_for_generation(generation) for watcher in watchers)
     return await asyncio.wait_for(asyncio.gather(*waits), WAIT_TIMEOUT_S)
 
 
 @contextlib.asynccontextmanager
 async def registry_process(folder: Path, port: int) -> AsyncIterator[Process]:
-    """Run a registry as a process of its own, which ends with the block."""
+    """Run a service registry as a separate process during the block."""
     data = str(folder / "list")
     listen = f"{HOST}:{port}"
     process, _ = await start_program(
@@ -133,7 +134,7 @@
 async def register_instances(
     stack: contextlib.AsyncExitStack, address: Address, count: int
 ) -> list[Registration]:
-    """Register so many instances at made-up addresses; the stack closes their registrations."""
+    """Register `count` instances at made-up addresses; the stack closes their registrations."""
     registrations = []
     for number in range(count):
         subnet, host = divmod(number, INSTANCES_PER_SUBNET)
@@ -150,7 +151,7 @@
 def start_watchers(
     stack: contextlib.AsyncExitStack, address: Address, count: int, seed: int
 ) -> list[Watcher]:
-    """Start so many watchers in the background; the stack cancels them."""
+    """Start `count` watchers in the background; the stack cancels them."""
     watchers = [Watcher(address, random.Random(seed + number)) for number in range(count)]
     for watcher in watchers:
         task = asyncio.create_task(watcher.run())
@@ -161,7 +162,7 @@
 async def measure_changes(
     registrations: Sequence[Registration], watchers: Sequence[Watcher], count: int
 ) -> list[float]:
-    """Change one instance at a time; return the milliseconds until the last watcher had each change."""
+    """Change one instance at a time; return for each change the ms until the last watcher received it."""
     times_ms = []
     for number in range(count):
         round_number, index = divmod(number, len(registrations))
@@ -177,7 +178,7 @@
 
 
 async def measure_renewals(process: Process, registrations: Sequence[Registration]) -> float:
-    """Renew every lease several times; return the process's microseconds of processor time for one."""
+    """Renew each lease several times; return the registry's processor time per renewal in microseconds."""
     used_before_us = process.processor_us()
     for _ in range(RENEWALS_PER_INSTANCE):
         for registration in registrations:
@@ -218,16 +219,16 @@
 
 
 async def measure(watchers: int, instances: int, changes: int, seed: int) -> Figures:
-    """Measure a registry process under watchers, changes and renewals, and across a restart."""
+    """Measure a registry process with watchers, changes and renewals, and over a restart."""
     with TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
         async with contextlib.AsyncExitStack() as stack:
             process = await stack.enter_async_context(registry_process(folder, 0))
             registrations = await register_instances(stack, process.address, instances)
-            memory_before = process.resident_bytes()
+            memory_before_bytes = process.resident_bytes()
             watching = start_watchers(stack, process.address, watchers, seed)
             await wait_for_all(watching, registrations[-1].generation)
-            memory_per_watcher = (process.resident_bytes() - memory_before) / watchers
+            memory_per_watcher = (process.resident_bytes() - memory_before_bytes) / watchers
             received_before = sum(watcher.received_bytes for watcher in watching)
             write_to_last_ms = await measure_changes(registrations, watching, changes)
             received = sum(watcher.received_bytes for watcher in watching) - received_before
@@ -249,8 +250,8 @@
     return "\n".join(
         [
             f"{figures.watchers} watchers, {figures.instances} leased instances, {len(times_ms)} changes",
-            f"write to the last watcher: median {statistics.median(times_ms):.1f} ms, at most "
-            f"{times_ms[-1]:.1f} ms",
+            f"from a write until the last watcher received it: median {statistics.median(times_ms):.1f} ms, "
+            f"at most {times_ms[-1]:.1f} ms",
             f"a change costs each watcher {figures.bytes_a_change:.0f} bytes",
             f"a watcher costs the registry {figures.memory_a_watcher / BYTES_PER_KIB:.1f} KiB",
             f"a renewal costs the registry {figures.cpu_a_renewal_us:.0f} us of processor time",
--- a/thistletrail/benchmarks/stub_servers.py
+++ b/thistletrail/benchmarks/stub_servers.py
@@ -15,7 +15,7 @@
 
 HOST = "127.0.0.1"
 Address = tuple[str, int]
-VALUE = b"x" * 1024  # the value of an answer, as large as a label and a small image
+VALUE = b"x" * 1024  # value of an answer, of the size of a label and a small image
 EMPTY_LINE_INTERVAL_S = 2.0  # between the empty lines that keep a watch stream alive
 
 
@@ -24,9 +24,9 @@
 
     def __init__(self, name: str, load: Load, random_: random.Random) -> None:
         self.name, self.load, self.random = name, load, random_
-        # Counters since the start: accepted connections, commands, BUSY answers, malformed streams.
+        # Counters: accepted connections, commands, BUSY answers, connections with malformed commands.
         self.connections = self.commands = self.rejected_commands = self.malformed_streams = 0
-        self.active = 0  # commands in work
+        self.active = 0  # commands that are being worked on
         self.queue: deque[ScanConnection] = deque()
         self.address: Address = (HOST, 0)
 
@@ -61,7 +61,7 @@
             self.start_work(self.queue.popleft())
 
     def close(self) -> None:
-        """Stop listening; open connections stay."""
+        """Stop listening; open connections stay open."""
         self.server.close()
 
 
@@ -119,8 +119,8 @@
         self.generation = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.requests = 0
-        self.watches: set[asyncio.StreamWriter] = set()
-        self.serving: set[asyncio.Task[None]] = set()
+        self.watch_writers: set[asyncio.StreamWriter] = set()
+        self.serving_tasks: set[asyncio.Task[None]] = set()
         self.closed = asyncio.Event()
 
     async def start(self) -> Address:
@@ -129,7 +129,7 @@
         return self.server.sockets[0].getsockname()
 
     def encode_line(self, reset: bool, entries: Iterable[dict[str, Any]]) -> bytes:
-        """Return one line of a watch stream; `reset` marks a complete list, else it holds changes."""
+        """Return one line of a watch stream: a complete list if `reset`, else changes."""
         value = {"generation": self.generation, "reset": reset, "instances": list(entries)}
         return json.dumps(value).encode() + b"\n"
 
@@ -144,14 +144,14 @@
         if lifecycle == "DELETED":
             del self.entries[server.name]
         data = self.encode_line(False, [changed])
-        for writer in self.watches:
+        for writer in self.watch_writers:
             writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer one HTTP request: with the list, or with a watch stream until either side closes."""
         self.requests += 1
-        self.serving.add(task := asyncio.current_task())
-        task.add_done_callback(self.serving.discard)
+        self.serving_tasks.add(task := asyncio.current_task())
+        task.add_done_callback(self.serving_tasks.discard)
         try:
             target = (await reader.readuntil(b"\r\n\r\n")).split()[1]
             data = self.complete_list()
@@ -162,7 +162,7 @@
             # accept a complete list at any time.
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             writer.write(b"%x\r\n%b\r\n" % (len(data), data))
-            self.watches.add(writer)
+            self.watch_writers.add(writer)
             while not self.closed.is_set() and not writer.is_closing():
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self.closed.wait(), EMPTY_LINE_INTERVAL_S)
@@ -170,20 +170,22 @@
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, IndexError):
             pass  # the gateway disconnected, or the request is malformed
         finally:
-            self.watches.discard(writer)
+            self.watch_writers.discard(writer)
             writer.close()
 
     async def close(self) -> None:
         """Stop listening and end the watch streams."""
         self.server.close()
         self.closed.set()
-        if self.serving:  # they return after `closed`; asyncio logs an error for tasks that it has to cancel
-            await asyncio.wait(self.serving)
+        if self.serving_tasks:
+            # They return after `closed`; asyncio logs an error for each task that it has to cancel.
+            await asyncio.wait(self.serving_tasks)
 
 
 class StubPeer(asyncio.DatagramProtocol):
-    """The other gateway that serves each customer: grants each quota request in full, as a quota owner would
-    whose customers are below their quotas. `level` is the bucket level in its answers, in units.
+    """The other gateway that serves each customer, as the quota owner of customers below their quotas.
+
+    It grants each quota request in full. `level` is the bucket level in its answers, in units.
     """
 
     def __init__(self, level: float) -> None:
@@ -224,7 +226,7 @@
 
     def __init__(self, load: Load, seed: int, peer_level: float) -> None:
         self.load, self.random = load, random.Random(seed)
-        self.servers: list[StubScanServer] = []  # all that were started, removed ones included
+        self.servers: list[StubScanServer] = []  # all that were started, including removed ones
         self.serving_servers: deque[StubScanServer] = deque()
         self.registry, self.peer = StubServiceRegistry(), StubPeer(peer_level)
         self.peer_address: Address = (HOST, 0)
--- a/thistletrail/benchmarks/work.py
+++ b/thistletrail/benchmarks/work.py
@@ -34,10 +34,10 @@
 from thistletrail.leasing.messages import MAX_OPERATIONS, BeginWork, CompleteWork, WorkEffect, WorkResponse
 from thistletrail.leasing.work_holder import WorkHolder
 
-MAX_LATENCY_US = 10_000_000  # largest value of a latency histogram; longer requests count as this
+MAX_LATENCY_US = 10_000_000  # largest value of a latency histogram; longer latencies count as this
 SIGNIFICANT_DIGITS = 3  # precision of a latency histogram
-REQUEST_BODY = b"y" * 512  # as stored by the lease service
-RESPONSE_VALUE = b"x" * 1024  # as stored by the lease service
+REQUEST_BODY = b"y" * 512  # the request that a work item stores
+RESPONSE_VALUE = b"x" * 1024  # the answer that a work item stores
 
 
 @dataclass(frozen=True)
@@ -45,7 +45,7 @@
     """The figures of one run of a load."""
 
     with_leases: bool
-    """Whether the gateway took work leases for its writes."""
+    """Whether the gateway took a work lease for each SVC.SUBMIT."""
     requests: int
     served: int
     gateway_cpu_us: float
@@ -55,9 +55,9 @@
     gateway_rss_bytes: int
     """Resident memory of the gateway at the end of the run, in bytes."""
     latency_p50_us: int
-    """Median latency of a request, in microseconds."""
+    """Median latency of a served SVC.SUBMIT, in microseconds."""
     latency_p99_us: int
-    """99th percentile of the latency of a request, in microseconds."""
+    """99th percentile of the latency of a served SVC.SUBMIT, in microseconds."""
 
     def to_json_object(self) -> dict[str, Any]:
         """Return the figures under the keys of the JSON file."""
@@ -76,7 +76,7 @@
 async def start_lease_service(folder: Path) -> Process:
     """Start a lease service on the files in `folder`.
 
-    The files are `budgets.toml`, `secret`, and the data folder `state`, which the service creates if needed.
+    These are `budgets.toml`, `secret`, and the data folder `state`, which the service creates if needed.
     """
     process, _ = await start_program(
         (
@@ -113,7 +113,7 @@
 
 
 async def run_load(tree: GatewaySourceTree, load: Load, seed: int, with_leases: bool) -> Figures:
-    """Run a load against one gateway, with or without work leases for its writes."""
+    """Run a load against one gateway, with or without work leases for its SVC.SUBMIT requests."""
     stubs = StubServers(load, seed, peer_level=PLAN["burst"])
     with TemporaryDirectory(prefix="bench-") as name:
         folder = Path(name)
@@ -133,7 +133,7 @@
                 gateway = await stack.enter_async_context(running_gateway_process(tree, values, folder))
                 return await measure(gateway, lease_service, stubs, load, seed)
         except OSError as error:
-            raise BenchmarkError(f"cannot run load '{load.name}': {error}") from error
+            raise BenchmarkError(f"cannot run the load '{load.name}': {error}") from error
         finally:
             await stubs.close()
 
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True)
 class ServiceFigures:
-    """The cost of work items begun and completed by one gateway, at a lease service without other load."""
+    """The cost of work items that one gateway begins and completes, at a lease service without other load."""
 
     work_items: int
     items_per_core_s: float
@@ -202,7 +202,7 @@
 
 
 async def measure_service(work_items: int, seed: int) -> ServiceFigures:
-    """Begin and complete work items, with as many operations in each request as fit."""
+    """Begin and complete work items, with as many operations in each request as it may have."""
     with TemporaryDirectory(prefix="bench-") as folder_name:
         folder = Path(folder_name)
         async with running_lease_service(folder, seed) as process:
@@ -258,14 +258,14 @@
     ("gateway processor us/request", "gateway_cpu_us"),
     ("lease service processor us/request", "lease_service_cpu_us"),
     ("gateway resident bytes", "gateway_rss_bytes"),
-    ("latency us (median)", "latency_p50_us"),
-    ("latency us (99%)", "latency_p99_us"),
+    ("SVC.SUBMIT latency us (median)", "latency_p50_us"),
+    ("SVC.SUBMIT latency us (99%)", "latency_p99_us"),
 )
 """Rows of the table: label, and attribute of `Figures`."""
 
 
 def format_table(pairs: list[tuple[Figures, Figures]], service: ServiceFigures) -> str:
-    """Return a table of medians with work leases off and on, and of the median difference of the pairs."""
+    """Return a table: medians with work leases off and on, and the median of the paired differences."""
     lines = [f"{'work leases':36}{'off':>11} {'on':>11} {'difference':>11}"]
     for label, attribute in ROWS:
         without, with_ = ([getattr(pair[side], attribute) for pair in pairs] for side in (0, 1))
@@ -274,7 +274,7 @@
         lines.append(f"{label:36}{medians} {difference:+11.0f}")
     lines.append(
         f"the lease service alone: {service.items_per_core_s:.0f} work items a second of one core, "
-        f"{service.log_bytes_per_item:.0f} bytes of log each"
+        f"{service.log_bytes_per_item:.0f} bytes of write-ahead log each"
     )
     return "\n".join(lines)
 
