--- a/thistletrail/simulation/accounting.py
+++ b/thistletrail/simulation/accounting.py
@@ -31,7 +31,7 @@
         self.cross_zone_attempts = 0
         self.handshakes_by_second: Counter[int] = Counter()
         self.extra_zones = 0  # zones in which keyed operations ran, beyond one for each
-        self.points: list[Point] = []  # of the operations inside the ideal quotas
+        self.points: list[Point] = []  # one for each operation inside the ideal quota of its customer
         self.last_restart_us = -1  # the last restart of a gateway, from the run's start; -1: none
         self.offered: dict[tuple[int, int, int], float] = defaultdict(float)  # by second, class and plan
         self.earned: dict[tuple[int, int, int], float] = defaultdict(float)  # by second, class and plan
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -163,7 +163,7 @@
             number = customer.draw_gateway(self.stream, len(gateways))
             if number not in self.known_down:
                 return gateways[number]
-        numbers = [(customer.set_first + n) % len(gateways) for n in range(customer.set_size)]
+        numbers = [(customer.set_first + index) % len(gateways) for index in range(customer.set_size)]
         running = [number for number in numbers if number not in self.known_down] or numbers
         return gateways[self.stream.choice(running)]
 
@@ -379,23 +379,26 @@
         spec, stream, scenario = self.spec, self.stream, self.run.scenario
         self.in_quota_rate = stream.uniform_in(spec.load) * capacity * S / self.mean_work_us
         total_share = sum(plan.share for plan in scenario.plans)
-        full, heavy, spiky = (
+        full_share, heavy_share, spiky_share = (
             stream.uniform_in(spec.full),
             stream.uniform_in(spec.heavy),
             stream.uniform_in(spec.spiky),
         )
         for number, plan in enumerate(scenario.plans):
             rate = self.run.plans[number].rate
-            calm = sum(spec.calm_use) / 2
-            mean_use = max(0.05, (1 - full - heavy) * calm + full * 0.95 + heavy)
+            mean_calm_use = sum(spec.calm_use) / 2
+            mean_use = max(
+                0.05, (1 - full_share - heavy_share) * mean_calm_use + full_share * 0.95 + heavy_share
+            )
             count = max(1, round(self.in_quota_rate * plan.share / total_share / (rate * mean_use)))
             kinds = stream.shuffled(
-                ["full"] * round(full * count)
-                + ["heavy"] * round(heavy * count)
-                + ["spiky"] * round(spiky * count)
+                ["full"] * round(full_share * count)
+                + ["heavy"] * round(heavy_share * count)
+                + ["spiky"] * round(spiky_share * count)
                 + ["calm"] * count
             )[:count]
             for kind in kinds:
+                # All three numbers are drawn, whatever the kind.
                 use = {
                     "full": stream.uniform_between(0.9, 1.0),
                     "heavy": stream.uniform_in(spec.heavy_x),
--- a/thistletrail/simulation/endpoint_list.py
+++ b/thistletrail/simulation/endpoint_list.py
@@ -47,9 +47,9 @@
         """Return the complete list that the registry has now."""
         return EndpointUpdate(EndpointUpdateKind.FULL, self.version, tuple(self.entries.values()))
 
-    def report(self, server: ScanServer, state: ServerState, delay_s: tuple[float, float]) -> None:
-        """Report a server's new state to the registry, which detects it after a time drawn from `delay_s`."""
-        delay_us = self.run.streams["lists"].uniform_in(delay_s) * S
+    def report(self, server: ScanServer, state: ServerState, delay_range_s: tuple[float, float]) -> None:
+        """Report a server's new state, which the registry knows after a time drawn from `delay_range_s`."""
+        delay_us = self.run.streams["lists"].uniform_in(delay_range_s) * S
         self.run.clock.after(delay_us, self.publish, self.entry(server, state))
 
     def publish(self, entry: Server) -> None:
--- a/thistletrail/simulation/faults.py
+++ b/thistletrail/simulation/faults.py
@@ -209,11 +209,13 @@
         affected = [server for server in self.serving_servers() if server.zone == fault.zone]
         if self.run.scenario.net.zones == 1:
             affected = self.sample(self.serving_servers(), 0.3)
-        delay_s = self.run.scenario.net.list_silent_s if is_silent else self.run.scenario.net.list_gone_s
+        delay_range_s = (
+            self.run.scenario.net.list_silent_s if is_silent else self.run.scenario.net.list_gone_s
+        )
         for server in affected:
             self.run.stop_server(server, is_silent)
-            if fault.for_s > delay_s[0]:
-                self.run.endpoint_list.report(server, ServerState.GONE, delay_s)
+            if fault.for_s > delay_range_s[0]:
+                self.run.endpoint_list.report(server, ServerState.GONE, delay_range_s)
         self.after_s(fault.for_s, self.start_servers, affected)
         gateways = [
             gateway for gateway in self.run.gateways if gateway.zone == fault.zone and gateway.is_alive
--- a/thistletrail/simulation/report.py
+++ b/thistletrail/simulation/report.py
@@ -18,7 +18,7 @@
     "body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em}"
     "table{border-collapse:collapse}td{border:1px solid #ccc;padding:.2em .6em}img{max-width:100%}"
 )
-MAX_LINES = 1_000_000  # of a run's file; a run of the longest scenario writes a few thousand
+MAX_LINES = 1_000_000  # a longer file is rejected; a run of the longest scenario writes a few thousand lines
 
 
 @dataclass
--- a/thistletrail/simulation/service.py
+++ b/thistletrail/simulation/service.py
@@ -1,8 +1,9 @@
 """The recovery of full service after a fault, defined once for the simulation and for real processes.
 
 Service is the value of the operations inside the quotas that were served within their latency objective, by
-the time of their first request. Full service is back at the first moment from which, for SPAN_US, service is
-at least SHARE of that of the baseline run: the same load without the fault.
+the time of their first request. Full service is back at the first moment from which, for
+FULL_SERVICE_SPAN_US, service is at least FULL_SERVICE_SHARE of that of the baseline run: the same load
+without the fault.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 import numpy as np
 
-SPAN_US, SHARE = 2_000_000, 0.95  # the operators require 95% of the value for 2 s
+FULL_SERVICE_SPAN_US, FULL_SERVICE_SHARE = 2_000_000, 0.95  # the operators require 95% of the value for 2 s
 STEP_US = 100_000  # the resolution of the time to full service
 SECOND_US = 1_000_000
 
@@ -46,11 +47,11 @@
     """
     served, baseline_served = value_by_step(points, end_us, True), value_by_step(baseline, end_us, True)
     offered = value_by_step(baseline, end_us, False)
-    span_steps, first = SPAN_US // STEP_US, -(-fault_us // STEP_US)
+    span_steps, first = FULL_SERVICE_SPAN_US // STEP_US, -(-fault_us // STEP_US)
     full_s = None
     for start in range(first, len(served) - span_steps + 1):
         end = start + span_steps
-        if served[start:end].sum() >= SHARE * baseline_served[start:end].sum() - 1e-9:
+        if served[start:end].sum() >= FULL_SERVICE_SHARE * baseline_served[start:end].sum() - 1e-9:
             full_s = (start * STEP_US - fault_us) / SECOND_US
             break
     second_steps = SECOND_US // STEP_US
