--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -48,9 +48,9 @@
     "thistletrail/fault_injection/fleet.py": 13,
     "thistletrail/fault_injection/leases.py": 2,
     "thistletrail/fault_injection/plan.py": 11,
-    "thistletrail/fault_injection/plans/leases.toml": 3,
-    "thistletrail/fault_injection/plans/quotas.toml": 3,
-    "thistletrail/fault_injection/plans/stewards.toml": 11,
+    "thistletrail/fault_injection/plans/leases.toml": 2,
+    "thistletrail/fault_injection/plans/quotas.toml": 2,
+    "thistletrail/fault_injection/plans/stewards.toml": 10,
     "thistletrail/fault_injection/soak.py": 8,
 }
 
