--- a/tests/test_fault_injection_checks.py
+++ b/tests/test_fault_injection_checks.py
@@ -12,7 +12,7 @@
 from thistletrail.fault_injection.plan import Plan
 from thistletrail.simulation.scenario import Demand, Scenario, Servers
 
-S, MS = 1_000_000, 1_000
+US_PER_S, US_PER_MS = 1_000_000, 1_000
 SCENARIO = Scenario(
     name="small", doors=2, length_s=10, servers=Servers(count=2), demand=Demand(load=(0.3, 0.3))
 )
@@ -25,7 +25,7 @@
     gateway: int = 0,
     server: str = "servers-0",
     zone: int = 0,
-    duration_us: int = 50 * MS,
+    duration_us: int = 50 * US_PER_MS,
     request_class: str = "submit-record",
     customer: str = "c",
     plan: str = "basic",
@@ -37,9 +37,15 @@
     common = {"id": request_id, "customer": customer, "key": key, "class": request_class, "plan": plan}
     return [
         {"at": at_us, "kind": "try", "door": gateway, "left_ms": 2000, "number": 1, **common},
-        {"at": at_us + MS, "kind": "sent", "door": f"doors-{gateway}", "server": server, "id": request_id},
         {
-            "at": at_us + 2 * MS,
+            "at": at_us + US_PER_MS,
+            "kind": "sent",
+            "door": f"doors-{gateway}",
+            "server": server,
+            "id": request_id,
+        },
+        {
+            "at": at_us + 2 * US_PER_MS,
             "kind": "came",
             "server": server,
             "zone": zone,
@@ -53,9 +59,15 @@
             "serial": serial or at_us,
             "how": outcome,
         },
-        {"at": at_us + duration_us + MS, "kind": "end", "id": request_id, "how": outcome, "wait_us": 0},
         {
-            "at": at_us + duration_us + 2 * MS,
+            "at": at_us + duration_us + US_PER_MS,
+            "kind": "end",
+            "id": request_id,
+            "how": outcome,
+            "wait_us": 0,
+        },
+        {
+            "at": at_us + duration_us + 2 * US_PER_MS,
             "kind": "ask",
             "first_us": at_us,
             "customer": customer,
@@ -104,11 +116,11 @@
     return {"at": at_us, "kind": "door", "door": 0, "level": level, "text": text}
 
 
-LOAD_SPAN = {"at": 0, "kind": "go", "start_us": 0, "end_us": 10 * S}
+LOAD_SPAN = {"at": 0, "kind": "go", "start_us": 0, "end_us": 10 * US_PER_S}
 GATEWAY_RESTART = [
-    *fault_records("kill", 4 * S, 5 * S, "doors-0"),
-    {"at": 4 * S, "kind": "died", "who": "doors-0", "meant": True, "code": -9},
-    {"at": 5 * S, "kind": "started", "who": "doors-0", "cold": True},
+    *fault_records("kill", 4 * US_PER_S, 5 * US_PER_S, "doors-0"),
+    {"at": 4 * US_PER_S, "kind": "died", "who": "doors-0", "meant": True, "code": -9},
+    {"at": 5 * US_PER_S, "kind": "started", "who": "doors-0", "cold": True},
 ]
 VALID_HISTORY: list[Record] = [
     LOAD_SPAN,
@@ -116,10 +128,10 @@
     *(
         record
         for n in range(20)
-        for record in request_records(f"r{n}", n * S // 4, gateway=n % 2, customer=f"c{n}")
+        for record in request_records(f"r{n}", n * US_PER_S // 4, gateway=n % 2, customer=f"c{n}")
     ),
 ]
-UNREACHED_END = {"at": 9 * S, "kind": "end", "id": "x", "how": "unreached", "wait_us": 0}
+UNREACHED_END = {"at": 9 * US_PER_S, "kind": "end", "id": "x", "how": "unreached", "wait_us": 0}
 
 
 def broken_rules(*extra_records: Record) -> set[str]:
@@ -144,36 +156,45 @@
     }
 
 
-REQUEST = request_records("x", 8 * S)
+REQUEST = request_records("x", 8 * US_PER_S)
 PLANTED_VIOLATIONS: list[tuple[str, list[Record]]] = [
-    ("one answer", [*REQUEST, {**REQUEST[4], "at": 8 * S + 90 * MS}]),
-    ("one answer", [{"at": 8 * S, "kind": "extra", "data": "'+OK'"}]),
+    ("one answer", [*REQUEST, {**REQUEST[4], "at": 8 * US_PER_S + 90 * US_PER_MS}]),
+    ("one answer", [{"at": 8 * US_PER_S, "kind": "extra", "data": "'+OK'"}]),
     (
         "one answer",
         [
             *REQUEST[:4],
-            {"at": 10 * S, "kind": "end", "id": "x", "how": "gone", "wait_us": 0},
-            {"at": 11 * S, "kind": "lost", "id": "x"},
+            {"at": 10 * US_PER_S, "kind": "end", "id": "x", "how": "gone", "wait_us": 0},
+            {"at": 11 * US_PER_S, "kind": "lost", "id": "x"},
         ],
     ),
     ("one answer", [*REQUEST[:4], UNREACHED_END]),
     ("one answer", REQUEST[:4]),
-    ("executions", [*REQUEST, *retry_records("x", 8 * S + 60 * MS, server="servers-1", zone=1)]),
-    ("executions", [*REQUEST, *retry_records("x", 13 * S)]),
+    (
+        "executions",
+        [*REQUEST, *retry_records("x", 8 * US_PER_S + 60 * US_PER_MS, server="servers-1", zone=1)],
+    ),
+    ("executions", [*REQUEST, *retry_records("x", 13 * US_PER_S)]),
     (
         "one attempt",
         [
-            *request_records("x", 8 * S, duration_us=400 * MS),
-            *retry_records("x", 8 * S + 100 * MS, server="servers-1"),
+            *request_records("x", 8 * US_PER_S, duration_us=400 * US_PER_MS),
+            *retry_records("x", 8 * US_PER_S + 100 * US_PER_MS, server="servers-1"),
         ],
     ),
-    ("drains", [endpoint_update(8 * S, "DRAINING"), *request_records("x", 8 * S + 400 * MS)]),
-    ("drains", [endpoint_update(8 * S, "DELETED"), *request_records("x", 8 * S + 400 * MS)]),
+    (
+        "drains",
+        [endpoint_update(8 * US_PER_S, "DRAINING"), *request_records("x", 8 * US_PER_S + 400 * US_PER_MS)],
+    ),
+    (
+        "drains",
+        [endpoint_update(8 * US_PER_S, "DELETED"), *request_records("x", 8 * US_PER_S + 400 * US_PER_MS)],
+    ),
     (
         "drains",
         [
-            {**endpoint_update(8 * S, "SERVING", is_full=True), "servers": {"servers-1": "SERVING"}},
-            *request_records("x", 8 * S + 400 * MS),
+            {**endpoint_update(8 * US_PER_S, "SERVING", is_full=True), "servers": {"servers-1": "SERVING"}},
+            *request_records("x", 8 * US_PER_S + 400 * US_PER_MS),
         ],
     ),
     (
@@ -182,7 +203,11 @@
             record
             for n in range(400)
             for record in request_records(
-                f"x{n}", 6 * S + n * MS, request_class="view-sheet", customer="greedy", plan="standard"
+                f"x{n}",
+                6 * US_PER_S + n * US_PER_MS,
+                request_class="view-sheet",
+                customer="greedy",
+                plan="standard",
             )
         ],
     ),
@@ -192,15 +217,19 @@
             record
             for n in range(400)
             for record in request_records(
-                f"x{n}", 6 * S + n * MS, request_class="view-sheet", customer="greedy", plan="institution"
+                f"x{n}",
+                6 * US_PER_S + n * US_PER_MS,
+                request_class="view-sheet",
+                customer="greedy",
+                plan="institution",
             )
         ],
     ),
-    ("stale state", [log_record(8 * S, "takes up a snapshot of 3600.0 s ago: 4 customers")]),
-    ("processes", [{"at": 8 * S, "kind": "died", "who": "doors-1", "meant": False, "code": 1}]),
-    ("processes", [log_record(8 * S, "the module failed on Timer()", "ERROR")]),
-    ("processes", [{"at": 8 * S, "kind": "unread", "server": "servers-0", "words": "[b'X']"}]),
-    ("cold servers", [{"at": 8 * S, "kind": "fell", "server": "servers-1"}]),
+    ("stale state", [log_record(8 * US_PER_S, "takes up a snapshot of 3600.0 s ago: 4 customers")]),
+    ("processes", [{"at": 8 * US_PER_S, "kind": "died", "who": "doors-1", "meant": False, "code": 1}]),
+    ("processes", [log_record(8 * US_PER_S, "the module failed on Timer()", "ERROR")]),
+    ("processes", [{"at": 8 * US_PER_S, "kind": "unread", "server": "servers-0", "words": "[b'X']"}]),
+    ("cold servers", [{"at": 8 * US_PER_S, "kind": "fell", "server": "servers-1"}]),
 ]
 
 
@@ -214,56 +243,59 @@
     "records",
     [
         [
-            *request_records("x", 4 * S - MS)[:4],
-            {**UNREACHED_END, "at": 4 * S + MS},
+            *request_records("x", 4 * US_PER_S - US_PER_MS)[:4],
+            {**UNREACHED_END, "at": 4 * US_PER_S + US_PER_MS},
             *GATEWAY_RESTART,
-        ],  # the gateway was killed with the request in flight
+        ],  # the gateway was killed while the request was in flight
         [
             *REQUEST[:4],
-            {"at": 11 * S, "kind": "lost", "id": "x"},
-            {**UNREACHED_END, "how": "gone", "at": 10 * S},
-            *fault_records("pause", 8 * S, 13 * S, "doors-0"),
+            {"at": 11 * US_PER_S, "kind": "lost", "id": "x"},
+            {**UNREACHED_END, "how": "gone", "at": 10 * US_PER_S},
+            *fault_records("pause", 8 * US_PER_S, 13 * US_PER_S, "doors-0"),
         ],
-        [*REQUEST[:4], UNREACHED_END, *fault_records("cut", 8 * S, 9 * S, "clients-doors")],
+        [*REQUEST[:4], UNREACHED_END, *fault_records("cut", 8 * US_PER_S, 9 * US_PER_S, "clients-doors")],
         [
-            endpoint_update(8 * S, "DRAINING"),
-            *request_records("x", 8 * S + 200 * MS),
+            endpoint_update(8 * US_PER_S, "DRAINING"),
+            *request_records("x", 8 * US_PER_S + 200 * US_PER_MS),
         ],  # within the grace period
         [
-            endpoint_update(8 * S, "DRAINING"),
-            *request_records("x", 9 * S),
-            *fault_records("pause", 7 * S, 9 * S, "doors-0"),
+            endpoint_update(8 * US_PER_S, "DRAINING"),
+            *request_records("x", 9 * US_PER_S),
+            *fault_records("pause", 7 * US_PER_S, 9 * US_PER_S, "doors-0"),
         ],
         [
-            endpoint_update(8 * S, "DRAINING"),
-            endpoint_update(9 * S, "SERVING"),
-            *request_records("x", 9 * S + 500 * MS),
+            endpoint_update(8 * US_PER_S, "DRAINING"),
+            endpoint_update(9 * US_PER_S, "SERVING"),
+            *request_records("x", 9 * US_PER_S + 500 * US_PER_MS),
         ],
         [
             endpoint_update(1, "DRAINING"),
             endpoint_update(2, "SERVING"),
             *GATEWAY_RESTART,
-        ],  # a new process was not notified
-        [*REQUEST, *retry_records("x", 8 * S + 60 * MS)],  # its zone drops the duplicate
+        ],  # the new process has not received the endpoint list
         [
-            *request_records("x", 8 * S, outcome="full"),
-            *retry_records("x", 8 * S + 60 * MS, server="servers-1", zone=1),
-        ],  # it was not executed at first
+            *REQUEST,
+            *retry_records("x", 8 * US_PER_S + 60 * US_PER_MS),
+        ],  # scan servers of the same zone drop the duplicate
         [
-            *request_records("x", 8 * S, duration_us=400 * MS),
-            *retry_records("x", 8 * S + 100 * MS, server="servers-1"),
-            *fault_records("delay", 7 * S, 9 * S, "doors-servers"),
+            *request_records("x", 8 * US_PER_S, outcome="full"),
+            *retry_records("x", 8 * US_PER_S + 60 * US_PER_MS, server="servers-1", zone=1),
+        ],  # the first attempt was not executed
+        [
+            *request_records("x", 8 * US_PER_S, duration_us=400 * US_PER_MS),
+            *retry_records("x", 8 * US_PER_S + 100 * US_PER_MS, server="servers-1"),
+            *fault_records("delay", 7 * US_PER_S, 9 * US_PER_S, "doors-servers"),
         ],
-        [log_record(8 * S, "takes up a snapshot of 2.5 s ago: 4 customers")],
+        [log_record(8 * US_PER_S, "takes up a snapshot of 2.5 s ago: 4 customers")],
         [
             *REQUEST[:4],
-            {"at": 11 * S, "kind": "lost", "id": "x"},
-            {**UNREACHED_END, "how": "gone", "at": 10 * S},
-            {"at": 9 * S, "kind": "stalled", "us": 600 * MS},
+            {"at": 11 * US_PER_S, "kind": "lost", "id": "x"},
+            {**UNREACHED_END, "how": "gone", "at": 10 * US_PER_S},
+            {"at": 9 * US_PER_S, "kind": "stalled", "us": 600 * US_PER_MS},
         ],  # the event loop of fault injection was late
         [
-            log_record(8 * S, "request x was left without an answer", "ERROR"),
-            *fault_records("pause", 6 * S, 8 * S, "doors-0"),
+            log_record(8 * US_PER_S, "request x was left without an answer", "ERROR"),
+            *fault_records("pause", 6 * US_PER_S, 8 * US_PER_S, "doors-0"),
         ],
     ],
 )
@@ -274,8 +306,8 @@
 @pytest.mark.parametrize(
     "later_records, message",
     [
-        (lambda: request_records("other", 3 * S, zone=1, server="servers-1"), "ran in two zones"),
-        (lambda: request_records("other", 3 * S), "ran again after its client was told"),
+        (lambda: request_records("other", 3 * US_PER_S, zone=1, server="servers-1"), "ran in two zones"),
+        (lambda: request_records("other", 3 * US_PER_S), "ran again after its client was told"),
     ],
 )
 def test_work_item_that_runs_again_under_its_key_is_a_violation_where_work_items_are_stored(
@@ -292,7 +324,9 @@
 
 
 def test_figures_are_computed_from_the_records() -> None:
-    connections = [{"at": S, "kind": "open", "link": "doors-servers", "sides": ["doors-0", "servers-0"]}] * 3
+    connections = [
+        {"at": US_PER_S, "kind": "open", "link": "doors-servers", "sides": ["doors-0", "servers-0"]}
+    ] * 3
     history = RunHistory(merge([VALID_HISTORY, GATEWAY_RESTART, connections]), PLAN, 1)
     baseline = RunHistory(VALID_HISTORY, PLAN, 1)
     figures = compute_figures(history, baseline)
@@ -316,7 +350,7 @@
     path.write_text("\n".join(lines))
     first, second = read_gateway_log(path, 3, 0)
     assert (first["door"], first["level"], first["text"]) == (3, "INFO", "doors-0 serves at 127.0.0.1:1")
-    assert second["at"] - first["at"] == S and second["text"] == "a: b"
+    assert second["at"] - first["at"] == US_PER_S and second["text"] == "a: b"
 
 
 def test_retries_beyond_a_leased_retry_budget_are_a_violation() -> None:
@@ -325,9 +359,15 @@
         for n in range(12)
         for record in (
             *request_records(
-                f"x{n}", 8 * S + n * MS, duration_us=10 * MS, request_class="view-sheet", outcome="error"
+                f"x{n}",
+                8 * US_PER_S + n * US_PER_MS,
+                duration_us=10 * US_PER_MS,
+                request_class="view-sheet",
+                outcome="error",
+            ),
+            *retry_records(
+                f"x{n}", 8 * US_PER_S + n * US_PER_MS + 20 * US_PER_MS, request_class="view-sheet"
             ),
-            *retry_records(f"x{n}", 8 * S + n * MS + 20 * MS, request_class="view-sheet"),
         )
     ]
     history = merge([VALID_HISTORY, records])
--- a/tests/test_fault_injection_leases.py
+++ b/tests/test_fault_injection_leases.py
@@ -29,6 +29,7 @@
 
 
 def request_record(at_us: int, gateway: int, serial: int, fence: int = 0, incarnation: int = 1) -> Record:
+    """Return the record of a renewal request; a `fence` other than 0 confirms the grant with that token."""
     return {
         "at": at_us,
         "kind": "asked",
@@ -42,6 +43,7 @@
 def grant_record(
     at_us: int, gateway: int, serial: int, fence: int, share: int, incarnation: int = 1
 ) -> Record:
+    """Return the record of a grant of a share with the fencing token `fence`, for 3 s."""
     return {
         "at": at_us,
         "kind": "granted",
@@ -65,6 +67,7 @@
 
 
 def history_of(*records: Record) -> RunHistory:
+    """Return a history of these records and the plan `PLAN`."""
     return RunHistory(merge([records]), PLAN, 1)
 
 
@@ -130,7 +133,7 @@
         ([*renewal(US_PER_S, 0, 1, 10, 1), *renewal(US_PER_S, 1, 1, 10, 1)], "of two grants"),
     ],
 )
-def test_planted_overcommitment_or_reused_fencing_number_is_found(
+def test_planted_overcommitment_or_reused_fencing_token_is_reported(
     records: list[Record], expected_text: str
 ) -> None:
     (violation,) = CHECKS["budgets"](history_of(*records))
--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -1,4 +1,4 @@
-"""Gateways whose registry loses its state, is replaced by another one, or is cut off from a zone."""
+"""Faults of the registry: it loses its state, gateways move to its read replica, scan servers are cut off."""
 
 from collections.abc import Iterable
 from itertools import pairwise
@@ -31,7 +31,7 @@
 
 
 def timed_out_at_server_in_service(history: RunHistory, request: Record, end: Record) -> bool:
-    """Return whether all attempts of a request ran at scan servers in service until they timed out.
+    """Return whether all attempts of a request timed out at scan servers that were not replaced.
 
     A gateway ends an attempt two mean latencies before the latency objective, and only where the attempt has
     two of them left: no earlier than half of the objective after the request arrived.
@@ -59,9 +59,10 @@
 
 
 def failures_by_the_registry(history: RunHistory) -> dict[str, list[Record]]:
-    """Return the records of each request that failed for another reason than a slow machine, by request id.
+    """Return by id the records of each failed request whose failure a slow machine does not explain.
 
-    The machine was slow where a scan server did not answer in time, or an event loop of the run was late.
+    A slow machine explains it if a scan server in service did not answer before the time-out, or an event
+    loop of the run was late.
     """
     requests = {record["id"]: record for record in history.records_by_kind["try"]}
     failures = {}
@@ -92,7 +93,7 @@
 ) -> list[Record]:
     """Return the records of a request whose only attempt ended after a time with a scan server's outcome.
 
-    The scan server `servers-2` is replaced at a time of its own.
+    The scan server `servers-2` is replaced at `replaced_ms`.
     """
     names = {"id": "r", "class": "submit-record"}
     return [
@@ -116,7 +117,7 @@
 
 
 def test_attempt_that_times_out_at_a_scan_server_in_service_is_not_blamed_on_the_registry() -> None:
-    """A process without processor time for 0.5 s lets a keyed attempt time out, and its request fails."""
+    """If a process gets no CPU time for 0.5 s, a keyed attempt times out and its request fails."""
     assert failed_ids(failed_request()) == set()
     assert failed_ids(failed_request(server="servers-2", replaced_ms=501)) == set()
 
--- a/tests/test_fault_injection_plan.py
+++ b/tests/test_fault_injection_plan.py
@@ -19,8 +19,8 @@
     to_scenario_fault,
     verify,
 )
+from thistletrail.fault_injection.simulation_context import SimulationContext, generate_load
 from thistletrail.fault_injection.soak import draw_plan, shrink, smaller_plans
-from thistletrail.fault_injection.world import World, generate_load
 from thistletrail.gateway.config import flatten
 from thistletrail.policy.settings_codec import SettingValues, read_settings
 from thistletrail.simulation.clock import Clock
@@ -28,7 +28,7 @@
 from thistletrail.simulation.scenario import Scenario
 from thistletrail.simulation.service import measure_recovery
 
-S = 1_000_000
+US_PER_S = 1_000_000
 SMALL = Scenario(name="small", doors=3, length_s=4)
 
 
@@ -112,7 +112,9 @@
 def test_real_and_simulated_gateways_have_equal_settings() -> None:
     """The configuration of a real gateway decodes to the settings of the simulated one, but for the seed."""
     for number in range(SMALL.doors):
-        real = read_settings(7, SettingValues(dict(flatten(World(SMALL, 5, Clock()).settings(number)))))
+        real = read_settings(
+            7, SettingValues(dict(flatten(SimulationContext(SMALL, 5, Clock()).settings(number))))
+        )
         simulated = SimulationRun(SMALL, 5).settings(number, number % SMALL.net.zones)
         assert replace(real, seed=0) == replace(simulated, seed=0)
 
@@ -153,26 +155,26 @@
 
 
 def test_full_service_is_reached_when_two_seconds_are_served_as_in_the_baseline() -> None:
-    baseline = [(at_us, 1.0, True) for at_us in range(0, 20 * S, S // 100)]
+    baseline = [(at_us, 1.0, True) for at_us in range(0, 20 * US_PER_S, US_PER_S // 100)]
     # Nothing is served from 5 to 7 s, half from 7 to 9 s, then all but one in 33.
     served = [
         (
             at_us,
             worth,
-            not 5 * S <= at_us < 7 * S
-            and (at_us >= 9 * S or at_us < 5 * S or at_us // 10_000 % 2 == 0)
-            and (at_us < 9 * S or at_us // 10_000 % 33 != 0),
+            not 5 * US_PER_S <= at_us < 7 * US_PER_S
+            and (at_us >= 9 * US_PER_S or at_us < 5 * US_PER_S or at_us // 10_000 % 2 == 0)
+            and (at_us < 9 * US_PER_S or at_us // 10_000 % 33 != 0),
         )
         for at_us, worth, _ in baseline
     ]
-    recovery = measure_recovery(served, baseline, 5 * S, 20 * S)
+    recovery = measure_recovery(served, baseline, 5 * US_PER_S, 20 * US_PER_S)
     assert 3.8 <= recovery.full_s <= 4.0
     assert recovery.worst_second == 0.0 and 0.14 < recovery.lost < 0.18
-    assert measure_recovery(baseline, baseline, 5 * S, 20 * S) == type(recovery)(0.0, 1.0, 0.0)
-    never_recovered = [(at_us, worth, at_us < 5 * S) for at_us, worth, _ in baseline]
-    assert measure_recovery(never_recovered, baseline, 5 * S, 20 * S).full_s is None
+    assert measure_recovery(baseline, baseline, 5 * US_PER_S, 20 * US_PER_S) == type(recovery)(0.0, 1.0, 0.0)
+    never_recovered = [(at_us, worth, at_us < 5 * US_PER_S) for at_us, worth, _ in baseline]
+    assert measure_recovery(never_recovered, baseline, 5 * US_PER_S, 20 * US_PER_S).full_s is None
     # Service lost before the fault is not counted, and service beyond the baseline does not make up for it.
-    assert measure_recovery(served, baseline, 10 * S, 20 * S).full_s == 0.0
+    assert measure_recovery(served, baseline, 10 * US_PER_S, 20 * US_PER_S).full_s == 0.0
 
 
 def test_plan_is_loaded_from_a_file(tmp_path: Path) -> None:
--- a/tests/test_fault_injection_processes.py
+++ b/tests/test_fault_injection_processes.py
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_no_process_is_left_after_fault_injection_is_ended(signal_number: int) -> None:
-    """SIGKILL simulates a crash of the fault injection itself."""
+    """The processes of a run exit also after SIGKILL, as in a crash of fault injection itself."""
     mark = f"{os.getpid()}-{signal_number}"
     code = (
         "from thistletrail.command_line import end_on_signals\n"
@@ -134,7 +134,7 @@
         (["run", "short", "--seed", "x"], "--seed"),
         (["report", "/nowhere"], "does not exist"),
         (["pairs", "no-such-revision", "short"], "no revision 'no-such-revision'"),
-        (["compare", "split", "--seeds", "1"], "the model has no"),
+        (["compare", "split", "--seeds", "1"], "the simulation has no"),
         (["bogus"], "bogus"),
     ],
 )
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -16,7 +16,7 @@
 from thistletrail.fault_injection.fleet import STALE_MS, with_earlier_timestamp
 from thistletrail.fault_injection.plan import Fault, Plan, load
 from thistletrail.fault_injection.runs import play_once
-from thistletrail.fault_injection.world import Load, World
+from thistletrail.fault_injection.simulation_context import Load, SimulationContext
 from thistletrail.gateway.snapshot_file import decode_snapshot
 from thistletrail.simulation.clock import Clock
 
@@ -36,16 +36,17 @@
 
 
 @pytest.fixture(scope="module")
-def list_restart_history() -> RunHistory:
+def registry_restart_history() -> RunHistory:
+    """The history of one run of the plan `again`, in which the gateways and the registry are killed."""
     return play_without_violations("again")
 
 
 def test_restarted_gateways_serve_from_their_snapshots_while_the_registry_is_down(
-    list_restart_history: RunHistory,
+    registry_restart_history: RunHistory,
 ) -> None:
     started_at = {
         record["who"]: record["at"]
-        for record in list_restart_history.records_by_kind["started"]
+        for record in registry_restart_history.records_by_kind["started"]
         if record["at"] > 0
     }
     gateways_at = max(started_at[f"doors-{n}"] for n in range(4))
@@ -53,22 +54,22 @@
     assert gateways_at < registry_at
     assert [
         record
-        for record in list_restart_history.records_by_kind["came"]
+        for record in registry_restart_history.records_by_kind["came"]
         if gateways_at < record["at"] < registry_at
     ]
     for gateway in range(4):
-        assert "takes up a snapshot of" in gateway_log(list_restart_history, gateway)
+        assert "takes up a snapshot of" in gateway_log(registry_restart_history, gateway)
 
 
-def test_endpoint_list_is_read_after_the_registry_restarts(list_restart_history: RunHistory) -> None:
+def test_endpoint_list_is_read_after_the_registry_restarts(registry_restart_history: RunHistory) -> None:
     registry_at = max(
         record["at"]
-        for record in list_restart_history.records_by_kind["started"]
+        for record in registry_restart_history.records_by_kind["started"]
         if record["who"] == "list-0"
     )
     assert {
         record["door"]
-        for record in list_restart_history.records_by_kind["told"]
+        for record in registry_restart_history.records_by_kind["told"]
         if record["at"] > registry_at
     } == {f"doors-{n}" for n in range(4)}
 
@@ -156,9 +157,9 @@
 
 def gateways_of_largest_customers(plan: Plan, seed: int, count: int) -> tuple[int, ...]:
     """Return the gateways that own the quotas of the `count` customers with the highest rates."""
-    world = World(plan.fleet, seed, Clock())
-    load = Load(world, 0)
-    load.begin(world.capacity())
+    context = SimulationContext(plan.fleet, seed, Clock())
+    load = Load(context, 0)
+    load.begin(context.capacity())
     largest = sorted(load.customers, key=lambda customer: -customer.usual_rate)[:count]
     owners = {
         (customer.first + zlib.crc32(customer.name.encode()) % customer.size) % plan.fleet.doors
@@ -172,7 +173,7 @@
     owners = gateways_of_largest_customers(plan, 1, 2)
     assert owners and len(owners) < plan.fleet.doors
     kill = Fault(kind="kill", at_s=3.0, numbers=owners, back_s=(0.2, 0.4), state="none")
-    plan = msgspec.structs.replace(plan, name="homes", state=False, faults=(kill,))
+    plan = msgspec.structs.replace(plan, name="quota-owners", state=False, faults=(kill,))
     history = play_once(plan, 1, WORKING_TREE, lambda text: None)
     assert check(history) == []
     restarted_at = max(
--- a/tests/test_fault_injection_relay.py
+++ b/tests/test_fault_injection_relay.py
@@ -21,7 +21,7 @@
     RequestRelay,
 )
 
-SILENCE_S = 0.15  # no data may arrive within this time; a slow machine cannot make the check fail
+SILENCE_S = 0.15  # no data may arrive within this time; a slow machine cannot cause a false failure
 
 
 class EchoServer:
--- a/tests/test_fault_injection_stored.py
+++ b/tests/test_fault_injection_stored.py
@@ -1,4 +1,4 @@
-"""Runs that an earlier revision stored can be read, although files and figures had other names then.
+"""Runs stored by an earlier revision can be read, although files and a figure had other names then.
 
 `tests/data/a1df16a/fault_injection` holds a run as that revision stored it (`run`) and the history files of
 two of its processes (`history`), both of made-up records.
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -62,6 +62,7 @@
     for crash in by_effect.values():
         assert crash.reached and not crash.violation, crash
     assert by_effect["keyed"].final_outcome == "served" and len(by_effect["keyed"].execution_zones) == 1
+    # Without a key, it is executed only if the crash comes after its write, and never again.
     assert len(by_effect["unsafe"].execution_zones) == int(point in POINTS[3:])
 
 
--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -163,10 +163,12 @@
     "--states",
     default="none,kept,stale",
     show_default=True,
-    help="The state of restarted gateways: no snapshot, their own, or one an hour old.",
+    help="The state of restarted gateways: no snapshot, their own snapshot, or their own an hour old.",
 )
 @click.option(
-    "--against", metavar="REV", help="Also the gateways of this revision, without stored state, in turns."
+    "--against",
+    metavar="REV",
+    help="Also measure the gateways of this revision, without stored state, in turns with this tree's.",
 )
 @SEEDS_OPTION
 @FIRST_OPTION
@@ -197,7 +199,7 @@
         if against is not None:
             other_tree = stack.enter_context(build_revision(against)).root
             cases += list_cases({against: other_tree}, shares, ["none"], seed_range)
-            cases.sort(key=lambda case: case.seed)  # sides alternate for each seed
+            cases.sort(key=lambda case: case.seed)  # both trees take turns, seed by seed
         results = measure(loaded_plan, cases, jobs, out, report_progress)
     click.echo(format_table(table(results)))
     for result in results:
@@ -226,7 +228,7 @@
     scenario, missing = to_scenario(loaded_plan)
     if missing:
         raise FaultInjectionError(
-            f"{loaded_plan.name}: the model has no {', nor '.join(dict.fromkeys(missing))}"
+            f"{loaded_plan.name}: the simulation has no {', nor '.join(dict.fromkeys(missing))}"
         )
     tree, real, simulated = build_source_tree(ROOT), [], []
     for seed in range(first, first + seeds):
@@ -235,14 +237,14 @@
         real.append(result.figures.as_json())
         simulated.append(simulated_figures(scenario, seed))
         report_progress(
-            f"seed {seed}: full service after {real[-1]['full_s']} s, in the model after "
+            f"seed {seed}: full service after {real[-1]['full_s']} s, in the simulation after "
             f"{simulated[-1]['full_s']} s"
         )
-    click.echo(format_table(figure_table([("fault injection", real), ("model", simulated)], LABELS)))
+    click.echo(format_table(figure_table([("fault injection", real), ("simulation", simulated)], LABELS)))
 
 
 def simulated_figures(scenario: Any, seed: int) -> dict[str, object]:  # noqa: ANN401 - a Scenario
-    """Return the figures of one simulated run under the keys of `Figures`, those that both have."""
+    """Return those figures of one simulated run that `Figures` has as well, under its keys."""
     simulation_run = simulation.play(scenario, seed)
     result = simulation_run.result()
     points = simulation_run.accounting.points
@@ -302,7 +304,7 @@
 @SEEDS_OPTION
 @FIRST_OPTION
 def budgets_(plan: str, seeds: int, first: int) -> None:
-    """Play PLAN, in which lease services divide budgets.
+    """Play PLAN, in which lease services divide budgets, and print how they divided them.
 
     For each seed it prints the largest sum of shares of a budget that gateways may hold at once, and the
     median time until the shares of a killed gateway are granted to others.
@@ -338,13 +340,13 @@
     type=click.IntRange(1, 10_000),
     default=10,
     show_default=True,
-    help="Number of injected crashes at each point, for each kind of class and each seed.",
+    help="Number of injected crashes at each point, for each kind of class (keyed, unsafe) and each seed.",
 )
 @click.option(
     "--points",
     default=",".join(POINTS),
     show_default=True,
-    help="The points of a work item at which gateways crash.",
+    help="The points in the processing of a work item at which gateways crash.",
 )
 @click.option(
     "--seeds",
@@ -361,7 +363,7 @@
     help="Store no work items, to show what the same crashes cost without a takeover.",
 )
 def deaths_(count: int, points: str, seeds: int, first: int, doors: int, without: bool) -> None:
-    """Crash gateways at points of a work item; check that it runs once and its outcome is delivered."""
+    """Crash gateways that process work items; check that each runs once and its outcome is delivered."""
     chosen_points = tuple(points.split(","))
     if unknown := set(chosen_points) - set(POINTS):
         raise FaultInjectionError(f"there is no point '{min(unknown)}' (one of: {', '.join(POINTS)})")
--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -15,7 +15,7 @@
 from thistletrail.fault_injection.history import Record
 from thistletrail.fault_injection.leases import find_overcommitments
 from thistletrail.fault_injection.plan import ON_LINKS, Plan
-from thistletrail.fault_injection.world import World
+from thistletrail.fault_injection.simulation_context import SimulationContext
 from thistletrail.gateway.snapshot_store import MAX_POLICY_AGE_S
 from thistletrail.simulation.clock import MS, Clock, S
 from thistletrail.simulation.quota_accounts import Account, TokenBucket
@@ -24,7 +24,7 @@
 POSSIBLY_EXECUTED_OUTCOMES = ("served", "error", "gone", "lost", "silent")
 # Gateways count an attempt when they write it, the scan servers when it has arrived.
 RETRY_BUDGET_SLACK_ATTEMPTS = 2.0
-# Effects of a fault, such as resets and late closes, still arrive for this long after its end.
+# Effects of a fault, such as resets and delayed closes of connections, still arrive this long after its end.
 FAULT_AFTERMATH_US = S
 # The log line of a gateway that restores a snapshot, with the snapshot's age in seconds.
 SNAPSHOT_RESTORED_LOG = re.compile(r"takes up a snapshot of (\d+(?:\.\d+)?) s ago")
@@ -60,7 +60,7 @@
     """The history of one run: its records by kind, and the time spans of its faults.
 
     Spans of `down` and `paused` are by the name of the process, those of `links` by the kind of link. Those
-    of `stalled`, in which fault injection itself was late, have the empty name.
+    of `stalled`, in which the event loop of fault injection or of its clients was late, have the empty name.
     """
 
     def __init__(self, records: Iterable[Record], plan: Plan, seed: int = 0) -> None:
@@ -69,7 +69,7 @@
         for record in records:
             self.records_by_kind[record["kind"]].append(record)
         self.down, self.paused, self.links, self.stalled = Spans(), Spans(), Spans(), Spans()
-        # When fault injection's or its clients' event loop was late, the processes under test are excused.
+        # The processes under test are excused while the event loop that observes them was late.
         for record in self.records_by_kind["stalled"]:
             self.stalled.add(
                 "", record["at"] - record["us"] - FAULT_AFTERMATH_US, record["at"] + FAULT_AFTERMATH_US
@@ -88,7 +88,7 @@
                     spans.add(name, record["at"], end_us)
 
     def read_down_spans(self) -> None:
-        """Collect the spans in which a process is down: from the fault, or its end, until it serves again."""
+        """Collect the spans in which a process is down: from the fault or its exit until it serves again."""
         down_since_us: dict[str, int] = {}
         for record in sorted(
             (*self.records_by_kind["died"], *self.records_by_kind["started"], *self.records_by_kind["fault"]),
@@ -250,8 +250,9 @@
 def one_attempt(history: RunHistory) -> list[Violation]:
     """At most one attempt of a request is in flight at a time.
 
-    Excused is an overlap in which a paused scan server, or a fault on the link to it, hides that the earlier
-    attempt has been given up; other overlaps may last for the limit on link delays.
+    Excused is an overlap while the scan server is paused or the link to it has a fault, as it then cannot
+    observe that the gateway has given up the earlier attempt. Other overlaps may last for `drain_ms` of the
+    plan's limits.
     """
     violations, slack_us = [], history.plan.limits.drain_ms * MS
     for request_id, attempts in attempts_of(history).items():
@@ -273,8 +274,8 @@
 def drains(history: RunHistory) -> list[Violation]:
     """A gateway sends nothing new to a scan server that is draining or has left.
 
-    After it was notified it has the grace period of the fleet, 250 ms by default, plus `drain_ms` of the
-    plan's limits. A paused gateway is notified when it continues.
+    After the notification it may still send for the grace period of the fleet, 250 ms by default, plus
+    `drain_ms` of the plan's limits. A paused gateway is notified when it continues.
     """
     violations = []
     grace_us = (history.plan.fleet.drain_grace_ms + history.plan.limits.drain_ms) * MS
@@ -317,12 +318,14 @@
 
 
 def accounts(history: RunHistory) -> tuple[dict[str, Account], dict[str, list[tuple[int, bool]]]]:
-    """Return the accounts of the customers after all forwarded requests, and the units sent by quota plan.
+    """Return the account of each customer after all forwarded requests, and the units sent by quota plan.
 
-    Each unit is the time at which it arrived at a scan server, and whether it was inside the quota.
+    A unit is a pair: the time at which it arrived at a scan server, and whether it was inside the quota.
     """
-    world = World(history.plan.fleet, history.seed, Clock())
-    quota_plan_by_name = dict(zip([plan.name for plan in history.plan.fleet.plans], world.plans, strict=True))
+    context = SimulationContext(history.plan.fleet, history.seed, Clock())
+    quota_plan_by_name = dict(
+        zip([plan.name for plan in history.plan.fleet.plans], context.plans, strict=True)
+    )
     account_by_customer: dict[str, Account] = {}
     units_by_plan: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     counted_ids: set[str] = set()
@@ -414,7 +417,7 @@
 
 
 def processes(history: RunHistory) -> list[Violation]:
-    """Processes end only when they are ended, and gateways log no error.
+    """No process exits unless the run terminates or kills it, and gateways log no error.
 
     Scan servers can read every command, and none collapses under its load while it is warming up.
 
--- a/thistletrail/fault_injection/crash_injection.py
+++ b/thistletrail/fault_injection/crash_injection.py
@@ -1,4 +1,4 @@
-"""Crash injection: kills gateways at chosen points of a work item and checks runs and outcomes.
+"""Crash injection: kills gateways at chosen points of a work item, and checks its executions and outcome.
 
 The gateways and the lease service are real processes. This program relays between each gateway and the lease
 service, and acts as the scan servers and the clients, so it observes the progress of each work item and kills
@@ -28,6 +28,8 @@
 from thistletrail.gateway.resp import CommandReader, ProtocolError, encode
 from thistletrail.leasing.framing import SIGNATURE_HEADER, sign
 
+# Points in the processing of a work item, in their order: a gateway sends its intent to the lease service,
+# writes the request to a scan server, sends the outcome to the lease service, and then answers the client.
 POINTS = (
     "before the intent",
     "after the intent",
@@ -37,7 +39,7 @@
     "after it is kept",
     "after the client has it",
 )
-EFFECTS = ("keyed", "unsafe")
+EFFECTS = ("keyed", "unsafe")  # kinds of request classes: with an idempotency key, and never to be repeated
 ZONES = 2
 REQUEST_DEADLINE_MS = 3000
 EXECUTION_TIME_S = 0.02
@@ -45,8 +47,9 @@
 CLIENT_RETRY_TIMEOUT_S = 6.0
 CLIENT_RETRY_INTERVAL_S = 0.05
 LOG_POLL_INTERVAL_S = 0.02
-RECORDED_TEXT = "work is recorded by the lease service"  # logged on a gateway's first answer from it
-FIRST_ATTEMPT_TIMEOUT_S = 2.0  # a crash whose point is not reached in this time is not injected
+# A gateway logs this on its first answer from the lease service.
+RECORDED_TEXT = "work is recorded by the lease service"
+FIRST_ATTEMPT_TIMEOUT_S = 2.0  # a crash whose point is not reached within this time is not injected
 IDEMPOTENCY_WINDOW_MS = 8000
 LEASE_MS = 1000
 SMALL_BODY_BYTES = 256
@@ -75,6 +78,7 @@
             return f"{self.key} may not be repeated, and ran {len(self.execution_zones)} times"
         if len(set(self.execution_zones)) > 1:
             return f"{self.key} ran in {len(set(self.execution_zones))} zones"
+        # From "after it is kept" on, the lease service has stored the outcome.
         outcome_is_stored = self.point in POINTS[5:] and self.effect == "keyed"
         if outcome_is_stored and (self.final_outcome != "served" or len(self.execution_zones) > 1):
             return f"{self.key}: its outcome was stored, and its client got '{self.final_outcome}'"
@@ -92,9 +96,11 @@
         self.reader, self.is_aborted = CommandReader(), False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Keep the transport for the answers."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Execute the complete commands; inject a crash "in the write" at the first bytes of its request."""
         self.reader.feed(data)
         if crash := self.fleet.crash_in_write(data):
             self.fleet.crash(crash)
@@ -207,7 +213,7 @@
     def __init__(
         self, tree: GatewaySourceTree, folder: Path, seed: int, gateway_count: int, takeover: bool
     ) -> None:
-        self.tree, self.folder, self.random, self.takeover = tree, folder, random.Random(seed), takeover
+        self.tree, self.folder, self.rng, self.takeover = tree, folder, random.Random(seed), takeover
         self.pending_crashes: dict[str, InjectedCrash] = {}  # by key
         self.execution_zones: dict[str, list[int]] = defaultdict(list)
         self.executed: set[tuple[int, str]] = set()  # (zone, key)
@@ -245,29 +251,35 @@
         loop = asyncio.get_running_loop()
         budgets, secret = self.folder / "budgets.toml", self.folder / "secret"
         budgets.write_text(f"budgets = []\nwork_lease_ms = {LEASE_MS}\n")
-        secret.write_text(f"{self.random.getrandbits(256):064x}")
+        secret.write_text(f"{self.rng.getrandbits(256):064x}")
         await self.start_lease_service()
         for number in range(len(self.gateways)):
-            scans = []
-            for scan in range(2 * ZONES):
+            scan_server_addresses = []
+            for scan_server in range(2 * ZONES):
                 server = await loop.create_server(
-                    lambda gateway=number, zone=scan % ZONES: ScanServerConnection(self, gateway, zone),
+                    lambda gateway=number, zone=scan_server % ZONES: ScanServerConnection(
+                        self, gateway, zone
+                    ),
                     HOST,
                     0,
                 )
                 self.servers.append(server)
-                scans.append(server.sockets[0].getsockname())
+                scan_server_addresses.append(server.sockets[0].getsockname())
             relay = LeaseServiceRelay(self, number)
             server = await asyncio.start_server(relay.accept, HOST, 0)
             self.servers.append(server)
-            self.configs.append(self.config(number, scans, server.sockets[0].getsockname(), secret))
+            self.configs.append(
+                self.config(number, scan_server_addresses, server.sockets[0].getsockname(), secret)
+            )
         await asyncio.gather(*(self.start_gateway(number) for number in range(len(self.gateways))))
 
     async def start_lease_service(self) -> None:
         """Start the lease service; after a restart it restores its stored state."""
         self.lease_service = await start_lease_service(self.folder)
 
-    def config(self, number: int, scans: list[Address], relay: Address, secret: Path) -> dict[str, Any]:
+    def config(
+        self, number: int, scan_server_addresses: list[Address], relay: Address, secret: Path
+    ) -> dict[str, Any]:
         """Return the configuration of a gateway: it lists all scan servers; discovery is unreachable."""
         instances = [
             {
@@ -280,7 +292,7 @@
                 "weight": 1,
                 "startedAtMs": 0,
             }
-            for n, address in enumerate(scans)
+            for n, address in enumerate(scan_server_addresses)
         ]
         work_lease_settings = {
             "addresses": format_address(relay),
@@ -313,7 +325,7 @@
             "name": f"door-{number}",
             "listen": listen,
             "discovery": unused_address,
-            "seed": f"{self.random.getrandbits(64):016x}",
+            "seed": f"{self.rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peers": [],
             "known": {"generation": 1, "reset": True, "instances": instances},
@@ -451,7 +463,7 @@
             others = [number for number in range(len(self.gateways)) if number != gateway]
             request_id = f"{crash.key}t{crash.retries}"
             crash.final_outcome = await self.send(
-                self.random.choice(others), self.request_for(crash, request_id), CLIENT_RETRY_TIMEOUT_S
+                self.rng.choice(others), self.request_for(crash, request_id), CLIENT_RETRY_TIMEOUT_S
             )
             await asyncio.sleep(CLIENT_RETRY_INTERVAL_S)
         if crash.reached:
@@ -507,7 +519,7 @@
 def format_crash_table(crashes: list[InjectedCrash]) -> str:
     """Return a Markdown table of crashes, executions and outcomes, by point and effect."""
     lines = [
-        "| point | class | deaths | ran once | never | more often | ended well | wrong |",
+        "| point | class | crashes | executed once | never | more often | outcome delivered | violations |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for point in POINTS:
--- a/thistletrail/fault_injection/endpoint_list_rewriter.py
+++ b/thistletrail/fault_injection/endpoint_list_rewriter.py
@@ -14,11 +14,10 @@
 
 from thistletrail.fault_injection.relay import Records
 
-MAX_LINE_BYTES = 1 << 22
-"""Maximum size of one update; one with 2,000 entries has a fifth of it."""
+MAX_LINE_BYTES = 1 << 22  # for one update; one with 2,000 entries has a fifth of it
 
+# Returns the relay's address for an instance, from its id and the address at which it listens.
 AddressOf = Callable[[str, str], str]
-"""Returns the relay's address for an instance, from its id and the address at which it listens."""
 
 
 class EndpointListRewriter:
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -39,14 +39,14 @@
     refused: int  # requests that a gateway refused
     failed: int  # requests that failed
     gone: int  # requests without an answer by the client's deadline
-    fault_injection_late_s: float  # maximum lag of the own event loops; high if the machine was too busy
+    fault_injection_late_s: float  # maximum lag of fault injection's own event loops; high on a busy machine
 
     def as_json(self) -> dict[str, object]:
         """Return the figures under the keys of `result.json`."""
         return asdict(self)
 
 
-# What each figure counts, for tables that people read.
+# What each figure counts, for the tables that commands print.
 LABELS = {
     "served": "worth served in time, as a share of the worth requested inside the quotas",
     "full_s": "time from the first fault to full service, s",
@@ -76,7 +76,10 @@
 
 
 def operations_in_quota(history: RunHistory) -> list[Point]:
-    """Return the operations inside the ideal quotas: time from the load's start, worth, whether in time."""
+    """Return the operations inside the ideal quotas.
+
+    Each has the time from the load's start in microseconds, its worth, and whether it was served in time.
+    """
     start_us = load_start_us(history)
     return [
         (record["first_us"] - start_us, record["worth"], record["in_time"])
--- a/thistletrail/fault_injection/fleet.py
+++ b/thistletrail/fault_injection/fleet.py
@@ -1,4 +1,7 @@
-"""The processes of a run and the relays between them: starts, restarts and terminates them."""
+"""The processes of a run and the relays between them.
+
+Starts, restarts and terminates the processes, and sets the faults of the links between them.
+"""
 
 from __future__ import annotations
 
@@ -35,17 +38,17 @@
 from thistletrail.fault_injection.plan import Fault, Plan
 from thistletrail.fault_injection.program import ProcessConfig
 from thistletrail.fault_injection.relay import Address, LinkState, PeerRelays, Relay, RequestRelay
-from thistletrail.fault_injection.world import MEMORY_LIMIT_MB, SOCKET_LIMIT, World
+from thistletrail.fault_injection.simulation_context import MEMORY_LIMIT_MB, SOCKET_LIMIT, SimulationContext
 from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
 from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
 from thistletrail.leasing.config import read_config
 from thistletrail.leasing.journal import begin_history
 from thistletrail.simulation.clock import Clock
 
-START_TIMEOUT_S = 30.0  # until all processes serve: dozens start at once on few cores
+START_TIMEOUT_S = 30.0  # until all processes serve: many start at once, on few cores
 EXIT_TIMEOUT_S = 6.0  # from SIGTERM to SIGKILL: the drain of a gateway takes up to 3.5 s
 LEASE_MS = 3000  # duration of the leases that the lease service grants
-# The last octet of the address of the first process of each kind.
+# Last octet of the loopback address of the first process of each kind. Gateways use the octets from 1 on.
 SERVICE_OCTETS = {"list": 251, "follower": 252, "steward": 253}
 STALE_MS = 3_600_000  # added to the age of a stale snapshot
 
@@ -65,17 +68,19 @@
         self.kind, self.number, self.zone, self.folder, self.start_process = kind, number, zone, folder, start
         self.name = f"{kind}-{number}"
         self.process: Process | None = None
-        self.listen_address: Address = ("", 0)  # lease services only; chosen before the process starts
+        # Only of a lease service that is one of several; set before its start.
+        self.listen_address: Address = ("", 0)
         self.is_exit_expected = False  # the run has terminated the process, or is about to
-        self.cold = False
+        self.is_cold = False  # starts as on a new machine: a scan server then has to warm up
         self.clock_offset_s = 0.0
-        self.exit_task: asyncio.Task[None] | None = None
-        self.restart_lock = asyncio.Lock()  # locked from a kill by a fault until it serves again
+        self.exit_task: asyncio.Task[None] | None = None  # runs `Fleet.record_exit`
+        # Locked from a kill or SIGTERM by a fault until the member serves again.
+        self.restart_lock = asyncio.Lock()
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
     def state_folder(self) -> Path:
-        """The folder of the stored state, which all lease services share."""
+        """The folder of the process's stored state; all lease services share one."""
         folder = self.folder if self.kind != "steward" else self.folder.with_name("steward-0")
         return folder / "state"
 
@@ -154,17 +159,18 @@
         self.loop = asyncio.get_running_loop()
         (folder / "history").mkdir(parents=True, exist_ok=True)
         self.writer = Writer(folder / "history" / "fault_injection.jsonl")
-        self.world = World(plan.fleet, seed, Clock())
+        self.context = SimulationContext(plan.fleet, seed, Clock())
         self.members: dict[str, Member] = {}
         self.relays: dict[tuple[str, str, str], Relay] = {}
         self.link_states: dict[tuple[str, str, str], LinkState] = {}
         self.active_link_faults: list[tuple[int, Fault]] = []
-        self.random = random.Random(f"{seed}/doors")
+        self.gateway_seed_rng = random.Random(f"{seed}/doors")
         self.unexpected_exits: list[str] = []  # one message each
         self.added_server_count = 0
         net, pid = plan.fleet.net, os.getpid()
         # Each process that restarts at its address has an IP address of its own: on a shared one, another
-        # process's connection could take its port.
+        # process's connection could take its port. The prefix depends on the process id, so that concurrent
+        # runs use different addresses.
         self.address_prefix = f"127.{64 + (pid >> 8) % 128}.{pid % 256}"
         hosts = [f"{self.address_prefix}.{number + 1}" for number in range(plan.fleet.doors)]
         self.listen_addresses = [(host, free_port(host=host)) for host in hosts]
@@ -221,6 +227,7 @@
         does not matter.
         """
         members = [self.members[source], self.members[destination]]
+        # A fault of a zone applies to the links that cross its border: one member is inside, one outside.
         if fault.zone is not None and len({member.zone == fault.zone for member in members}) == 1:
             return False
         if fault.numbers and members[0].number not in fault.numbers:
@@ -228,7 +235,7 @@
         return random.Random(f"{self.seed}/{index}/{source}/{destination}").random() < fault.part
 
     def update_link_state(self, link: str, source: str, destination: str) -> None:
-        """Set the state of a link to the faults that are active now."""
+        """Replace the faults of a link by those that are active now and apply to it."""
         state = self.link_states[link, source, destination]
         state.clear()
         for index, fault in self.active_link_faults:
@@ -237,7 +244,7 @@
         state.notify()
 
     def update_link_states(self, link: str) -> None:
-        """Set the states of all links of a kind to the faults that are active now."""
+        """Call `update_link_state` for all links of a kind."""
         for key in [key for key in self.link_states if key[0] == link]:
             self.update_link_state(*key)
 
@@ -268,7 +275,10 @@
         return relay
 
     def address_of(self, gateway: str, server: str, listen_address: str) -> str:
-        """Return the address at which a gateway reaches a scan server, for its endpoint list."""
+        """Return the address at which a gateway reaches a scan server, for its endpoint list.
+
+        It is that of a relay, or `listen_address` if the server is not a member of the fleet.
+        """
         if server not in self.members:
             return listen_address
         host, _, port = listen_address.rpartition(":")
@@ -278,7 +288,7 @@
         return format_address(relay.address)
 
     def set_reachable(self, member: Member, is_reachable: bool) -> None:
-        """Make all relays to a member accept connections, or refuse them while it is down."""
+        """Make all relays to a member accept connections, or refuse them."""
         for (_, _, destination), relay in self.relays.items():
             if destination == member.name:
                 relay.open() if is_reachable else relay.refuse()
@@ -286,7 +296,7 @@
     # --- starts ---
 
     def listen_argument(self, member: Member) -> str:
-        """Return the address at which a service listens: any free port at first, then the same one again."""
+        """Return the `--listen` argument of a service: any port at first, the same one after restarts."""
         if member.process:
             return format_address(member.process.address)
         return format_address((f"{self.address_prefix}.{SERVICE_OCTETS[member.kind] + member.number}", 0))
@@ -301,7 +311,8 @@
             "--listen",
             self.listen_argument(member),
         )
-        if member.process is None:  # first start: gateways start after the scan servers have registered
+        # At the first start no time for registrations is needed: scan servers register before gateways start.
+        if member.process is None:
             arguments = (*arguments, "--fill", "0")
         process, _ = await start_program(arguments, member.folder / "log")
         return process
@@ -321,14 +332,15 @@
         return process
 
     async def start_lease_service(self, member: Member) -> Process:
-        """Start a lease service; the first one writes the configuration, and serves before this returns.
+        """Start a lease service; before the first start, write the configuration and the secret.
 
-        If the plan has several, each may become the leader later.
+        At its first start, the first lease service serves before this returns. If the plan has several, the
+        others are standbys, and each may become the leader later.
         """
         folder = self.members["steward-0"].folder
         config, secret = folder / "budgets.toml", folder / "secret"
         if not config.exists():
-            plans = zip(self.plan.fleet.plans, self.world.plans, strict=True)
+            plans = zip(self.plan.fleet.plans, self.context.plans, strict=True)
             config.write_text(
                 tomli_w.dumps(
                     {
@@ -385,8 +397,8 @@
     def lease_service_settings(self, gateway: str) -> dict[str, Any]:
         """Return the keys of a gateway's configuration for budget leases and work leases.
 
-        The addresses of the lease services are those of the relays; which one is first rotates by the
-        gateway's number.
+        The addresses of the lease services are those of the relays. Their order is rotated by the gateway's
+        number, so that not all gateways begin with the same one.
         """
         if not self.plan.needs_lease_service:
             return {}
@@ -405,7 +417,7 @@
             "secret_file": str(lease_services[0].folder / "secret"),
         }
         budget_lease_settings = {**connection, "lease_ms": LEASE_MS, "quotas": self.plan.quotas}
-        has_lease_keys = self.tree.has_lease_keys
+        has_lease_keys = self.tree.has_lease_keys  # older revisions read the former keys
         budget_key = "budget_leases" if has_lease_keys else "steward"
         work_key = "work_leases" if has_lease_keys else "takeover"
         config: dict[str, Any] = {budget_key: budget_lease_settings} if self.plan.steward else {}
@@ -424,7 +436,7 @@
             number=member.number,
             name=member.name,
             history=str(self.folder / "history" / f"{member.name}.jsonl"),
-            cold=member.cold,
+            cold=member.is_cold,
             clock_s=member.clock_offset_s,
             **values,
         )
@@ -458,9 +470,9 @@
         """Start a gateway, and wait until it answers PING."""
         number = member.number
         registries = [("list-0", "doors-list")]
-        if self.plan.follower:  # the first address of every other gateway
+        if self.plan.follower:  # gateways of odd numbers read it first
             registries.insert(1 - number % 2, ("follower-0", "doors-follower"))
-        if not self.tree.accepts_address_list:
+        if not self.tree.accepts_address_list:  # an older revision, which reads one address
             del registries[1:]
         relays = [
             self.relay(link, member.name, registry, self.members[registry].process.address)
@@ -470,12 +482,12 @@
             "name": member.name,
             "listen": format_address(self.listen_addresses[number]),
             "discovery": ",".join(format_address(relay.address) for relay in relays),
-            "seed": f"{self.random.getrandbits(64):016x}",
+            "seed": f"{self.gateway_seed_rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
             "peer_listen": format_address(self.peer_listen_addresses[number]),
             "known": {},
             "peers": [format_address(address) for address in self.peers.addresses_for(number)],
-            "settings": self.world.settings(number),
+            "settings": self.context.settings(number),
             "clock_offset_ms": round(member.clock_offset_s * 1000),
             **({"state_dir": str(member.state_folder)} if self.plan.state else {}),
             **self.lease_service_settings(member.name),
@@ -500,7 +512,7 @@
         except BenchmarkError as error:
             raise FaultInjectionError(f"{member.name}: {error}") from error
         member.process, member.is_exit_expected = process, False
-        self.writer.note("started", who=member.name, cold=member.cold)
+        self.writer.note("started", who=member.name, cold=member.is_cold)
         if member.kind == "doors":
             self.writer.note("pong", door=member.number)
         self.set_reachable(member, True)
@@ -520,7 +532,7 @@
     async def start_all(self) -> None:
         """Start all members in the order of their dependencies; the load begins later.
 
-        Raises TimeoutError if they do not all serve in time.
+        Raises TimeoutError if one of them does not serve before the time-out.
         """
         async with asyncio.timeout(START_TIMEOUT_S + 0.5 * len(self.members)):
             await self.peers.start()
@@ -534,7 +546,7 @@
             await self.start_concurrently(self.members_of("clients"))
 
     async def start_concurrently(self, members: list[Member]) -> None:
-        """Start several members at once; the first failure cancels the others."""
+        """Start several members at once; the first failure cancels the starts of the others."""
         async with asyncio.TaskGroup() as group:
             for member in members:
                 group.create_task(self.start(member))
--- a/thistletrail/fault_injection/history.py
+++ b/thistletrail/fault_injection/history.py
@@ -5,12 +5,13 @@
 
 | kind | written by | meaning |
 | --- | --- | --- |
-| `ask` | clients | an operation, a request with its retries, has ended: start, class, plan, worth, success |
+| `ask` | clients | an operation (a request with its retries) has ended: start, class, plan, worth, success |
 | `try`, `end` | clients | a request was written; its outcome, and how long the client waits for a retry |
-| `late`, `lost` | clients | an answer came after the client's deadline; none came half a second after it |
+| `late`, `lost` | clients | the answer came after the client's deadline; none came within the grace period |
 | `extra` | clients | an answer without a request arrived |
 | `pong` | clients, fault injection | a gateway that was down answers PING |
-| `came`, `left` | scan servers | an attempt has arrived completely; its outcome at the scan server |
+| `came`, `left` | scan servers | an attempt has arrived completely; it has ended, with its outcome |
+| `unread` | scan servers | a command that the scan server cannot read |
 | `fell` | scan servers | the scan server collapsed under its load while it was warming up |
 | `open` | relays | a connection was opened, by link and sides |
 | `sent` | relays | the first bytes of a request went from a gateway to a scan server |
@@ -18,9 +19,9 @@
 | `told` | relays | an update of the endpoint list was written to a gateway |
 | `words` | relays | the number of quota messages (datagrams) between gateways in a tenth of a second |
 | `go` | fault injection | the times at which the load begins and ends |
-| `fault`, `undone`, `woke` | fault injection | a fault and what it hit; its end; the end of a pause |
-| `started`, `died` | fault injection | a process started, or ended and whether that was expected |
-| `stalled` | fault injection, clients | the own event loop was late, as the machine was too busy |
+| `fault`, `undone`, `woke` | fault injection | a fault begins, with its targets; it ends; a pause ends |
+| `started`, `died` | fault injection | a process serves; it has exited, and whether that was expected |
+| `stalled` | fault injection, clients | the event loop of the writer was late, as the machine was too busy |
 | `door` | a gateway's log | a line of the log, at its timestamp |
 """
 
@@ -78,9 +79,9 @@
 
 
 def read_folder(folder: Path) -> list[Iterator[Record]]:
-    """Return the records of each file of a run's folder.
+    """Return the records of each history file (`*.jsonl`) in a folder.
 
-    Files of any name are read, as earlier revisions gave them other names.
+    The names before the suffix do not matter, as earlier revisions gave the files other names.
     """
     return [read(path) for path in sorted(folder.glob("*.jsonl"))]
 
--- a/thistletrail/fault_injection/leases.py
+++ b/thistletrail/fault_injection/leases.py
@@ -2,7 +2,7 @@
 
 Relays record the messages, and forward them unchanged. A grant counts from the time at which its response
 passed the relay until its lease expires, measured from the time at which its request passed; it ends earlier
-when the same incarnation of the gateway sends a request with a later fencing number. So the shares that
+when the same incarnation of the gateway sends a request with a higher fencing token. So the shares that
 gateways really use never add up to more than the sums computed here.
 """
 
@@ -18,7 +18,7 @@
 import msgspec
 
 from thistletrail.fault_injection.relay import FORWARD, Relay, Side
-from thistletrail.fault_injection.world import World
+from thistletrail.fault_injection.simulation_context import SimulationContext
 from thistletrail.gateway.budget_lease_client import RETRY_BUDGET_NAME
 from thistletrail.leasing.budget_state import MARGIN_FRACTION, BudgetLimits, divisible_total
 from thistletrail.leasing.messages import RenewRequest, RenewResponse
@@ -30,8 +30,8 @@
 MAX_HEAD_BYTES = 1 << 14
 MAX_BODY_BYTES = 1 << 20
 HEAD_END = b"\r\n\r\n"
-# A budget counts as fully granted from this fraction of its divisible total on, and a dead gateway's share as
-# granted to others from this fraction of it on.
+# A budget counts as fully granted if at least this fraction of its divisible total is granted, and a dead
+# gateway's share as granted to others if at least this fraction of it is.
 FULLY_GRANTED_FRACTION = 0.9
 
 
@@ -70,8 +70,8 @@
 class RenewalRelay(Relay):
     """Relays from a gateway to a lease service, and records each renewal request and each grant."""
 
-    def __init__(self, *values: Any) -> None:  # noqa: ANN401 - the arguments of Relay
-        super().__init__(*values)
+    def __init__(self, *arguments: Any) -> None:  # noqa: ANN401 - the arguments of Relay
+        super().__init__(*arguments)
         self.readers: WeakKeyDictionary[Side, HttpMessageReader] = WeakKeyDictionary()
 
     def on_data(self, side: Side, data: bytes) -> None:
@@ -99,7 +99,7 @@
                         parts={grant.budget: [grant.fence, grant.share] for grant in response.grants},
                     )
             except msgspec.MsgspecError:
-                continue  # the message of another call
+                continue  # a message of another endpoint
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,12 +117,12 @@
 def share_grants(history: RunHistory) -> list[ShareGrant]:
     """Return each grant of a share, with the time span in which its gateway may use it."""
     request_times_us: dict[tuple[int, int, int], int] = {}
-    # Times of requests and the fencing numbers that they carry, by gateway, incarnation and budget.
-    later_fences: dict[tuple[int, int, str], list[tuple[int, int]]] = defaultdict(list)
+    # By gateway, incarnation and budget: the time of each request, and the fencing token that it carries.
+    confirmed_fences: dict[tuple[int, int, str], list[tuple[int, int]]] = defaultdict(list)
     for record in history.records_by_kind["asked"]:
         request_times_us.setdefault((record["door"], record["mark"], record["serial"]), record["at"])
         for budget, fence in record["fences"].items():
-            later_fences[record["door"], record["mark"], budget].append((record["at"], fence))
+            confirmed_fences[record["door"], record["mark"], budget].append((record["at"], fence))
     grants = []
     for record in history.records_by_kind["granted"]:
         request_us = request_times_us.get((record["door"], record["mark"], record["serial"]))
@@ -133,8 +133,8 @@
             superseded_us = min(
                 (
                     at_us
-                    for at_us, later_fence in later_fences[record["door"], record["mark"], budget]
-                    if later_fence > fence
+                    for at_us, confirmed_fence in confirmed_fences[record["door"], record["mark"], budget]
+                    if confirmed_fence > fence
                 ),
                 default=request_us + lease_us,
             )
@@ -170,9 +170,9 @@
 
     The keys are `KIND/QUOTA PLAN`, and the name of the retry budget.
     """
-    world = World(history.plan.fleet, history.seed, Clock())
+    context = SimulationContext(history.plan.fleet, history.seed, Clock())
     limits = {}
-    for plan, figures in zip(history.plan.fleet.plans, world.plans, strict=True):
+    for plan, figures in zip(history.plan.fleet.plans, context.plans, strict=True):
         limits |= {f"quota/{plan.name}": (figures.rate, figures.burst)} if history.plan.quotas else {}
         limits |= {f"ceiling/{plan.name}": figures.ceiling} if figures.ceiling[0] else {}
     if history.plan.further:
@@ -197,7 +197,7 @@
 
 
 def find_overcommitments(history: RunHistory) -> Iterator[tuple[int, str]]:
-    """Yield the time and a description of each overcommitted budget and each reused fencing number.
+    """Yield the time and a description of each overcommitted budget and each reused fencing token.
 
     A budget is overcommitted when the shares that all gateways may use add up to more than its divisible
     total.
--- a/thistletrail/fault_injection/load_generator.py
+++ b/thistletrail/fault_injection/load_generator.py
@@ -1,9 +1,9 @@
 """The load generator: a process that runs the simulation's customers and clients in real time.
 
-Its argument is the path of its configuration. It prints a line once its load is drawn, starts at the time of
-the order `go` (microseconds of the monotonic clock), and exits after its last request. It also simulates the
-load balancer in front of the gateways, which detects a gateway that is down after a delay, and uses it again
-once it answers PING.
+Its argument is the path of its configuration. It prints a line once its load is generated, for which its
+parent waits. It starts at the time that the order `go` gives (microseconds of the monotonic clock), and exits
+after its last request. It also simulates the load balancer in front of the gateways, which detects after a
+delay that a gateway is down, and uses it again once it answers PING.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from thistletrail.fault_injection.history import Writer
 from thistletrail.fault_injection.program import Order, ProcessConfig, handle_orders, run_program
 from thistletrail.fault_injection.realtime import RealClock, now_us, record_event_loop_lag
-from thistletrail.fault_injection.world import LoadEntry, World, generate_load
+from thistletrail.fault_injection.simulation_context import LoadEntry, SimulationContext, generate_load
 from thistletrail.gateway.resp import encode
 from thistletrail.simulation.clients import ClientRequest, Clients, Customer, Operation
 from thistletrail.simulation.clock import S
@@ -26,7 +26,8 @@
 if TYPE_CHECKING:
     from thistletrail.fault_injection.relay import Address
 
-POLL_INTERVAL_S = 0.05  # between probes of a gateway that is down, and between checks for the end
+# Between probes of a gateway that is down, and between checks whether all operations have ended.
+POLL_INTERVAL_S = 0.05
 PONG_TIMEOUT_S = 0.5
 REFUSED = "refused"  # outcome of a refused request; the retry delay in ms may follow it
 
@@ -47,6 +48,7 @@
         )
 
     def data_received(self, data: bytes) -> None:
+        """Read answers; data beyond those of all pending requests are recorded, and end the connection."""
         super().data_received(data)
         if self.buffer and not self.pending_answers:
             self.generator.writer.note("extra", data=repr(bytes(self.buffer[:80])))
@@ -56,7 +58,7 @@
 class Gateway:
     """A gateway as the clients use it, with a pool of connections.
 
-    `receive_request` and `on_client_timeout` are called by the simulation's clients.
+    `receive_request` and `on_client_disconnect` are called by the simulation's clients.
     """
 
     def __init__(self, generator: LoadGenerator, number: int, address: Address) -> None:
@@ -105,7 +107,7 @@
             generator.writer.note("late", id=request.id, how=result)
 
     def on_client_disconnect(self, request: ClientRequest) -> bool:
-        """Handle a client's time-out; return whether an answer was still outstanding.
+        """Handle the time-out of a request at its client; return whether an answer was still outstanding.
 
         The connection stays open for the grace period `limits.answer_ms`, to record a late answer.
         """
@@ -128,7 +130,10 @@
             self.generator.spawn(self.probe())
 
     async def probe(self) -> None:
-        """Send PING until the gateway answers; after the detection delay it counts as down until then."""
+        """Send PING until the gateway answers.
+
+        The clients regard it as down from the end of the detection delay until it answers.
+        """
         generator = self.generator
         detection_delay_us = generator.clients.draw_detection_delay_us()
         began_us = now_us()
@@ -155,10 +160,10 @@
 
 
 class LiveClients(Clients):
-    """The simulation's clients, whose requests go over sockets and are recorded."""
+    """The simulation's clients, but their requests go over sockets, and are recorded in the history."""
 
-    def __init__(self, generator: LoadGenerator, world: World) -> None:
-        super().__init__(world, world.scenario.clients, world.streams["clients"])  # type: ignore[arg-type]
+    def __init__(self, generator: LoadGenerator, context: SimulationContext) -> None:
+        super().__init__(context, context.scenario.clients, context.streams["clients"])  # type: ignore[arg-type]
         self.generator, self.writer = generator, generator.writer
         self.serial = itertools.count((16 + generator.config.number) << 56)  # unique ids of 16 hex digits
         self.idempotency_keys: dict[int, str] = {}  # by id() of the open operation
@@ -203,16 +208,16 @@
     def __init__(self, config: ProcessConfig) -> None:
         self.config, self.loop = config, asyncio.get_running_loop()
         self.writer = Writer(Path(config.history))
-        self.world = World(config.plan.fleet, config.seed, RealClock(self.loop))
+        self.context = SimulationContext(config.plan.fleet, config.seed, RealClock(self.loop))
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_operations = 0
-        self.world.clients = self.clients = LiveClients(self, self.world)
-        self.world.gateways = [
+        self.context.clients = self.clients = LiveClients(self, self.context)
+        self.context.gateways = [
             Gateway(self, number, (host, int(port)))
             for number, address in enumerate(config.doors)
             for host, _, port in [address.rpartition(":")]
         ]
-        self.start_ordered = asyncio.Event()
+        self.start_order_received = asyncio.Event()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine as a task, and keep a reference to it until it is done."""
@@ -221,7 +226,7 @@
 
     def encode_command(self, request: ClientRequest, gateway: int) -> bytes:
         """Record a request and return its encoded command."""
-        operation, scenario = request.operation, self.world.scenario
+        operation, scenario = request.operation, self.context.scenario
         rule, customer = scenario.classes[operation.class_index], operation.customer
         plan = scenario.plans[customer.plan].name
         remaining_ms = max(0, (request.end_us - now_us()) // 1000)
@@ -250,19 +255,19 @@
         print(f"clients {self.config.number} have {len(load)} entries", flush=True)
         order_reader = self.loop.create_task(handle_orders(self.handle_order))
         self.spawn(record_event_loop_lag(self.writer.note))
-        await self.start_ordered.wait()
+        await self.start_order_received.wait()
         await self.run_load(load)
         order_reader.cancel()
 
     def handle_order(self, order: Order) -> None:
         """Handle the order `go`, which gives the time at which the load begins."""
         if "go" in order:
-            self.world.start_us = order["go"]
-            self.start_ordered.set()
+            self.context.start_us = order["go"]
+            self.start_order_received.set()
 
     async def run_load(self, load: list[LoadEntry]) -> None:
         """Start each operation at its time; return when all have ended and no answer is outstanding."""
-        start_us = self.world.start_us
+        start_us = self.context.start_us
         for entry in load:
             if (wait_us := start_us + entry.at_us - now_us()) > 0:
                 await asyncio.sleep(wait_us / 1e6)
@@ -270,7 +275,7 @@
                 entry.customer.cumulative = entry.cumulative
             else:
                 self.clients.start_operation(entry.customer, entry.class_index, entry.work_us)
-        while self.open_operations or any(gateway.busy_connections for gateway in self.world.gateways):
+        while self.open_operations or any(gateway.busy_connections for gateway in self.context.gateways):
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -30,7 +30,9 @@
     without_defaults,
 )
 
-# Kinds of processes, and of links between two of them; the connecting side is named first.
+# Kinds of processes, and of links between two of them; the connecting side is named first. `doors` are the
+# gateways, `servers` the scan servers, `list` the registry, `follower` its read replica, and `clients` the
+# load generators; the lease services have an earlier name.
 ProcessKind = Literal["doors", "servers", "list", "follower", "steward", "clients"]
 LinkKind = Literal[
     "clients-doors",
@@ -77,11 +79,11 @@
     Faults of processes hit those of kind `on`: a share `part` of them or those of `numbers`, and only those
     of zone `zone` if it is given. `kill` sends SIGKILL, `term` SIGTERM, `pause` SIGSTOP for `for_s`;
     `full_disk` makes writes fail for `for_s`. Killed and terminated processes are started again after a
-    random time in the range `back_s`, with one of these values of `state`: what they stored (`kept`), nothing
-    (`none`), an `old` copy (from half the time before the fault), a `stale` snapshot (of gateways, an hour
-    old) or a `damaged` one; their clock is then off by `clock_s`. `move` (of gateways) writes a new
-    configuration with the other registry alone and sends SIGHUP. `stagger_s` spreads the hits evenly over
-    that time; `times` hits the same processes repeatedly, each time once they serve.
+    random time in the range `back_s`, with a stored state by `state`: what they stored (`kept`), nothing
+    (`none`), an `old` copy (made at half of `at_s`), a `stale` snapshot (of gateways, an hour old) or a
+    `damaged` one; their clock is then off by `clock_s`. `move` (of gateways) writes a new configuration that
+    names only the last of the registries, and sends SIGHUP. `stagger_s` spreads the hits evenly over that
+    time; `times` hits the same processes repeatedly, each time once they serve.
 
     Faults of scan servers: `bad` (a share `size` of the answers are errors), `errors_fast` (the same, without
     delay), `slow` (by the factor `size`), `replace` (they drain and leave over `for_s`, and cold ones, which
@@ -134,7 +136,7 @@
     name: Name
     fleet: Scenario
     faults: tuple[Fault, ...] = ()
-    clients: Annotated[int, msgspec.Meta(ge=1, le=32)] = 1  # client processes, which share the load
+    clients: Annotated[int, msgspec.Meta(ge=1, le=32)] = 1  # load generators, which share the load
     follower: bool = True  # runs a read replica of the registry, which every second gateway reads first
     lease_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 3.0
     steward: bool = False  # ceilings are divided by leases, instead of fixed shares and quota messages
--- a/thistletrail/fault_injection/play.py
+++ b/thistletrail/fault_injection/play.py
@@ -26,10 +26,10 @@
 from thistletrail.fault_injection.realtime import now_us, record_event_loop_lag
 from thistletrail.simulation.clock import S
 
-LOAD_START_DELAY_US = 300_000  # from the order to the load generators until the load begins
+LOAD_START_DELAY_US = 300_000  # from sending the order `go` to the load generators until the load begins
 CLIENT_EXIT_TIMEOUT_S = 8.0  # after the end of the load and its tail; long enough for slow machines
 DRAIN_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL; the drain of a gateway takes up to 3.5 s
-REPLACED_SERVER_DRAIN_S = 0.5  # from the drain of a replaced scan server until it leaves
+REPLACED_SERVER_DRAIN_S = 0.5  # from the start of a replaced scan server's drain until it leaves
 
 ProgressCallback = Callable[[str], None]
 
@@ -120,6 +120,7 @@
         await self.sleep_until(fault.at_s)
         self.report_progress(f"{fault.at_s:g} s: {fault.kind} {', '.join(member.name for member in targets)}")
         self.record_fault(index, fault, [member.name for member in targets])
+        # The time over which the members are hit one after the other.
         spread_s = fault.stagger_s if fault.kind in ON_PROCESSES else 0.0
         spread_s = fault.for_s if fault.kind == "replace" else spread_s
         async with asyncio.TaskGroup() as group:
@@ -146,9 +147,10 @@
     async def inject_into_member(
         self, fault: Fault, member: Member, delay_s: float, restart_delay_s: float
     ) -> None:
-        """Inject a fault into one member after a delay, as often as the fault says, and remove it."""
+        """Inject a fault into one member after a delay and remove it, `fault.times` times."""
         await asyncio.sleep(delay_s)
         for _ in range(fault.times):
+            # All of these have the same parameters, although only some use the restart delay.
             inject = {
                 "kill": self.kill,
                 "term": self.term,
@@ -157,8 +159,8 @@
                 "move": self.move,
                 "replace": self.replace,
             }.get(fault.kind, self.degrade_server)
-            # A member that another fault has killed or terminated must serve again before this fault does: it
-            # must not be started twice.
+            # A member that another fault has killed or terminated must serve again before this fault kills or
+            # terminates it: otherwise both faults would start it.
             async with member.restart_lock if fault.kind in ("kill", "term") else nullcontext():
                 await inject(fault, member, restart_delay_s)
 
@@ -182,19 +184,19 @@
         """Start a member again after `restart_delay_s`, with the stored state and the clock of the fault."""
         # In a thread: a slow disk would delay the relays.
         await asyncio.to_thread(member.apply_state_fault, fault.state)
-        member.cold, member.clock_offset_s = True, fault.clock_s
+        member.is_cold, member.clock_offset_s = True, fault.clock_s
         await asyncio.sleep(restart_delay_s)
         await self.fleet.start(member)
 
     async def pause(self, fault: Fault, member: Member, restart_delay_s: float) -> None:
-        """Stop a member with SIGSTOP for the duration of the fault."""
+        """Suspend a member with SIGSTOP for the duration of the fault."""
         member.send_signal(signal.SIGSTOP)
         await asyncio.sleep(fault.for_s)
         member.send_signal(signal.SIGCONT)
         self.fleet.writer.note("woke", who=member.name)
 
     async def move(self, fault: Fault, member: Member, restart_delay_s: float) -> None:
-        """Configure a gateway with the last of its registries alone, and make it reload its configuration."""
+        """Leave a gateway only the last registry of its configuration, and make it reload that by SIGHUP."""
         path = member.folder / "config.json"
         config = msgspec.json.decode(path.read_bytes())
         path.write_bytes(msgspec.json.encode({**config, "discovery": config["discovery"].split(",")[-1]}))
@@ -207,12 +209,12 @@
         member.set_disk_full(False)
 
     async def replace(self, fault: Fault, member: Member, restart_delay_s: float) -> None:
-        """Start a cold scan server under a new id, then drain the old one and make it leave."""
+        """Start a cold scan server under a new id, then drain the old one and make it deregister and exit."""
         fleet = self.fleet
         number = fleet.plan.fleet.servers.count + fleet.added_server_count
         fleet.added_server_count += 1
         new_member = fleet.add_member("servers", number, member.zone, fleet.start_stub_scan_server)
-        new_member.cold = True
+        new_member.is_cold = True
         await fleet.start(new_member)
         member.is_exit_expected = True
         member.send_order(drain=True)
@@ -232,7 +234,7 @@
         member.send_order(**normal)
 
     async def inject_on_links(self, index: int, fault: Fault) -> None:
-        """Add a fault to the links that it applies to at its time, and remove it at its end."""
+        """At its time, add a fault to the links that it applies to, and remove it at its end."""
         await self.sleep_until(fault.at_s)
         self.report_progress(f"{fault.at_s:g} s: {fault.kind} on {fault.link}")
         self.record_fault(index, fault, [fault.link])
@@ -270,7 +272,7 @@
     try:
         await PlanRun(fleet, report_progress).run()
     except TimeoutError:
-        raise FaultInjectionError("not all processes of the fleet started in time") from None
+        raise FaultInjectionError("not all processes of the fleet started before the time-out") from None
     except BaseExceptionGroup as group:
         raise first_error(group) from None
     finally:
--- a/thistletrail/fault_injection/realtime.py
+++ b/thistletrail/fault_injection/realtime.py
@@ -35,10 +35,13 @@
 
     @property
     def now(self) -> int:
+        """The time of the monotonic clock in microseconds."""
         return now_us()
 
     def at(self, time_us: int, call: Callable[..., None], *args: object) -> None:
+        """Schedule a call on the event loop; if `time_us` has passed, it is made as soon as possible."""
         self.after(time_us - now_us(), call, *args)
 
     def after(self, delay_us: float, call: Callable[..., None], *args: object) -> None:
+        """Schedule a call on the event loop after a delay; a negative delay counts as 0."""
         self.loop.call_later(max(0.0, delay_us) / 1e6, call, *args)
--- a/thistletrail/fault_injection/relay.py
+++ b/thistletrail/fault_injection/relay.py
@@ -1,4 +1,4 @@
-"""Relays between every two processes, which forward their data and apply the faults of the link.
+"""Relays between each pair of communicating processes: forward their data and apply the faults of the link.
 
 Each relay listens at an address of its own, which the connecting process gets in place of the target's. Data
 are forwarded in order, with the delay that the state of the link requires. The bytes in the queue are
@@ -22,12 +22,12 @@
 HOST = "127.0.0.1"
 Address = tuple[str, int]
 FORWARD, BACKWARD = 0, 1  # directions: from the connecting process, and to it
-MAX_QUEUED_BYTES = 1 << 18  # per direction of a connection: four values of maximum size
+MAX_QUEUED_BYTES = 1 << 18  # per direction of a connection: four values of the protocol's maximum size
 RETRANSMISSION_DELAY_US = 200_000  # delay of a lost chunk of TCP: the minimum retransmission time-out
 MAX_REORDER_DELAY_US = 30_000  # added to a reordered datagram: the usual delays between peers
 # Markers in a queue, compared by identity: the sender has sent EOF, closed the connection, or reset it.
 FINISH, CLOSE, RESET = b"finish", b"end", b"reset"
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a value of SO_LINGER
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0: closing sends RST
 DATAGRAM_COUNT_INTERVAL_US = 100_000
 
 
@@ -128,7 +128,10 @@
         self.flush()
 
     def flush(self) -> None:
-        """Forward the data that are due, unless the link is on hold."""
+        """Forward the data and markers that are due, unless the link is on hold.
+
+        Resets both connections if the link is cut in both directions, or no longer cut after data were lost.
+        """
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -145,6 +148,7 @@
             self.queue.popleft()
             if data is RESET:
                 self.destination.abort()
+            # With EOF in both directions, both connections are closed.
             elif data is CLOSE or (data is FINISH and self.destination.outgoing.is_finished):
                 self.destination.transport.close()
                 self.source.transport.close()
@@ -178,11 +182,16 @@
         self.filter: Filter | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Write the data of the other side that were queued while this one was connecting."""
         self.transport, self.is_writable = transport, True
         if self.incoming:
             self.incoming.flush()
 
     def data_received(self, data: bytes) -> None:
+        """Queue the data for the other side, rewritten if this side has a filter.
+
+        Data that the filter cannot parse reset the other side.
+        """
         if self.filter is None:
             self.relay.on_data(self, data)
             self.outgoing.push(data)
@@ -194,10 +203,12 @@
             self.outgoing.queue_marker(RESET)
 
     def eof_received(self) -> bool:
+        """Queue EOF for the other side; return True to keep this connection open for writing."""
         self.outgoing.queue_marker(FINISH)
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Queue the close or the reset of the other side, and drop the data for this one."""
         self.is_writable = False
         if self.outgoing:
             self.outgoing.queue_marker(RESET if error else CLOSE)
@@ -205,14 +216,17 @@
             self.incoming.close()
 
     def pause_writing(self) -> None:
+        """Keep further data in the queue, as the transport's write buffer is full."""
         self.is_writable = False
 
     def resume_writing(self) -> None:
+        """Forward the queued data that are due, as the transport's write buffer has drained."""
         self.is_writable = True
         if self.incoming:
             self.incoming.flush()
 
     def write(self, data: bytes) -> None:
+        """Pass data to the transport of this connection."""
         self.transport.write(data)
 
     def finish(self) -> None:
@@ -229,11 +243,13 @@
             self.transport.abort()
 
     def pause_reading(self) -> None:
+        """Stop reading from this side, so that its sender is slowed down by TCP flow control."""
         if self.transport and not self.is_reading_paused and not self.transport.is_closing():
             self.is_reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Read from this side again after `pause_reading`; no effect if it is not paused."""
         if self.is_reading_paused and not self.transport.is_closing():
             self.is_reading_paused = False
             self.transport.resume_reading()
@@ -343,6 +359,8 @@
     """Relays from a gateway to a scan server, and records each request that the gateway sends."""
 
     def on_data(self, side: Side, data: bytes) -> None:
+        """Record the request that begins with these data, if they come from the gateway."""
+        # The 7th line of an encoded command is the value of its third argument, the request id.
         if side.filter is None and data.startswith(b"*") and side.outgoing.direction == FORWARD:
             lines = data.split(b"\r\n", 7)
             if len(lines) > 6:
@@ -359,10 +377,12 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
+        """Keep the transport, whose address the sender is given in place of the receiver's."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        if address == self.relays.gateway_addresses[self.sender]:  # other senders are not in the fleet
+        """Forward a datagram of the sending gateway; ignore those of any other source."""
+        if address == self.relays.gateway_addresses[self.sender]:
             self.relays.forward(self.sender, self.receiver, data)
 
     def error_received(self, error: OSError) -> None:
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -1,4 +1,4 @@
-"""A self-contained HTML report of runs: plots of outcomes, connections and messages, with faults as bands."""
+"""A self-contained HTML report of runs: plots of outcomes, connections and messages, with faults shaded."""
 
 from __future__ import annotations
 
--- a/thistletrail/fault_injection/restarts.py
+++ b/thistletrail/fault_injection/restarts.py
@@ -33,7 +33,7 @@
 class Case:
     """One run: the gateways' source tree, the share that restarts, and their state after the restart."""
 
-    side: str  # name of the source tree
+    side: str  # name of the source tree: a revision, or `this tree`
     tree: Path
     restarted_share: float  # 0: the baseline run without faults
     state: str
@@ -59,7 +59,7 @@
 ) -> list[Case]:
     """Return all cases in the order of their runs.
 
-    The sides alternate. Each seed and state begins with the baseline runs.
+    `sides` are the source trees by name, which take turns. Each seed and state begins with the baseline runs.
     """
     return [
         Case(side, tree, share, state, seed)
@@ -141,24 +141,25 @@
     return results
 
 
+# "to baseline" is the ratio to the baseline run, "less baseline" the difference from it.
 COLUMNS: dict[str, Callable[[Figures], object]] = {
     "full service, s": lambda figures: figures.full_s,
     "after the last PONG": lambda figures: figures.full_after_pong_s,
     "worst second": lambda figures: figures.worst_second,
     "worth lost": lambda figures: figures.lost,
-    "opened to calm": lambda figures: figures.connections / max(1, figures.connections_calm or 0),
-    "words to calm": lambda figures: figures.words / max(1, figures.words_calm or 0),
-    "list reads to calm": lambda figures: figures.list_reads / max(1, figures.list_reads_calm or 0),
-    "beyond, less calm": lambda figures: figures.beyond - (figures.beyond_calm or 0),
+    "connections to baseline": lambda figures: figures.connections / max(1, figures.connections_calm or 0),
+    "quota messages to baseline": lambda figures: figures.words / max(1, figures.words_calm or 0),
+    "registry reads to baseline": lambda figures: figures.list_reads / max(1, figures.list_reads_calm or 0),
+    "beyond quotas, less baseline": lambda figures: figures.beyond - (figures.beyond_calm or 0),
     "retries": lambda figures: figures.retries,
     "failed": lambda figures: figures.failed,
-    "pushed over": lambda figures: figures.pushed_over,
+    "collapsed scan servers": lambda figures: figures.pushed_over,
 }
 
 
 def table(results: list[Result]) -> list[list[str]]:
     """Return a table by side, state and share: medians over the seeds, and the number of violations."""
-    rows = [["doors", "state", "share", "seeds", *COLUMNS, "broken"]]
+    rows = [["gateways", "state", "share", "seeds", *COLUMNS, "violations"]]
     for side, state, share in dict.fromkeys(
         (result.case.side, result.case.state, result.case.restarted_share) for result in results
     ):
--- a/thistletrail/fault_injection/runs.py
+++ b/thistletrail/fault_injection/runs.py
@@ -136,8 +136,9 @@
 ) -> list[list[str]]:
     """Return a table with a row for each figure and a column for each side: the median of its runs.
 
-    A row begins with the figure's key and, if `labels` has one for it, what the figure counts. A figure that
-    is None (never or unknown) counts as the worst in the median.
+    `sides` are pairs of a column's heading and the figures of each of its runs. A row begins with the
+    figure's key and, if `labels` has one for it, what the figure counts. A figure that is None (never or
+    unknown) counts as the worst in the median.
     """
     names = list(dict.fromkeys(name for _, runs in sides for figures in runs for name in figures))
     table = [["figure", *(name for name, _ in sides)]]
--- a/thistletrail/fault_injection/world.py
+++ b/thistletrail/fault_injection/simulation_context.py
@@ -1,6 +1,7 @@
-"""Values that each process of a run draws for itself, with the same result for the same plan and seed.
+"""What the simulation's clients and scan servers need of a simulation run, for use in real processes.
 
-These are the figures of the quota plans, the traits of the scan servers, and the load.
+These are the figures of the quota plans, the traits of the scan servers, and the load. Each process of a run
+draws them for itself, with the same result for the same plan and seed.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from thistletrail.simulation.streams import Stream
 from thistletrail.simulation.work_takeover import Takeover
 
-QUOTA_MESSAGES_PER_S = 40.0  # that a gateway accepts, as the operators state it
+QUOTA_MESSAGES_PER_S = 40.0  # the rate that a gateway accepts, which the operators specify
 # Limits of a gateway's process, as in the deployment documentation.
 MEMORY_LIMIT_MB = 192
 SOCKET_LIMIT = 1024
-IDEMPOTENCY_SETTINGS = {True: "idempotency_key", False: "read_like"}
+IDEMPOTENCY_SETTINGS = {True: "idempotency_key", False: "read_like"}  # by whether the class is keyed
 
 
 class NoNetworkDelay:
@@ -31,8 +32,8 @@
         return 0.0
 
 
-class World:
-    """Stands for a simulation run: has the attributes that the simulation's clients and scan servers use."""
+class SimulationContext:
+    """The attributes of `SimulationRun` that the simulation's clients and scan servers use."""
 
     def __init__(self, scenario: Scenario, seed: int, clock: Any) -> None:  # noqa: ANN401 - simulated or real
         self.scenario, self.seed, self.clock = scenario, seed, clock
@@ -150,19 +151,20 @@
 class Load(Demand):
     """Generates the demand of the customers in simulated time, the same for each run of a plan and seed."""
 
-    def __init__(self, world: World, process_number: int) -> None:
-        super().__init__(world)  # type: ignore[arg-type]
-        world.clients, self.entries = self, []
-        self.stream = Stream(world.seed, f"demand/{process_number}")
-        self.work = Stream(world.seed, f"asks/{process_number}")
+    def __init__(self, context: SimulationContext, process_number: int) -> None:
+        super().__init__(context)  # type: ignore[arg-type]
+        context.clients, self.entries = self, []
+        self.stream = Stream(context.seed, f"demand/{process_number}")
+        self.work = Stream(context.seed, f"asks/{process_number}")
+        # Numbers of customers, from which their names are formed: unique over all load generators.
         self.names = iter(range((process_number << 20) + 1, (process_number + 1) << 20))
         # The same in all processes: the work of a class does not depend on the load generator.
-        self.means, self.cvs = world.demand.means, world.demand.cvs
+        self.means, self.cvs = context.demand.means, context.demand.cvs
 
     def start_operation(
         self, customer: Customer, class_index: int | None = None, work_us: float = 0.0
     ) -> None:
-        """Draw the class and work of an operation; called again with both, add it to the load."""
+        """Draw the class and work of an operation; the base class then calls this with both to add it."""
         if class_index is None:
             super().start_operation(customer)
         else:
@@ -176,12 +178,12 @@
 
 def generate_load(plan: Plan, seed: int, process_number: int) -> list[LoadEntry]:
     """Return the load of one load generator, in order of time."""
-    world = World(plan.fleet, seed, Clock())
-    load = Load(world, process_number)
-    load.begin(world.capacity() / plan.clients)
+    context = SimulationContext(plan.fleet, seed, Clock())
+    load = Load(context, process_number)
+    load.begin(context.capacity() / plan.clients)
     for fault in plan.faults:
         if fault.kind == "burst":
-            world.clock.at(round(fault.at_s * S), load.set_load_factor, 1 + fault.size)
-            world.clock.at(round((fault.at_s + fault.for_s) * S), load.set_load_factor, 1.0)
-    world.clock.run(world.end_us)
+            context.clock.at(round(fault.at_s * S), load.set_load_factor, 1 + fault.size)
+            context.clock.at(round((fault.at_s + fault.for_s) * S), load.set_load_factor, 1.0)
+    context.clock.run(context.end_us)
     return sorted(load.entries, key=lambda entry: entry.at_us)
--- a/thistletrail/fault_injection/soak.py
+++ b/thistletrail/fault_injection/soak.py
@@ -71,9 +71,10 @@
         demand=Demand(load=(0.2, 0.5)),
     )
     recorded_classes = ("submit-record",) if rng.random() < 0.5 else ()
-    leases_quotas = rng.random() < 0.5
+    has_budget_leases = rng.random() < 0.5
     faults = tuple(
-        draw_fault(rng, bool(recorded_classes) or leases_quotas) for _ in range(rng.randint(1, MAX_FAULTS))
+        draw_fault(rng, bool(recorded_classes) or has_budget_leases)
+        for _ in range(rng.randint(1, MAX_FAULTS))
     )
     return Plan(
         name=name,
@@ -82,7 +83,7 @@
         clients=rng.randint(1, 2),
         state=rng.random() < 0.5,
         takeover=recorded_classes,
-        steward=leases_quotas,
+        steward=has_budget_leases,
         stewards=rng.randint(1, 3),
     )
 
--- a/thistletrail/fault_injection/stub_scan_server.py
+++ b/thistletrail/fault_injection/stub_scan_server.py
@@ -21,7 +21,7 @@
 from thistletrail.fault_injection.program import Order, ProcessConfig, handle_orders, run_program
 from thistletrail.fault_injection.realtime import RealClock, now_us
 from thistletrail.fault_injection.relay import HOST
-from thistletrail.fault_injection.world import World, zone_name
+from thistletrail.fault_injection.simulation_context import SimulationContext, zone_name
 from thistletrail.gateway.resp import CommandReader, ProtocolError
 from thistletrail.registry.errors import RegistrationError
 from thistletrail.registry.registration import InstanceSettings, Registration
@@ -48,11 +48,13 @@
     def __init__(self, stub: StubScanServer) -> None:
         self.stub, self.reader = stub, CommandReader()
         self.transport: asyncio.Transport | None = None
-        self.queue: list[list[bytes]] = []
+        self.queue: list[list[bytes]] = []  # commands that wait for the answer of the active attempt
         self.active: ActiveAttempt | None = None
-        self.is_new, self.is_accepted = True, False  # new: its first attempt pays for the handshake
+        self.is_new = True  # its first attempt takes the additional time of the handshake
+        self.is_accepted = False  # False: the server has too many connections, and answers attempts with BUSY
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Count the connection at the simulated server; abort it if that has collapsed."""
         self.transport = transport
         self.is_accepted = self.stub.server.connect()
         self.stub.connections.add(self)
@@ -60,6 +62,7 @@
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Queue the commands that are complete, and serve the next one; abort on a protocol error."""
         self.reader.feed(data)
         try:
             while (arguments := self.reader.next()) is not None:
@@ -75,6 +78,7 @@
             self.stub.handle_command(self, self.queue.pop(0))
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Record the outcome `gone` of the active attempt, and cancel its work."""
         self.stub.connections.discard(self)
         if self.is_accepted:
             self.stub.server.disconnect()
@@ -95,24 +99,28 @@
         plan: Plan = config.plan
         self.config, self.loop = config, asyncio.get_running_loop()
         self.clock = RealClock(self.loop)
-        world = World(plan.fleet, config.seed, self.clock)
+        context = SimulationContext(plan.fleet, config.seed, self.clock)
         self.class_indexes = {rule.name: n for n, rule in enumerate(plan.fleet.classes)}
-        self.means, self.cvs = world.demand.means, world.demand.cvs
+        # By class: mean in us and coefficient of variation of the work.
+        self.means, self.cvs = context.demand.means, context.demand.cvs
         self.stream = Stream(config.seed, f"server/{config.name}")
         self.zone = config.number % plan.fleet.net.zones
+        # Numbers of cells are unique over all zones, as in the simulation.
         cells = plan.fleet.net.zones * (config.number // plan.fleet.net.zones // plan.fleet.servers.cell_size)
         self.server = ScanServer(
             self.clock,
-            world.traits,
+            context.traits,
             self.stream,
             config.name,
             (self.zone, self.zone + cells),
-            world.demand.mean_work_us,
+            context.demand.mean_work_us,
             config.cold,
         )
         self.writer = Writer(Path(config.history))
         self.connections: set[Connection] = set()
-        self.serials = itertools.count(now_us())  # begins at the present time: unique also across restarts
+        self.serials = itertools.count(
+            now_us()
+        )  # starts at the present time, so that serials stay unique after a restart
         self.registration: Registration | None = None
 
     async def run(self) -> None:
@@ -152,12 +160,15 @@
         if order.get("leave"):
             with contextlib.suppress(RegistrationError):
                 await self.registration.deregister()
-            raise asyncio.CancelledError  # ends the process
+            raise asyncio.CancelledError  # `run_program` then returns
 
     # --- requests ---
 
     def handle_command(self, connection: Connection, arguments: list[bytes]) -> None:
-        """Answer PING; record an attempt and start to serve it; answer an error to any other command."""
+        """Answer PING; record an attempt and start to serve it; answer any other command with an error.
+
+        If the attempt makes the simulated server collapse, all its connections are aborted.
+        """
         if arguments[0] == b"PING":
             connection.write(b"+PONG\r\n")
             return
