--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -59,8 +59,8 @@
 class RunHistory:
     """The history of one run: its records by kind, and the time spans of its faults.
 
-    Spans of `down` and `paused` are by the name of the process, those of `links` by the kind of link. Those
-    of `stalled`, in which the event loop of fault injection or of its clients was late, have the empty name.
+    `down_spans` and `paused_spans` are by the name of the process, `link_fault_spans` by the kind of link.
+    `stalled_spans`, in which the event loop of fault injection or its clients was late, have the empty name.
     """
 
     def __init__(self, records: Iterable[Record], plan: Plan, seed: int = 0) -> None:
@@ -68,10 +68,11 @@
         self.records_by_kind: dict[str, list[Record]] = defaultdict(list)
         for record in records:
             self.records_by_kind[record["kind"]].append(record)
-        self.down, self.paused, self.links, self.stalled = Spans(), Spans(), Spans(), Spans()
+        self.down_spans, self.paused_spans = Spans(), Spans()
+        self.link_fault_spans, self.stalled_spans = Spans(), Spans()
         # The processes under test are excused while the event loop that observes them was late.
         for record in self.records_by_kind["stalled"]:
-            self.stalled.add(
+            self.stalled_spans.add(
                 "", record["at"] - record["us"] - FAULT_AFTERMATH_US, record["at"] + FAULT_AFTERMATH_US
             )
         self.read_fault_spans()
@@ -82,7 +83,7 @@
         fault_ends_us = {record["number"]: record["at"] for record in self.records_by_kind["undone"]}
         for record in self.records_by_kind["fault"]:
             end_us = fault_ends_us.get(record["number"], NEVER_US) + FAULT_AFTERMATH_US
-            spans = self.links if record["fault"] in ON_LINKS else self.paused
+            spans = self.link_fault_spans if record["fault"] in ON_LINKS else self.paused_spans
             if record["fault"] in (*ON_LINKS, "pause"):
                 for name in record["struck"]:
                     spans.add(name, record["at"], end_us)
@@ -101,11 +102,11 @@
             elif record["kind"] == "died":
                 down_since_us.setdefault(record["who"], record["at"])
             elif record["who"] in down_since_us:
-                self.down.add(
+                self.down_spans.add(
                     record["who"], down_since_us.pop(record["who"]), record["at"] + FAULT_AFTERMATH_US
                 )
         for name, at_us in down_since_us.items():
-            self.down.add(name, at_us, NEVER_US)
+            self.down_spans.add(name, at_us, NEVER_US)
 
     def is_excused(self, gateway: int, begin_us: int, end_us: int) -> bool:
         """Whether a fault excuses a missing answer of a gateway in the given span.
@@ -114,10 +115,10 @@
         """
         name = f"doors-{gateway}"
         return (
-            self.down.overlaps(name, begin_us, end_us)
-            or self.paused.overlaps(name, begin_us, end_us)
-            or self.links.overlaps("clients-doors", begin_us, end_us)
-            or self.stalled.overlaps("", begin_us, end_us)
+            self.down_spans.overlaps(name, begin_us, end_us)
+            or self.paused_spans.overlaps(name, begin_us, end_us)
+            or self.link_fault_spans.overlaps("clients-doors", begin_us, end_us)
+            or self.stalled_spans.overlaps("", begin_us, end_us)
         )
 
 
@@ -257,9 +258,11 @@
     violations, slack_us = [], history.plan.limits.drain_ms * MS
     for request_id, attempts in attempts_of(history).items():
         for (earlier, earlier_end_us, _), (record, _, _) in pairwise(attempts):
-            is_excused = history.paused.overlaps(earlier["server"], earlier["at"], record["at"])
-            is_excused = is_excused or history.links.overlaps("doors-servers", earlier["at"], record["at"])
-            is_excused = is_excused or history.stalled.overlaps("", earlier["at"], record["at"])
+            is_excused = history.paused_spans.overlaps(earlier["server"], earlier["at"], record["at"])
+            is_excused = is_excused or history.link_fault_spans.overlaps(
+                "doors-servers", earlier["at"], record["at"]
+            )
+            is_excused = is_excused or history.stalled_spans.overlaps("", earlier["at"], record["at"])
             if earlier_end_us > record["at"] + slack_us and not is_excused:
                 violations.append(
                     Violation(
@@ -302,9 +305,9 @@
                     leaving_since_us[gateway].setdefault(server, at_us)
             known_servers[gateway] |= set(record["servers"])
         elif (since_us := leaving_since_us[gateway].get(record["server"])) is not None:
-            is_excused = history.paused.overlaps(gateway, since_us, at_us) or history.stalled.overlaps(
-                "", since_us, since_us + grace_us
-            )
+            is_excused = history.paused_spans.overlaps(
+                gateway, since_us, at_us
+            ) or history.stalled_spans.overlaps("", since_us, since_us + grace_us)
             if at_us > since_us + grace_us and not is_excused:
                 violations.append(
                     Violation(
@@ -444,7 +447,7 @@
         Violation("processes", record["at"], f"door {record['door']}: {record['text']}")
         for record in history.records_by_kind["door"]
         if record["level"] in ("ERROR", "CRITICAL")
-        and not history.paused.overlaps(f"doors-{record['door']}", record["at"], record["at"])
+        and not history.paused_spans.overlaps(f"doors-{record['door']}", record["at"], record["at"])
     ]
     return violations
 
--- a/thistletrail/fault_injection/crash_injection.py
+++ b/thistletrail/fault_injection/crash_injection.py
@@ -424,7 +424,7 @@
     def encode(
         self, effect: str, key: str, request_id: str, body: bytes, deadline_ms: int = REQUEST_DEADLINE_MS
     ) -> bytes:
-        """Encode a SVC.SUBMIT command; without an idempotency key if `key` is empty."""
+        """Encode a SVC.SUBMIT command of a fixed customer; without an idempotency key if `key` is empty."""
         fields = f"c={CLASSES[effect]},t=standard,d={deadline_ms},units=1,spread={len(self.gateways)},first=0"
         fields += f",k={key}" if key else ""
         return encode([b"SVC.SUBMIT", b"%016x" % 7, request_id.encode(), fields.encode(), body])
--- a/thistletrail/fault_injection/figures.py
+++ b/thistletrail/fault_injection/figures.py
@@ -133,7 +133,7 @@
 def last_pong_us(history: RunHistory, fault_us: int) -> int | None:
     """Return when the last gateway that started after a fault answered PING, in microseconds.
 
-    Returns None if no gateway started after the fault.
+    Returns None if no gateway started after the fault. A gateway's `started` record is written at its PONG.
     """
     pong_times_us = [
         record["at"]
--- a/thistletrail/fault_injection/relay.py
+++ b/thistletrail/fault_injection/relay.py
@@ -309,7 +309,7 @@
             self.listener.close()
 
     def accept(self) -> None:
-        """Accept all waiting connections; they are reset while the link is cut in a direction."""
+        """Accept all waiting connections; they are reset while the link is cut in any direction."""
         while True:
             try:
                 accepted, _ = self.listener.accept()
--- a/thistletrail/fault_injection/report.py
+++ b/thistletrail/fault_injection/report.py
@@ -37,7 +37,7 @@
     spans_by_gateway = []
     for gateway in range(history.plan.fleet.doors):
         spans = []
-        for state, state_spans in (("down", history.down), ("paused", history.paused)):
+        for state, state_spans in (("down", history.down_spans), ("paused", history.paused_spans)):
             for begin_us, end_us in state_spans.spans.get(f"doors-{gateway}", ()):
                 spans.append(
                     (
