--- a/thistletrail/fault_injection/checks.py
+++ b/thistletrail/fault_injection/checks.py
@@ -15,7 +15,7 @@
 from thistletrail.fault_injection.history import Record
 from thistletrail.fault_injection.leases import find_overcommitments
 from thistletrail.fault_injection.plan import ON_LINKS, Plan
-from thistletrail.fault_injection.world import World
+from thistletrail.fault_injection.simulation_context import SimulationContext
 from thistletrail.gateway.snapshot_store import MAX_POLICY_AGE_S
 from thistletrail.simulation.clock import MS, Clock, S
 from thistletrail.simulation.quota_accounts import Account, TokenBucket
@@ -24,7 +24,7 @@
 POSSIBLY_EXECUTED_OUTCOMES = ("served", "error", "gone", "lost", "silent")
 # Gateways count an attempt when they write it, the scan servers when it has arrived.
 RETRY_BUDGET_SLACK_ATTEMPTS = 2.0
-# Effects of a fault, such as resets and late closes, still arrive for this long after its end.
+# Effects of a fault, such as resets and delayed closes of connections, still arrive this long after its end.
 FAULT_AFTERMATH_US = S
 # The log line of a gateway that restores a snapshot, with the snapshot's age in seconds.
 SNAPSHOT_RESTORED_LOG = re.compile(r"takes up a snapshot of (\d+(?:\.\d+)?) s ago")
@@ -59,8 +59,8 @@
 class RunHistory:
     """The history of one run: its records by kind, and the time spans of its faults.
 
-    Spans of `down` and `paused` are by the name of the process, those of `links` by the kind of link. Those
-    of `stalled`, in which fault injection itself was late, have the empty name.
+    `down_spans` and `paused_spans` are by the name of the process, `link_fault_spans` by the kind of link.
+    `stalled_spans`, in which the event loop of fault injection or its clients was late, have the empty name.
     """
 
     def __init__(self, records: Iterable[Record], plan: Plan, seed: int = 0) -> None:
@@ -68,10 +68,11 @@
         self.records_by_kind: dict[str, list[Record]] = defaultdict(list)
         for record in records:
             self.records_by_kind[record["kind"]].append(record)
-        self.down, self.paused, self.links, self.stalled = Spans(), Spans(), Spans(), Spans()
-        # When fault injection's or its clients' event loop was late, the processes under test are excused.
+        self.down_spans, self.paused_spans = Spans(), Spans()
+        self.link_fault_spans, self.stalled_spans = Spans(), Spans()
+        # The processes under test are excused while the event loop that observes them was late.
         for record in self.records_by_kind["stalled"]:
-            self.stalled.add(
+            self.stalled_spans.add(
                 "", record["at"] - record["us"] - FAULT_AFTERMATH_US, record["at"] + FAULT_AFTERMATH_US
             )
         self.read_fault_spans()
@@ -82,13 +83,13 @@
         fault_ends_us = {record["number"]: record["at"] for record in self.records_by_kind["undone"]}
         for record in self.records_by_kind["fault"]:
             end_us = fault_ends_us.get(record["number"], NEVER_US) + FAULT_AFTERMATH_US
-            spans = self.links if record["fault"] in ON_LINKS else self.paused
+            spans = self.link_fault_spans if record["fault"] in ON_LINKS else self.paused_spans
             if record["fault"] in (*ON_LINKS, "pause"):
                 for name in record["struck"]:
                     spans.add(name, record["at"], end_us)
 
     def read_down_spans(self) -> None:
-        """Collect the spans in which a process is down: from the fault, or its end, until it serves again."""
+        """Collect the spans in which a process is down: from the fault or its exit until it serves again."""
         down_since_us: dict[str, int] = {}
         for record in sorted(
             (*self.records_by_kind["died"], *self.records_by_kind["started"], *self.records_by_kind["fault"]),
@@ -101,11 +102,11 @@
             elif record["kind"] == "died":
                 down_since_us.setdefault(record["who"], record["at"])
             elif record["who"] in down_since_us:
-                self.down.add(
+                self.down_spans.add(
                     record["who"], down_since_us.pop(record["who"]), record["at"] + FAULT_AFTERMATH_US
                 )
         for name, at_us in down_since_us.items():
-            self.down.add(name, at_us, NEVER_US)
+            self.down_spans.add(name, at_us, NEVER_US)
 
     def is_excused(self, gateway: int, begin_us: int, end_us: int) -> bool:
         """Whether a fault excuses a missing answer of a gateway in the given span.
@@ -114,10 +115,10 @@
         """
         name = f"doors-{gateway}"
         return (
-            self.down.overlaps(name, begin_us, end_us)
-            or self.paused.overlaps(name, begin_us, end_us)
-            or self.links.overlaps("clients-doors", begin_us, end_us)
-            or self.stalled.overlaps("", begin_us, end_us)
+            self.down_spans.overlaps(name, begin_us, end_us)
+            or self.paused_spans.overlaps(name, begin_us, end_us)
+            or self.link_fault_spans.overlaps("clients-doors", begin_us, end_us)
+            or self.stalled_spans.overlaps("", begin_us, end_us)
         )
 
 
@@ -250,15 +251,18 @@
 def one_attempt(history: RunHistory) -> list[Violation]:
     """At most one attempt of a request is in flight at a time.
 
-    Excused is an overlap in which a paused scan server, or a fault on the link to it, hides that the earlier
-    attempt has been given up; other overlaps may last for the limit on link delays.
+    Excused is an overlap while the scan server is paused or the link to it has a fault, as it then cannot
+    observe that the gateway has given up the earlier attempt. Other overlaps may last for `drain_ms` of the
+    plan's limits.
     """
     violations, slack_us = [], history.plan.limits.drain_ms * MS
     for request_id, attempts in attempts_of(history).items():
         for (earlier, earlier_end_us, _), (record, _, _) in pairwise(attempts):
-            is_excused = history.paused.overlaps(earlier["server"], earlier["at"], record["at"])
-            is_excused = is_excused or history.links.overlaps("doors-servers", earlier["at"], record["at"])
-            is_excused = is_excused or history.stalled.overlaps("", earlier["at"], record["at"])
+            is_excused = history.paused_spans.overlaps(earlier["server"], earlier["at"], record["at"])
+            is_excused = is_excused or history.link_fault_spans.overlaps(
+                "doors-servers", earlier["at"], record["at"]
+            )
+            is_excused = is_excused or history.stalled_spans.overlaps("", earlier["at"], record["at"])
             if earlier_end_us > record["at"] + slack_us and not is_excused:
                 violations.append(
                     Violation(
@@ -273,8 +277,8 @@
 def drains(history: RunHistory) -> list[Violation]:
     """A gateway sends nothing new to a scan server that is draining or has left.
 
-    After it was notified it has the grace period of the fleet, 250 ms by default, plus `drain_ms` of the
-    plan's limits. A paused gateway is notified when it continues.
+    After the notification it may still send for the grace period of the fleet, 250 ms by default, plus
+    `drain_ms` of the plan's limits. A paused gateway is notified when it continues.
     """
     violations = []
     grace_us = (history.plan.fleet.drain_grace_ms + history.plan.limits.drain_ms) * MS
@@ -301,9 +305,9 @@
                     leaving_since_us[gateway].setdefault(server, at_us)
             known_servers[gateway] |= set(record["servers"])
         elif (since_us := leaving_since_us[gateway].get(record["server"])) is not None:
-            is_excused = history.paused.overlaps(gateway, since_us, at_us) or history.stalled.overlaps(
-                "", since_us, since_us + grace_us
-            )
+            is_excused = history.paused_spans.overlaps(
+                gateway, since_us, at_us
+            ) or history.stalled_spans.overlaps("", since_us, since_us + grace_us)
             if at_us > since_us + grace_us and not is_excused:
                 violations.append(
                     Violation(
@@ -317,12 +321,14 @@
 
 
 def accounts(history: RunHistory) -> tuple[dict[str, Account], dict[str, list[tuple[int, bool]]]]:
-    """Return the accounts of the customers after all forwarded requests, and the units sent by quota plan.
+    """Return the account of each customer after all forwarded requests, and the units sent by quota plan.
 
-    Each unit is the time at which it arrived at a scan server, and whether it was inside the quota.
+    A unit is a pair: the time at which it arrived at a scan server, and whether it was inside the quota.
     """
-    world = World(history.plan.fleet, history.seed, Clock())
-    quota_plan_by_name = dict(zip([plan.name for plan in history.plan.fleet.plans], world.plans, strict=True))
+    context = SimulationContext(history.plan.fleet, history.seed, Clock())
+    quota_plan_by_name = dict(
+        zip([plan.name for plan in history.plan.fleet.plans], context.plans, strict=True)
+    )
     account_by_customer: dict[str, Account] = {}
     units_by_plan: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     counted_ids: set[str] = set()
@@ -414,7 +420,7 @@
 
 
 def processes(history: RunHistory) -> list[Violation]:
-    """Processes end only when they are ended, and gateways log no error.
+    """No process exits unless the run terminates or kills it, and gateways log no error.
 
     Scan servers can read every command, and none collapses under its load while it is warming up.
 
@@ -441,7 +447,7 @@
         Violation("processes", record["at"], f"door {record['door']}: {record['text']}")
         for record in history.records_by_kind["door"]
         if record["level"] in ("ERROR", "CRITICAL")
-        and not history.paused.overlaps(f"doors-{record['door']}", record["at"], record["at"])
+        and not history.paused_spans.overlaps(f"doors-{record['door']}", record["at"], record["at"])
     ]
     return violations
 
