--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -12,7 +12,7 @@
 import pytest
 import uvloop
 
-from tests.helpers import MS, PLAN, SETTINGS, S, World, servers
+from tests.helpers import MILLISECOND_US, PLAN, SECOND_US, SETTINGS, GatewayHarness, servers
 from tests.sockets import PATIENT, PATIENT_MS, Backend, Client, query, run, running_gateway, value
 from thistletrail.gateway import backends
 from thistletrail.gateway.backends import Attempt
@@ -66,37 +66,37 @@
     run(scenario())
 
 
-def serve_customers(world: World, start: int, count: int) -> None:
+def serve_customers(harness: GatewayHarness, start: int, count: int) -> None:
     """Have `count` customers send one request each, which is answered."""
     for number in range(start, start + count):
-        world.ask(f"r{number}", customer=f"c{number}")
-        for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt)
-        world.log.clear()
-        world.tries.clear()
+        harness.send_request(f"r{number}", customer=f"c{number}")
+        for name, attempt in list(harness.in_flight):
+            harness.complete_attempt(name, attempt=attempt)
+        harness.action_log.clear()
+        harness.attempt_counts.clear()
 
 
 def test_customer_with_one_request_uses_few_bytes(traced_memory: None) -> None:
-    world = World()
-    serve_customers(world, 0, 100)
+    harness = GatewayHarness()
+    serve_customers(harness, 0, 100)
     count = 2000
     measure = allocated_bytes("thistletrail/policy/*")
-    serve_customers(world, 100, count)
+    serve_customers(harness, 100, count)
     assert 0 < measure() / count < MAX_CUSTOMER_BYTES
 
 
 def test_ten_thousand_customers_with_one_request_each_are_all_forgotten() -> None:
     """A customer is remembered until its token buckets are full again, and no longer."""
-    world = World(replace(SETTINGS, plans=(replace(PLAN, rate=1000.0),)), servers(4))
-    gateway = world.gateway
+    harness = GatewayHarness(replace(SETTINGS, plans=(replace(PLAN, rate=1000.0),)), servers(4))
+    gateway = harness.engine
     max_customers = 0
     for start in range(0, 10_000, 100):
-        serve_customers(world, start, 100)
-        world.run(S)
-        world.log.clear()
+        serve_customers(harness, start, 100)
+        harness.advance(SECOND_US)
+        harness.action_log.clear()
         max_customers = max(max_customers, len(gateway.customers.by_key))
-    assert max_customers <= 100 * (gateway.customers.retention_us // S + 2)
-    world.run(gateway.customers.retention_us + 3 * S)
+    assert max_customers <= 100 * (gateway.customers.retention_us // SECOND_US + 2)
+    harness.advance(gateway.customers.retention_us + 3 * SECOND_US)
     assert not gateway.customers.by_key and not gateway.customers.first_keys
     assert (
         not gateway.requests_by_id
@@ -189,8 +189,8 @@
     async def scenario() -> None:
         async with running_gateway(Backend()) as (gateway, _):
             for _ in range(10):
-                gateway.driver.set_timer(SetTimer(900 * MS, 0))
-                gateway.driver.set_timer(SetTimer(500 * MS, 0))
+                gateway.driver.set_timer(SetTimer(900 * MILLISECOND_US, 0))
+                gateway.driver.set_timer(SetTimer(500 * MILLISECOND_US, 0))
             pending = [
                 timer
                 for timer in live_objects(uvloop.loop.TimerHandle)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.helpers import MS, SETTINGS, S, World, of, servers
+from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS, GatewayHarness, actions_of_type, servers
 from tests.sockets import HOST, Backend, Client, query, run, running_gateway, submit, value
 from thistletrail.gateway import backends, graceful_shutdown
 from thistletrail.gateway.backends import Attempt, Backends, now_us
@@ -73,7 +73,7 @@
 
     async def scenario() -> None:
         backend, ended = Backend(), []
-        pool = Backends(30 * S, 200_000, 5)
+        pool = Backends(30 * SECOND_US, 200_000, 5)
         pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
 
         def attempt(name: str) -> Attempt:
@@ -87,14 +87,14 @@
             )
 
         first = attempt("a1")
-        pool.send(first, 5 * S)
+        pool.send(first, 5 * SECOND_US)
         first.end_us = now_us() + 500  # under a millisecond, the resolution of `d`
         while not ended:
             await asyncio.sleep(0.001)
         assert ended == [(first, AttemptResult.NOT_SENT)] and not first.is_written and not backend.commands
         await asyncio.sleep(backends.REUSE_DELAY_US / 1e6)
         second = attempt("a2")
-        pool.send(second, 5 * S)
+        pool.send(second, 5 * SECOND_US)
         while len(ended) < 2:
             await asyncio.sleep(0.001)
         assert ended[1] == (second, AttemptResult.SUCCESS) and backend.opened == 1
@@ -216,14 +216,14 @@
 
 
 def test_shutdown_rejects_queued_requests_without_a_server_at_once() -> None:
-    world = World(fleet=servers(1, state=ServerState.DRAINING))
-    assert not of(StartAttempt, world.ask("r1"))
-    assert not of(RejectRequest, world.run(100 * MS))
-    actions = world.tell(ShutdownStarted(300 * MS))
-    assert [action.id for action in of(RejectRequest, actions)] == ["r1"]
-    world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, servers(1)))
-    sent = of(StartAttempt, world.ask("r2"))
-    assert sent and 0 < sent[0].timeout_us <= 300 * MS
+    harness = GatewayHarness(endpoints=servers(1, state=ServerState.DRAINING))
+    assert not actions_of_type(StartAttempt, harness.send_request("r1"))
+    assert not actions_of_type(RejectRequest, harness.advance(100 * MILLISECOND_US))
+    actions = harness.handle(ShutdownStarted(300 * MILLISECOND_US))
+    assert [action.id for action in actions_of_type(RejectRequest, actions)] == ["r1"]
+    harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, servers(1)))
+    sent = actions_of_type(StartAttempt, harness.send_request("r2"))
+    assert sent and 0 < sent[0].timeout_us <= 300 * MILLISECOND_US
 
 
 def test_log_and_cost_line_report_the_stage_that_took_longest(caplog: pytest.LogCaptureFixture) -> None:
@@ -318,12 +318,12 @@
 def test_attempt_cancelled_while_its_answer_arrives_ends_once() -> None:
     async def scenario() -> None:
         backend, ended = Backend(lambda arguments: None), []
-        pool = Backends(30 * S, 200_000, 5)
+        pool = Backends(30 * SECOND_US, 200_000, 5)
         pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
         first = Attempt(
             "a1", 0, "s", lambda remaining_us: query("a1"), lambda attempt, result, *_: ended.append(result)
         )
-        pool.send(first, 5 * S)
+        pool.send(first, 5 * SECOND_US)
         await backend.came.wait()
         backend.writers[0].write(value(b"ok"))  # it is in the socket's buffer now
         first.cancel()
@@ -336,7 +336,7 @@
 def test_attempt_started_without_remaining_time_opens_no_connection() -> None:
     async def scenario() -> None:
         ended = []
-        pool = Backends(30 * S, 200_000, 5)
+        pool = Backends(30 * SECOND_US, 200_000, 5)
         pool.update({"s": ServerState.SERVING}, {"s": (HOST, 9)}, is_full=True)
         for remaining_us in (0, 999):
             pool.send(
@@ -351,14 +351,21 @@
 @pytest.mark.parametrize("effect", list(Effect))
 def test_failed_last_attempt_with_little_time_left_is_answered_at_once(effect: Effect) -> None:
     rule = RequestClass(
-        2 * S, 6 * S, effect=effect, idempotency_scope=IdempotencyScope.ZONE, idempotency_window_us=5 * S
+        2 * SECOND_US,
+        6 * SECOND_US,
+        effect=effect,
+        idempotency_scope=IdempotencyScope.ZONE,
+        idempotency_window_us=5 * SECOND_US,
     )
-    world = World(replace(SETTINGS, classes=(rule,)))
-    world.ask("r1", remaining_us=2 * S)
-    world.run(1970 * MS)
-    actions = world.answer("r1", AttemptResult.ERROR)
-    assert not of(StartAttempt, actions)
-    assert [action.id for action in (*of(RejectRequest, actions), *of(FailRequest, actions))] == ["r1"]
+    harness = GatewayHarness(replace(SETTINGS, classes=(rule,)))
+    harness.send_request("r1", remaining_us=2 * SECOND_US)
+    harness.advance(1970 * MILLISECOND_US)
+    actions = harness.complete_attempt("r1", AttemptResult.ERROR)
+    assert not actions_of_type(StartAttempt, actions)
+    assert [
+        action.id
+        for action in (*actions_of_type(RejectRequest, actions), *actions_of_type(FailRequest, actions))
+    ] == ["r1"]
 
 
 def test_requests_are_answered_once_after_a_pause_of_the_process(
--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -16,7 +16,7 @@
 import pytest
 from aiohttp import ClientSession
 
-from tests.helpers import copied, log_of
+from tests.helpers import copy_with_log, current_log_path
 from thistletrail.benchmarks.process import ROOT, Process, free_port, start_program
 from thistletrail.leasing import journal as journal_module
 from thistletrail.leasing.budget_state import (
@@ -135,9 +135,11 @@
 ) -> None:
     monkeypatch.setattr(os, "fsync", lambda file: None)  # each cut simulates data that was not synced
     sizes = write_grants(tmp_path / "complete", fixed_now_ms)
-    complete_log = log_of(tmp_path / "complete").read_bytes()
+    complete_log = current_log_path(tmp_path / "complete").read_bytes()
     for cut in range(sizes[2], len(complete_log) + 1):
-        journal = Journal(begin_term(copied(tmp_path / "complete", tmp_path / f"{cut}", complete_log[:cut])))
+        journal = Journal(
+            begin_term(copy_with_log(tmp_path / "complete", tmp_path / f"{cut}", complete_log[:cut]))
+        )
         state = journal.open(CONFIG).budgets
         known = sum(size <= cut for size in sizes)
         assert len(list(state.issued_grants())) == known
@@ -159,16 +161,16 @@
     tmp_path: Path, fixed_now_ms: int
 ) -> None:
     sizes = write_grants(tmp_path / "complete", fixed_now_ms)
-    data = bytearray(log_of(tmp_path / "complete").read_bytes())
+    data = bytearray(current_log_path(tmp_path / "complete").read_bytes())
     damaged = bytearray(data)
     damaged[sizes[1] + 20] ^= 1
     with pytest.raises(CorruptFileError, match="is damaged at byte") as caught:
-        Journal(begin_term(copied(tmp_path / "complete", tmp_path / "damaged", damaged))).open(CONFIG)
+        Journal(begin_term(copy_with_log(tmp_path / "complete", tmp_path / "damaged", damaged))).open(CONFIG)
     assert "\n" not in str(caught.value)
     fresh = Journal(begin_term(tmp_path / "other"))
     assert fresh.open(CONFIG).budgets.quiet_until_ms == fixed_now_ms + MAX_LEASE_MS
-    third = copied(tmp_path / "complete", tmp_path / "third", data[: sizes[0]])
-    log_of(third).with_name("snapshot").unlink()
+    third = copy_with_log(tmp_path / "complete", tmp_path / "third", data[: sizes[0]])
+    current_log_path(third).with_name("snapshot").unlink()
     with pytest.raises(CorruptFileError, match="is missing, but there is a log"):
         Journal(begin_term(third)).open(CONFIG)
 
@@ -195,7 +197,7 @@
     write_grants(tmp_path, fixed_now_ms)
     journal = Journal(begin_term(tmp_path))
     before = held_by(journal)
-    assert len(before) == 6 and log_of(tmp_path).stat().st_size == 0
+    assert len(before) == 6 and current_log_path(tmp_path).stat().st_size == 0
     with pytest.raises(FolderLockedError, match="another lease service"):
         begin_term(tmp_path)
     journal.close()
@@ -319,7 +321,7 @@
     journal = Journal(begin_term(tmp_path))
     state = journal.open(CONFIG).budgets
     journal.append(list(state.issued_grants())[:1])
-    size = log_of(tmp_path).stat().st_size
+    size = current_log_path(tmp_path).stat().st_size
 
     def fail_fsync(file: int) -> None:
         raise OSError(28, "No space left on device")
@@ -328,7 +330,7 @@
     with pytest.raises(WriteFailedError, match="No space left"):
         journal.append(list(state.issued_grants())[:1])
     monkeypatch.undo()
-    assert size > 0 and log_of(tmp_path).stat().st_size == size
+    assert size > 0 and current_log_path(tmp_path).stat().st_size == size
     journal.close()
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import MS, SETTINGS, S, World, servers
+from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS, GatewayHarness, servers
 from thistletrail.policy.actions import Action, FailRequest, RejectRequest, StartAttempt
 from thistletrail.policy.events import (
     AttemptEnded,
@@ -19,29 +19,29 @@
 from thistletrail.policy.settings import Effect, IdempotencyScope, Plan, RequestClass, Settings
 
 CLASSES = (
-    RequestClass(S, 2 * S),
+    RequestClass(SECOND_US, 2 * SECOND_US),
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         effect=Effect.IDEMPOTENT_BY_KEY,
         idempotency_scope=IdempotencyScope.ZONE,
-        idempotency_window_us=S,
+        idempotency_window_us=SECOND_US,
     ),
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         effect=Effect.IDEMPOTENT_BY_KEY,
         idempotency_scope=IdempotencyScope.CELL,
-        idempotency_window_us=2 * S,
+        idempotency_window_us=2 * SECOND_US,
     ),
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         effect=Effect.IDEMPOTENT_BY_KEY,
         idempotency_scope=IdempotencyScope.ALL,
-        idempotency_window_us=2 * S,
+        idempotency_window_us=2 * SECOND_US,
     ),
-    RequestClass(S, 3 * S, effect=Effect.UNSAFE),
+    RequestClass(SECOND_US, 3 * SECOND_US, effect=Effect.UNSAFE),
 )
 PLANS = (
     Plan(rate=5.0, burst=5.0),
@@ -54,7 +54,7 @@
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 400))
 
 
-class CheckingWorld(World):
+class CheckingHarness(GatewayHarness):
     """A gateway with its surroundings that checks each action against the rules."""
 
     def __init__(self, policy_settings: Settings) -> None:
@@ -64,13 +64,13 @@
         self.possible_runs: dict[str, list[tuple[str, int]]] = {}
         self.states = {server.name: server for server in servers(4)}
         # The units left under the ceiling of plan 2, which has only one customer.
-        self.ceiling_level, self.ceiling_refilled_at = 10.0, 100 * S
+        self.ceiling_level, self.ceiling_refilled_at = 10.0, 100 * SECOND_US
         super().__init__(policy_settings)
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            self.requests[event.id] = (event, self.now)
-        actions = super().tell(event)
+            self.requests[event.id] = (event, self.now_us)
+        actions = super().handle(event)
         for action in actions:
             if isinstance(action, StartAttempt):
                 self.check_attempt(action)
@@ -84,8 +84,8 @@
         runs = self.possible_runs.setdefault(action.id, [])
         assert action.id not in self.finished_ids
         assert self.states[action.server].state is ServerState.SERVING
-        in_flight = [key for key in self.out if key[0] == action.id]
-        assert len(in_flight) == 1 or (self.gateway.settings.may_hedge and len(in_flight) == 2)
+        in_flight = [key for key in self.in_flight if key[0] == action.id]
+        assert len(in_flight) == 1 or (self.engine.settings.may_hedge and len(in_flight) == 2)
         if runs and request_class.effect is not Effect.IDEMPOTENT:
             assert request_class.effect is Effect.IDEMPOTENT_BY_KEY
             first_server, server = self.states[runs[0][0]], self.states[action.server]
@@ -97,22 +97,22 @@
                 request_class.idempotency_scope is not IdempotencyScope.CELL
                 or first_server.cell == server.cell
             )
-            assert self.now < runs[0][1] + request_class.idempotency_window_us
-        if not runs and self.tries[action.id] == 1 and request.plan_index == 2:
+            assert self.now_us < runs[0][1] + request_class.idempotency_window_us
+        if not runs and self.attempt_counts[action.id] == 1 and request.plan_index == 2:
             self.ceiling_level = (
-                min(10.0, self.ceiling_level + 12.0 * (self.now - self.ceiling_refilled_at) / S)
+                min(10.0, self.ceiling_level + 12.0 * (self.now_us - self.ceiling_refilled_at) / SECOND_US)
                 - request.units
             )
-            self.ceiling_refilled_at = self.now
+            self.ceiling_refilled_at = self.now_us
             assert self.ceiling_level >= -1.0
-        runs.append((action.server, self.now))
+        runs.append((action.server, self.now_us))
 
     def check_final_answer(self, action: RejectRequest | FailRequest) -> None:
         request, arrived_at = self.requests[action.id]
         request_class = CLASSES[request.class_index]
         assert action.id not in self.finished_ids
         self.finished_ids.add(action.id)
-        assert self.now <= arrived_at + request.remaining_us + 8 * MS
+        assert self.now_us <= arrived_at + request.remaining_us + 8 * MILLISECOND_US
         if isinstance(action, RejectRequest) and self.possible_runs.get(action.id):
             is_recognised_everywhere = (
                 request_class.effect is Effect.IDEMPOTENT_BY_KEY
@@ -122,67 +122,70 @@
 
     def end_attempt(self, key: tuple[str, int], result: AttemptResult) -> None:
         """End an attempt; one that certainly did not run no longer restricts where its request may run."""
-        server, sent, _ = self.out.pop(key)
+        server, sent, _ = self.in_flight.pop(key)
         if result in NEVER_RAN:
             self.possible_runs[key[0]].remove((server, sent))
         request_ended = key[0] in self.finished_ids or result is AttemptResult.SUCCESS
         if result is AttemptResult.SUCCESS:
             self.finished_ids.add(key[0])
-        self.tell(AttemptEnded(key[0], request_ended, key[1], server, result, self.now - sent))
+        self.handle(AttemptEnded(key[0], request_ended, key[1], server, result, self.now_us - sent))
 
     def pass_time(self, time_us: int) -> None:
         """Let time pass in steps of a millisecond, ending attempts that time out."""
-        end = self.now + time_us
-        while self.now < end:
-            self.run(min(MS, end - self.now))
-            for key, (_, sent, timeout) in list(self.out.items()):
+        end = self.now_us + time_us
+        while self.now_us < end:
+            self.advance(min(MILLISECOND_US, end - self.now_us))
+            for key, (_, sent, timeout) in list(self.in_flight.items()):
                 request, arrived_at = self.requests[key[0]]
-                if self.now >= min(sent + timeout, arrived_at + request.remaining_us) and key in self.out:
+                if (
+                    self.now_us >= min(sent + timeout, arrived_at + request.remaining_us)
+                    and key in self.in_flight
+                ):
                     self.end_attempt(key, AttemptResult.TIMEOUT)
 
     def restart(self) -> None:
         """Kill the gateway: its requests are lost, and the new process has only the cached endpoint list."""
         self.finished_ids.update(self.requests)
-        self.out.clear()
+        self.in_flight.clear()
         self.timers.clear()
-        self.gateway = type(self.gateway)(self.gateway.settings)
-        self.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(self.states.values())))
+        self.engine = type(self.engine)(self.engine.settings)
+        self.handle(EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(self.states.values())))
 
     def change_server(self, number: int) -> None:
         name = f"s{number % 4}"
         state = list(ServerState)[number % 3]
-        started = self.now if number % 5 == 0 else self.states[name].started_us
+        started = self.now_us if number % 5 == 0 else self.states[name].started_us
         self.states[name] = replace(self.states[name], state=state, started_us=started)
-        self.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (self.states[name],)))
+        self.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (self.states[name],)))
 
 
-def play(may_hedge: bool, steps: list[tuple[int, int, int]]) -> CheckingWorld:
-    """Run a world through steps, each an event of some kind, a number for its details, and a wait."""
-    world = CheckingWorld(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=may_hedge))
+def play(may_hedge: bool, steps: list[tuple[int, int, int]]) -> CheckingHarness:
+    """Run a harness through steps, each an event of some kind, a number for its details, and a wait."""
+    harness = CheckingHarness(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=may_hedge))
     for step_index, (kind, number, wait) in enumerate(steps):
         if kind <= 4:
-            world.ask(
+            harness.send_request(
                 f"q{step_index}",
                 remaining_us=number * 100,
                 class_index=kind,
                 plan_index=number % 3,
                 customer=f"c{number % 3}",
             )
-        elif kind <= 7 and world.out:
-            key = list(world.out)[number % len(world.out)]
-            world.end_attempt(key, AttemptResult.SUCCESS if kind == 5 else FAILURES[number % len(FAILURES)])
+        elif kind <= 7 and harness.in_flight:
+            key = list(harness.in_flight)[number % len(harness.in_flight)]
+            harness.end_attempt(key, AttemptResult.SUCCESS if kind == 5 else FAILURES[number % len(FAILURES)])
         elif kind == 8:
-            world.change_server(number)
+            harness.change_server(number)
         elif number % 20 == 0:
-            world.restart()
-        world.pass_time(wait * 250)
-    world.pass_time(4 * S)
-    return world
+            harness.restart()
+        harness.pass_time(wait * 250)
+    harness.pass_time(4 * SECOND_US)
+    return harness
 
 
 @settings(derandomize=True, max_examples=60, deadline=None, database=None)
 @given(st.booleans(), st.lists(STEP, min_size=5, max_size=50))
 def test_rules_hold_for_any_sequence_of_events(may_hedge: bool, steps: list[tuple[int, int, int]]) -> None:
-    world = play(may_hedge, steps)
-    assert set(world.requests) == world.finished_ids
-    assert not world.gateway.requests_by_id and not world.gateway.queue
+    harness = play(may_hedge, steps)
+    assert set(harness.requests) == harness.finished_ids
+    assert not harness.engine.requests_by_id and not harness.engine.queue
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,17 @@
 
 import pytest
 
-from tests.helpers import MS, PLAN, SAFE, SETTINGS, S, Set, World, of, servers
+from tests.helpers import (
+    MILLISECOND_US,
+    PLAN,
+    SAFE_CLASS,
+    SECOND_US,
+    SETTINGS,
+    GatewayFleet,
+    GatewayHarness,
+    actions_of_type,
+    servers,
+)
 from thistletrail.policy.actions import (
     Action,
     FailRequest,
@@ -43,13 +53,13 @@
 from thistletrail.policy.slow_start import SlowStart
 
 IDEMPOTENT_BY_KEY = RequestClass(
-    2 * S,
-    6 * S,
+    2 * SECOND_US,
+    6 * SECOND_US,
     effect=Effect.IDEMPOTENT_BY_KEY,
     idempotency_scope=IdempotencyScope.ZONE,
-    idempotency_window_us=3 * S,
+    idempotency_window_us=3 * SECOND_US,
 )
-UNSAFE = RequestClass(2 * S, 6 * S, effect=Effect.UNSAFE)
+UNSAFE = RequestClass(2 * SECOND_US, 6 * SECOND_US, effect=Effect.UNSAFE)
 
 
 def with_class(request_class: RequestClass, **changes: object) -> Settings:
@@ -87,110 +97,114 @@
     assert next_n(n_past, na_past, occupancy, overhead) == expected
 
 
-def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
-    long_objective = (RequestClass(latency_objective_us=6 * S, deadline_us=6 * S),)
-    world = World(replace(SETTINGS, plans=plans, gateway_count=2, classes=long_objective))
+def loaded_harness(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> GatewayHarness:
+    long_objective = (RequestClass(latency_objective_us=6 * SECOND_US, deadline_us=6 * SECOND_US),)
+    harness = GatewayHarness(replace(SETTINGS, plans=plans, gateway_count=2, classes=long_objective))
     for n in range(20):
-        world.ask(f"w{n}")
-        world.run(50 * MS)
-        world.answer(f"w{n}", report=LoadReport(util=util))
-    world.run(20 * MS)
-    return world
+        harness.send_request(f"w{n}")
+        harness.advance(50 * MILLISECOND_US)
+        harness.complete_attempt(f"w{n}", report=LoadReport(util=util))
+    harness.advance(20 * MILLISECOND_US)
+    return harness
 
 
 def test_overload_control_engages_spreads_attempts_and_is_disengaged() -> None:
-    world = loaded_world(0.9)
+    harness = loaded_harness(0.9)
     # 8 for each of 4 servers that are not cold, divided between two gateways
-    assert world.gateway.overload.admission_limit == 16
+    assert harness.engine.overload.admission_limit == 16
     for n in range(150):
-        world.ask(f"r{n}", customer=f"c{n}")
-    world.run(world.gateway.overload.period_start_us + S - world.now)
-    start, allowed = world.now, world.gateway.overload.admission_limit
+        harness.send_request(f"r{n}", customer=f"c{n}")
+    harness.advance(harness.engine.overload.period_start_us + SECOND_US - harness.now_us)
+    start, allowed = harness.now_us, harness.engine.overload.admission_limit
     for _ in range(99):
-        for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt)
-        world.run(10 * MS)
+        for name, attempt in list(harness.in_flight):
+            harness.complete_attempt(name, attempt=attempt)
+        harness.advance(10 * MILLISECOND_US)
     sends = [
-        time_us for time_us, action in world.log if isinstance(action, StartAttempt) and time_us >= start
+        time_us
+        for time_us, action in harness.action_log
+        if isinstance(action, StartAttempt) and time_us >= start
     ]
     assert len(sends) == allowed
-    assert sends[-1] - sends[0] > 0.8 * S
-    idle = loaded_world(0.3)
-    assert idle.gateway.overload.admission_limit is None
-    assert idle.gateway.overload.idle_occupancy == pytest.approx(0.3)
+    assert sends[-1] - sends[0] > 0.8 * SECOND_US
+    idle = loaded_harness(0.3)
+    assert idle.engine.overload.admission_limit is None
+    assert idle.engine.overload.idle_occupancy == pytest.approx(0.3)
 
 
 def test_control_period_is_longer_at_low_rates() -> None:
     """At two requests a second, rounding alone would halve or double an N of one or two a second."""
-    world = World(replace(SETTINGS, plans=(Plan(),), gateway_count=20), servers(10))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),), gateway_count=20), servers(10))
     for n in range(40):
-        world.ask(f"r{n}")
-        world.run(500 * MS)
-        for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt, report=LoadReport(util=0.9))
-    assert world.gateway.overload.control_period_us == 2 * S
-    assert 4 <= world.gateway.overload.admission_limit <= 12
+        harness.send_request(f"r{n}")
+        harness.advance(500 * MILLISECOND_US)
+        for name, attempt in list(harness.in_flight):
+            harness.complete_attempt(name, attempt=attempt, report=LoadReport(util=0.9))
+    assert harness.engine.overload.control_period_us == 2 * SECOND_US
+    assert 4 <= harness.engine.overload.admission_limit <= 12
     # A step is per second, and there are two at occ_too_high: 10 * 0.9 ** 8.
     assert next_n(10, 1, 0.99, 0.1, 4.0) == 4
     assert next_n(10, 10, 0.2, 0.3, 4.0) == 20
 
 
 def test_overload_control_is_not_disengaged_while_its_limit_is_in_full_use() -> None:
-    world = loaded_world(0.9)
+    harness = loaded_harness(0.9)
     for n in range(60):
-        world.ask(f"r{n}")
+        harness.send_request(f"r{n}")
     for _ in range(110):
-        world.run(10 * MS)
-        for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt, report=LoadReport(util=0.3))
-    assert world.gateway.overload.admission_limit == 19  # the maximum step up from 16
+        harness.advance(10 * MILLISECOND_US)
+        for name, attempt in list(harness.in_flight):
+            harness.complete_attempt(name, attempt=attempt, report=LoadReport(util=0.3))
+    assert harness.engine.overload.admission_limit == 19  # the maximum step up from 16
 
 
 def test_queued_requests_leave_by_priority_then_arrival() -> None:
     plans = (Plan(value_factor=1.0), Plan(value_factor=3.0))
-    world = loaded_world(0.9, plans)
+    harness = loaded_harness(0.9, plans)
     for n in range(30):
-        world.ask(f"fill{n}")
-    world.ask("low1")
-    world.ask("high1", plan_index=1, customer="d")
-    world.ask("high2", plan_index=1, customer="d")
-    order = [action.id for action in of(StartAttempt, world.run(S))]
+        harness.send_request(f"fill{n}")
+    harness.send_request("low1")
+    harness.send_request("high1", plan_index=1, customer="d")
+    harness.send_request("high2", plan_index=1, customer="d")
+    order = [action.id for action in actions_of_type(StartAttempt, harness.advance(SECOND_US))]
     assert order[:2] == ["high1", "high2"]
 
 
 def test_queued_request_is_rejected_before_its_latency_objective() -> None:
-    world = World(fleet=())
-    world.ask("a")
-    started = world.now
-    world.run(3 * S)
-    rejected_at = [time_us for time_us, action in world.log if isinstance(action, RejectRequest)]
+    harness = GatewayHarness(endpoints=())
+    harness.send_request("a")
+    started = harness.now_us
+    harness.advance(3 * SECOND_US)
+    rejected_at = [time_us for time_us, action in harness.action_log if isinstance(action, RejectRequest)]
     assert len(rejected_at) == 1
-    assert rejected_at[0] - started < 2 * S
+    assert rejected_at[0] - started < 2 * SECOND_US
 
 
 def test_attempts_in_flight_are_bounded_while_overload_control_is_disengaged() -> None:
     """Servers that do not answer must not be sent ever more attempts, even without a limit N."""
-    worlds = [
-        World(replace(SETTINGS, plans=(Plan(),), gateway_count=5, gateway_index=gateway_index), servers(10))
+    harnesses = [
+        GatewayHarness(
+            replace(SETTINGS, plans=(Plan(),), gateway_count=5, gateway_index=gateway_index), servers(10)
+        )
         for gateway_index in range(5)
     ]
-    for world in worlds:
+    for harness in harnesses:
         for n in range(200):
-            world.ask(f"r{n}")
-        assert world.gateway.overload.admission_limit is None
-    assert sum(len(world.out) for world in worlds) == 50  # 5 for each of 10 servers
-    worlds[0].answer("r0")
-    worlds[0].run(20 * MS)
-    assert len(worlds[0].out) == 10
+            harness.send_request(f"r{n}")
+        assert harness.engine.overload.admission_limit is None
+    assert sum(len(harness.in_flight) for harness in harnesses) == 50  # 5 for each of 10 servers
+    harnesses[0].complete_attempt("r0")
+    harnesses[0].advance(20 * MILLISECOND_US)
+    assert len(harnesses[0].in_flight) == 10
 
 
 def test_overdue_attempts_engage_overload_control() -> None:
     """Overloaded servers may answer nothing; without answers, overload control would never engage."""
-    world = World(replace(SETTINGS, plans=(Plan(),)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)))
     for n in range(20):
-        world.ask(f"r{n}")
-    world.run(1100 * MS)
-    assert world.gateway.overload.admission_limit is not None
+        harness.send_request(f"r{n}")
+    harness.advance(1100 * MILLISECOND_US)
+    assert harness.engine.overload.admission_limit is not None
 
 
 # --- quota ---
@@ -199,49 +213,51 @@
 @pytest.mark.parametrize("count", [1, 2, 20])
 def test_burst_and_rate_apply_over_all_gateways(count: int) -> None:
     """Shares far below one unit must neither deny a customer its quota nor let it exceed it."""
-    gateways = Set(count)
+    fleet = GatewayFleet(count)
     for n in range(60):
-        gateways.ask(n * 7 % count, f"r{n}")
-        gateways.run(10 * MS)
-    gateways.run(S)
-    assert 19 <= gateways.sent() <= 35  # a burst of 20, and what refilled in 0.6 s and while demand aged
-    before = gateways.sent()
+        fleet.send_request(n * 7 % count, f"r{n}")
+        fleet.advance(10 * MILLISECOND_US)
+    fleet.advance(SECOND_US)
+    # A burst of 20, and what refilled in 0.6 s and while demand aged.
+    assert 19 <= fleet.started_attempts() <= 35
+    before = fleet.started_attempts()
     for n in range(600):
-        gateways.ask(n * 7 % count, f"more{n}")
-        gateways.run(10 * MS)
-    gateways.run(S)
-    assert gateways.sent() - before == pytest.approx(60, abs=16)  # 10 a second for 6 s, of 100 requested
+        fleet.send_request(n * 7 % count, f"more{n}")
+        fleet.advance(10 * MILLISECOND_US)
+    fleet.advance(SECOND_US)
+    # 10 units a second for 6 s, of 100 requests a second.
+    assert fleet.started_attempts() - before == pytest.approx(60, abs=16)
 
 
 def test_granted_units_are_counted_once() -> None:
     """The quota owner counts what it grants; later reports must not contain the same units again."""
-    gateways, owners = Set(20, replace(SETTINGS, plans=(replace(PLAN, burst=10.0),))), []
+    fleet, owners = GatewayFleet(20, replace(SETTINGS, plans=(replace(PLAN, burst=10.0),))), []
     for n in range(300):
-        gateways.ask(n * 7 % 20, f"r{n}")
-        gateways.run(110 * MS)
+        fleet.send_request(n * 7 % 20, f"r{n}")
+        fleet.advance(110 * MILLISECOND_US)
         owners = [
-            world.gateway
-            for world in gateways.worlds
-            for customer in world.gateway.customers.by_key.values()
-            if customer.owner == world.gateway.settings.gateway_index
+            harness.engine
+            for harness in fleet.gateways
+            for customer in harness.engine.customers.by_key.values()
+            if customer.owner == harness.engine.settings.gateway_index
         ]
     level = next(iter(owners[0].customers.by_key.values())).set_level
     assert level > 6  # the burst is 10, and requests arrive at nine tenths of the rate
 
 
 def test_granted_but_unsent_units_return_to_the_quota() -> None:
-    gateways = Set(20)
-    for world in gateways.worlds:
-        world.tell(EndpointUpdate(EndpointUpdateKind.FULL, 2, ()))
+    fleet = GatewayFleet(20)
+    for harness in fleet.gateways:
+        harness.handle(EndpointUpdate(EndpointUpdateKind.FULL, 2, ()))
     for _ in range(3):
         for n in range(20):
-            gateways.ask(n, f"r{gateways.worlds[n].now}")
-        gateways.run(4 * S)
+            fleet.send_request(n, f"r{fleet.gateways[n].now_us}")
+        fleet.advance(4 * SECOND_US)
     levels = [
         customer.set_level
-        for world in gateways.worlds
-        for customer in world.gateway.customers.by_key.values()
-        if customer.owner == world.gateway.settings.gateway_index
+        for harness in fleet.gateways
+        for customer in harness.engine.customers.by_key.values()
+        if customer.owner == harness.engine.settings.gateway_index
     ]
     assert levels == [pytest.approx(20, abs=0.5)]
 
@@ -249,25 +265,25 @@
 def test_quota_is_used_while_messages_are_lost_or_the_owner_is_down() -> None:
     """Requests inside the quota are sent before their deadline even without the quota owner's answer."""
     for loss, down_index in ((0.3, -1), (0.0, 3)):
-        gateways = Set(20, loss=loss)
-        gateways.down = down_index
+        fleet = GatewayFleet(20, loss_probability=loss)
+        fleet.unreachable_gateway = down_index
         for n in range(200):
             if n * 7 % 20 != down_index:
-                gateways.ask(n * 7 % 20, f"r{n}")
-            gateways.run(200 * MS)
-        assert gateways.sent() >= 180
+                fleet.send_request(n * 7 % 20, f"r{n}")
+            fleet.advance(200 * MILLISECOND_US)
+        assert fleet.started_attempts() >= 180
 
 
 def test_messages_to_the_owner_stay_below_half_of_its_intake_limit() -> None:
     """However many requests a customer sends, its quota owner can take in the messages about it."""
     for count in (3, 40):
-        gateways, received = Set(count), 0
+        fleet, received = GatewayFleet(count), 0
         for n in range(2000):
-            gateways.ask(n * 7 % count, f"r{n}")
+            fleet.send_request(n * 7 % count, f"r{n}")
             if n % 4 == 3:
-                gateways.run(10 * MS)
+                fleet.advance(10 * MILLISECOND_US)
                 max_received = max(
-                    sum(peer == gateway_index for _, peer, _ in gateways.posted)
+                    sum(peer == gateway_index for _, peer, _ in fleet.messages_in_transit)
                     for gateway_index in range(count)
                 )
                 received += max_received
@@ -275,49 +291,53 @@
 
 
 def test_only_valid_quota_messages_create_a_customer() -> None:
-    world = World(replace(SETTINGS, gateway_count=2))
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2))
     huge = QuotaMessage(1, 0, 0, 2, demand=1e9, requested=1e9, level=-1e9)
     for message in (QuotaMessage(1, 9, 0, 2), QuotaMessage(1, 0, 5, 1), QuotaMessage(1, 0, 0, 0), huge):
-        world.tell(PeerMessageReceived(1, (message,)))
-    assert len(world.gateway.customers.by_key) == 1
+        harness.handle(PeerMessageReceived(1, (message,)))
+    assert len(harness.engine.customers.by_key) == 1
 
 
 def test_idle_gateway_wakes_up_once_a_period() -> None:
-    world = World()
-    world.run(10 * S)
-    assert len(of(SetTimer, [action for _, action in world.log])) <= 12
+    harness = GatewayHarness()
+    harness.advance(10 * SECOND_US)
+    assert len(actions_of_type(SetTimer, [action for _, action in harness.action_log])) <= 12
 
 
 def test_idle_customers_are_evicted() -> None:
-    world = World()
+    harness = GatewayHarness()
     for n in range(50):
-        world.ask(f"r{n}", customer=f"c{n}")
-        world.answer(f"r{n}")
-    world.run(90 * S)
-    assert not world.gateway.customers.by_key
+        harness.send_request(f"r{n}", customer=f"c{n}")
+        harness.complete_attempt(f"r{n}")
+    harness.advance(90 * SECOND_US)
+    assert not harness.engine.customers.by_key
 
 
 def test_request_without_time_left_uses_no_quota() -> None:
-    world = World()
+    harness = GatewayHarness()
     for n in range(30):
-        world.ask(f"r{n}", remaining_us=100 * MS)
-    assert next(iter(world.gateway.customers.by_key.values())).set_level == 20
+        harness.send_request(f"r{n}", remaining_us=100 * MILLISECOND_US)
+    assert next(iter(harness.engine.customers.by_key.values())).set_level == 20
 
 
 def test_request_beyond_the_in_flight_limit_of_its_plan_is_rejected() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(max_in_flight=2),)))
-    assert of(StartAttempt, world.ask("a")) and of(StartAttempt, world.ask("b"))
-    assert of(RejectRequest, world.ask("c"))
-    world.answer("a")
-    assert of(StartAttempt, world.ask("d"))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(max_in_flight=2),)))
+    assert actions_of_type(StartAttempt, harness.send_request("a")) and actions_of_type(
+        StartAttempt, harness.send_request("b")
+    )
+    assert actions_of_type(RejectRequest, harness.send_request("c"))
+    harness.complete_attempt("a")
+    assert actions_of_type(StartAttempt, harness.send_request("d"))
 
 
 def test_true_units_of_an_answer_are_charged_to_the_quota() -> None:
-    world = World(replace(SETTINGS, settles_true_units=True))
-    world.ask("a")
-    server, sent, _ = world.out.pop(("a", 0))
-    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.SUCCESS, world.now - sent, true_units=4.0))
-    assert next(iter(world.gateway.customers.by_key.values())).set_level == pytest.approx(16)
+    harness = GatewayHarness(replace(SETTINGS, settles_true_units=True))
+    harness.send_request("a")
+    server, sent, _ = harness.in_flight.pop(("a", 0))
+    harness.handle(
+        AttemptEnded("a", True, 0, server, AttemptResult.SUCCESS, harness.now_us - sent, true_units=4.0)
+    )
+    assert next(iter(harness.engine.customers.by_key.values())).set_level == pytest.approx(16)
 
 
 # --- ceilings, deadlines, repeated requests and the endpoint list ---
@@ -325,21 +345,21 @@
 
 def test_ceiling_starts_empty_and_is_divided_between_gateways() -> None:
     plan = Plan(ceiling_rate=10.0, ceiling_burst=20.0)
-    world = World(replace(SETTINGS, plans=(plan,), gateway_count=2))
+    harness = GatewayHarness(replace(SETTINGS, plans=(plan,), gateway_count=2))
     for n in range(40):
-        world.ask(f"r{n}", set_size=2)
-    world.run(S)
-    sent = of(StartAttempt, [action for _, action in world.log])
+        harness.send_request(f"r{n}", set_size=2)
+    harness.advance(SECOND_US)
+    sent = actions_of_type(StartAttempt, [action for _, action in harness.action_log])
     assert len(sent) in (2, 3)  # a quarter of 10 a second, starting empty
 
 
-def gateway_with_ceiling(gateway_index: int) -> tuple[World, QuotaMessage]:
+def gateway_with_ceiling(gateway_index: int) -> tuple[GatewayHarness, QuotaMessage]:
     """Return one of 20 gateways, whose ceiling shares are far below one unit, and a request for units."""
     plan = Plan(rate=10.0, burst=10.0, ceiling_rate=20.0, ceiling_burst=20.0)
-    world = World(replace(SETTINGS, plans=(plan,), gateway_count=20, gateway_index=gateway_index))
-    world.run(10 * S)
+    harness = GatewayHarness(replace(SETTINGS, plans=(plan,), gateway_count=20, gateway_index=gateway_index))
+    harness.advance(10 * SECOND_US)
     key = zlib.crc32(b"c")
-    return world, QuotaMessage(key, 0, 0, 20, requested=1.0)
+    return harness, QuotaMessage(key, 0, 0, 20, requested=1.0)
 
 
 OWNER = zlib.crc32(b"c") % 20  # gateway index of the quota owner
@@ -349,155 +369,157 @@
     """Return the units that answers grant, without the announcements sent along with them."""
     return [
         message.spent
-        for action in of(SendPeerMessage, actions)
+        for action in actions_of_type(SendPeerMessage, actions)
         for message in action.quota_messages
         if message.set_size
     ]
 
 
 def test_quota_owner_grants_from_its_ceiling_share() -> None:
-    world, message = gateway_with_ceiling(OWNER)
-    actions = world.tell(PeerMessageReceived((OWNER + 1) % 20, (message,)))
+    harness, message = gateway_with_ceiling(OWNER)
+    actions = harness.handle(PeerMessageReceived((OWNER + 1) % 20, (message,)))
     assert granted(actions) == [1.0]
-    (customer,) = world.gateway.customers.by_key.values()
+    (customer,) = harness.engine.customers.by_key.values()
     assert customer.ceiling_grant_bucket.level == pytest.approx(0.4 * 20 - 1)
     for _ in range(300):
-        world.tell(PeerMessageReceived((OWNER + 1) % 20, (message,)))
+        harness.handle(PeerMessageReceived((OWNER + 1) % 20, (message,)))
     assert customer.ceiling_grant_bucket.level >= 0
-    customer.refilled_at_us, customer.ceiling_grant_bucket.level = world.now, 0.0
-    actions = world.tell(PeerMessageReceived((OWNER + 2) % 20, (message,)))
+    customer.refilled_at_us, customer.ceiling_grant_bucket.level = harness.now_us, 0.0
+    actions = harness.handle(PeerMessageReceived((OWNER + 2) % 20, (message,)))
     assert granted(actions) == [0.0]
 
 
 def test_grant_admits_beyond_the_local_ceiling_share_until_it_expires() -> None:
-    world, _ = gateway_with_ceiling((OWNER + 1) % 20)
+    harness, _ = gateway_with_ceiling((OWNER + 1) % 20)
     answer = QuotaMessage(zlib.crc32(b"c"), 0, 0, 20, True, requested=1.0, level=10.0)
     for number in range(8):  # the local share has room for none of them
-        world.ask(f"a{number}", set_size=20)
-    (customer,) = world.gateway.customers.by_key.values()
+        harness.send_request(f"a{number}", set_size=20)
+    (customer,) = harness.engine.customers.by_key.values()
     customer.ceiling_bucket.level = 0.0
-    world.tell(PeerMessageReceived(OWNER, (answer,)))
-    assert not world.out  # nothing was granted
-    world.tell(PeerMessageReceived(OWNER, (replace(answer, spent=1.0),)))
-    assert len(world.out) == 1 and customer.ceiling_bucket.level == 0.0
-    available = world.gateway.servers.available
-    world.gateway.servers.available = []
-    world.tell(PeerMessageReceived(OWNER, (replace(answer, spent=1.0),)))
-    assert len(world.gateway.queue) == 2
-    world.run(520 * MS)
-    customer.ceiling_bucket.level, world.gateway.servers.available = -9.0, available
-    world.run(100 * MS)
-    assert len(world.out) == 1  # the owner may have granted the units elsewhere by now
+    harness.handle(PeerMessageReceived(OWNER, (answer,)))
+    assert not harness.in_flight  # nothing was granted
+    harness.handle(PeerMessageReceived(OWNER, (replace(answer, spent=1.0),)))
+    assert len(harness.in_flight) == 1 and customer.ceiling_bucket.level == 0.0
+    available = harness.engine.servers.available
+    harness.engine.servers.available = []
+    harness.handle(PeerMessageReceived(OWNER, (replace(answer, spent=1.0),)))
+    assert len(harness.engine.queue) == 2
+    harness.advance(520 * MILLISECOND_US)
+    customer.ceiling_bucket.level, harness.engine.servers.available = -9.0, available
+    harness.advance(100 * MILLISECOND_US)
+    assert len(harness.in_flight) == 1  # the owner may have granted the units elsewhere by now
 
 
 def test_only_the_quota_owner_holds_ceiling_grants() -> None:
-    world, _ = gateway_with_ceiling((OWNER + 1) % 20)
-    world.ask("a", set_size=20)
-    world.run(2 * S)
-    assert next(iter(world.gateway.customers.by_key.values())).ceiling_grant_bucket.level == 0.0
+    harness, _ = gateway_with_ceiling((OWNER + 1) % 20)
+    harness.send_request("a", set_size=20)
+    harness.advance(2 * SECOND_US)
+    assert next(iter(harness.engine.customers.by_key.values())).ceiling_grant_bucket.level == 0.0
 
 
 def test_request_without_time_left_is_rejected_at_once() -> None:
-    world = World(fleet=())
-    assert of(RejectRequest, world.ask("a", remaining_us=0))
+    harness = GatewayHarness(endpoints=())
+    assert actions_of_type(RejectRequest, harness.send_request("a", remaining_us=0))
 
 
 @pytest.mark.parametrize("remaining_ms", [5, 30, 60, 90, 130, 200, 260])
 def test_request_waiting_for_the_quota_owner_is_answered_in_time(remaining_ms: int) -> None:
     """Clients have little time left, and the quota owner never answers."""
-    gateways = Set(
-        20, with_class(replace(UNSAFE, latency_objective_us=2 * S), plans=(replace(PLAN, burst=2.0),))
+    fleet = GatewayFleet(
+        20, with_class(replace(UNSAFE, latency_objective_us=2 * SECOND_US), plans=(replace(PLAN, burst=2.0),))
     )
-    for gateway_index, world in enumerate(gateways.worlds):
-        gateways.down = gateway_index
-        world.tell(EndpointUpdate(EndpointUpdateKind.FULL, 2, ()))
-        world.gateway.traffic.mean_latency_us = [20 * MS]
-        world.ask("a", remaining_us=remaining_ms * MS, set_size=20)
-        start = world.now
-        world.run(S)
+    for gateway_index, harness in enumerate(fleet.gateways):
+        fleet.unreachable_gateway = gateway_index
+        harness.handle(EndpointUpdate(EndpointUpdateKind.FULL, 2, ()))
+        harness.engine.traffic.mean_latency_us = [20 * MILLISECOND_US]
+        harness.send_request("a", remaining_us=remaining_ms * MILLISECOND_US, set_size=20)
+        start = harness.now_us
+        harness.advance(SECOND_US)
         ends = [
             time_us - start
-            for time_us, action in world.log
+            for time_us, action in harness.action_log
             if isinstance(action, RejectRequest | FailRequest)
         ]
-        assert len(ends) == 1 and ends[0] <= remaining_ms * MS
+        assert len(ends) == 1 and ends[0] <= remaining_ms * MILLISECOND_US
 
 
 def test_unsafe_request_fails_at_its_deadline() -> None:
-    world = World(with_class(UNSAFE))
-    world.ask("a")
-    world.run(6 * S)
-    actions = world.answer("a", AttemptResult.TIMEOUT)
+    harness = GatewayHarness(with_class(UNSAFE))
+    harness.send_request("a")
+    harness.advance(6 * SECOND_US)
+    actions = harness.complete_attempt("a", AttemptResult.TIMEOUT)
     assert actions == [FailRequest("a")]
-    assert world.tell(ClientDisconnected("a")) == []
+    assert harness.handle(ClientDisconnected("a")) == []
 
 
 def test_unsafe_request_is_retried_only_if_it_never_ran() -> None:
-    world = World(with_class(UNSAFE))
-    world.ask("a")
-    assert of(StartAttempt, world.answer("a", AttemptResult.AT_CAPACITY))
-    assert of(StartAttempt, world.answer("a", AttemptResult.CONNECT_FAILED, attempt=1))
-    assert world.answer("a", AttemptResult.RESET, attempt=2) == [FailRequest("a")]
+    harness = GatewayHarness(with_class(UNSAFE))
+    harness.send_request("a")
+    assert actions_of_type(StartAttempt, harness.complete_attempt("a", AttemptResult.AT_CAPACITY))
+    assert actions_of_type(
+        StartAttempt, harness.complete_attempt("a", AttemptResult.CONNECT_FAILED, attempt=1)
+    )
+    assert harness.complete_attempt("a", AttemptResult.RESET, attempt=2) == [FailRequest("a")]
 
 
 def test_unsafe_request_that_never_ran_is_rejected() -> None:
-    world = World(with_class(UNSAFE))
-    world.ask("a")
+    harness = GatewayHarness(with_class(UNSAFE))
+    harness.send_request("a")
     for attempt in range(3):
-        actions = world.answer("a", AttemptResult.AT_CAPACITY, attempt)
-    assert of(RejectRequest, actions)
+        actions = harness.complete_attempt("a", AttemptResult.AT_CAPACITY, attempt)
+    assert actions_of_type(RejectRequest, actions)
 
 
 def test_retry_by_key_stays_in_its_zone_and_window() -> None:
-    world = World(with_class(IDEMPOTENT_BY_KEY))
-    world.ask("a")
-    first = world.out[("a", 0)][0]
-    again = of(StartAttempt, world.answer("a", AttemptResult.RESET))
+    harness = GatewayHarness(with_class(IDEMPOTENT_BY_KEY))
+    harness.send_request("a")
+    first = harness.in_flight[("a", 0)][0]
+    again = actions_of_type(StartAttempt, harness.complete_attempt("a", AttemptResult.RESET))
     assert int(again[0].server[1:]) % 2 == int(first[1:]) % 2
-    world.run(3 * S)
-    assert world.answer("a", AttemptResult.RESET, attempt=1) == [FailRequest("a")]
+    harness.advance(3 * SECOND_US)
+    assert harness.complete_attempt("a", AttemptResult.RESET, attempt=1) == [FailRequest("a")]
 
 
 def test_slow_attempt_times_out_while_another_can_meet_the_objective() -> None:
-    world = World()
-    world.ask("a")
-    assert world.out[("a", 0)][2] < 2 * S - 500 * MS
-    world.run(S)
-    assert len(of(StartAttempt, world.answer("a", AttemptResult.TIMEOUT))) == 1
-    world = World(with_class(UNSAFE))
-    world.ask("a")
-    assert world.out[("a", 0)][2] == 6 * S
+    harness = GatewayHarness()
+    harness.send_request("a")
+    assert harness.in_flight[("a", 0)][2] < 2 * SECOND_US - 500 * MILLISECOND_US
+    harness.advance(SECOND_US)
+    assert len(actions_of_type(StartAttempt, harness.complete_attempt("a", AttemptResult.TIMEOUT))) == 1
+    harness = GatewayHarness(with_class(UNSAFE))
+    harness.send_request("a")
+    assert harness.in_flight[("a", 0)][2] == 6 * SECOND_US
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_draining_or_gone_server_gets_no_attempts(state: ServerState) -> None:
-    world = World(fleet=servers(2))
-    world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, servers(1, state=state)))
+    harness = GatewayHarness(endpoints=servers(2))
+    harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, servers(1, state=state)))
     for n in range(8):
-        world.ask(f"r{n}")
-    assert {action.server for _, action in world.log if isinstance(action, StartAttempt)} == {"s1"}
+        harness.send_request(f"r{n}")
+    assert {action.server for _, action in harness.action_log if isinstance(action, StartAttempt)} == {"s1"}
 
 
 def test_server_missing_from_a_full_list_gets_no_attempts() -> None:
-    world = World(fleet=servers(2))
-    world.tell(EndpointUpdate(EndpointUpdateKind.FULL, 2, servers(1)))
+    harness = GatewayHarness(endpoints=servers(2))
+    harness.handle(EndpointUpdate(EndpointUpdateKind.FULL, 2, servers(1)))
     for n in range(8):
-        world.ask(f"r{n}")
-    assert {action.server for _, action in world.log if isinstance(action, StartAttempt)} == {"s0"}
+        harness.send_request(f"r{n}")
+    assert {action.server for _, action in harness.action_log if isinstance(action, StartAttempt)} == {"s0"}
 
 
 def test_cold_server_gets_few_attempts() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(),)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)))
     for n in range(120):
         if n == 60:
-            cold = replace(servers(4)[3], started_us=world.now)
-            world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
-            world.log.clear()
-        world.ask(f"r{n}")
-        world.run((10 + n * 37 % 50) * MS)
-        world.answer(f"r{n}")
+            cold = replace(servers(4)[3], started_us=harness.now_us)
+            harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
+            harness.action_log.clear()
+        harness.send_request(f"r{n}")
+        harness.advance((10 + n * 37 % 50) * MILLISECOND_US)
+        harness.complete_attempt(f"r{n}")
     counts = [
-        sum(action.server == f"s{n}" for _, action in world.log if isinstance(action, StartAttempt))
+        sum(action.server == f"s{n}" for _, action in harness.action_log if isinstance(action, StartAttempt))
         for n in range(4)
     ]
     assert 1 <= counts[3] <= min(counts[:3]) / 2
@@ -505,20 +527,20 @@
 
 def test_cold_server_is_not_flooded_by_a_hundred_gateways() -> None:
     """A server that has just started looks least loaded to each of them."""
-    fleet = servers(20)
-    gateways = Set(100, replace(SETTINGS, plans=(Plan(),), cold_capacity=0.2), fleet)
-    cold = replace(fleet[0], started_us=gateways.worlds[0].now)
-    for world in gateways.worlds:
-        world.gateway.traffic.mean_latency_us = [10 * MS]
-        world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
+    endpoints = servers(20)
+    fleet = GatewayFleet(100, replace(SETTINGS, plans=(Plan(),), cold_capacity=0.2), endpoints)
+    cold = replace(endpoints[0], started_us=fleet.gateways[0].now_us)
+    for harness in fleet.gateways:
+        harness.engine.traffic.mean_latency_us = [10 * MILLISECOND_US]
+        harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
     for n in range(1000):
-        gateways.ask(n * 7 % 100, f"r{n}", customer=f"c{n}")
+        fleet.send_request(n * 7 % 100, f"r{n}", customer=f"c{n}")
         if n % 5 == 0:
-            gateways.run(10 * MS)
+            fleet.advance(10 * MILLISECOND_US)
     names = [
         action.server
-        for world in gateways.worlds
-        for _, action in world.log
+        for harness in fleet.gateways
+        for _, action in harness.action_log
         if isinstance(action, StartAttempt)
     ]
     assert len(names) == 1000
@@ -528,92 +550,94 @@
 def test_ceiling_holds_over_many_gateways_with_restarts() -> None:
     """The gateways stay under the ceiling although half restart and few get all traffic for a while."""
     plan = Plan(rate=10.0, burst=30.0, ceiling_rate=18.0, ceiling_burst=40.0, ceiling_slack=4.0)
-    gateways = Set(20, replace(SETTINGS, plans=(plan,)))
-    start = gateways.worlds[0].now
+    fleet = GatewayFleet(20, replace(SETTINGS, plans=(plan,)))
+    start = fleet.gateways[0].now_us
     for n in range(1200):
-        gateways.ask(n % 3 if 300 < n < 600 else n * 7 % 20, f"r{n}")
+        fleet.send_request(n % 3 if 300 < n < 600 else n * 7 % 20, f"r{n}")
         if n % 8 == 0:
-            gateways.run(10 * MS)
+            fleet.advance(10 * MILLISECOND_US)
         if n in (400, 800):
-            for world in gateways.worlds[::2]:
-                world.out.clear()
-                world.timers.clear()
-                world.gateway = PolicyEngine(replace(world.gateway.settings, seed=n))
-                world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 1, servers(4)))
+            for harness in fleet.gateways[::2]:
+                harness.in_flight.clear()
+                harness.timers.clear()
+                harness.engine = PolicyEngine(replace(harness.engine.settings, seed=n))
+                harness.handle(EndpointUpdate(EndpointUpdateKind.CACHED, 1, servers(4)))
     times = sorted(
         time_us
-        for world in gateways.worlds
-        for time_us, action in world.log
+        for harness in fleet.gateways
+        for time_us, action in harness.action_log
         if isinstance(action, StartAttempt)
     )
     level, last = 40.0, start
     for time_us in times:
-        level, last = min(40.0, level + 18.0 * (time_us - last) / S) - 1, time_us
+        level, last = min(40.0, level + 18.0 * (time_us - last) / SECOND_US) - 1, time_us
         assert level >= -4.0
     assert times
 
 
 def test_clock_jump_and_duplicate_servers_are_tolerated() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(),)), servers(2) + servers(2))
-    world.ask("a")
-    world.now += 60 * S
-    world.tell(TimerFired(0))
-    assert len(of(StartAttempt, world.ask("b"))) == 1
-    world.tell(EndpointUpdate(EndpointUpdateKind.FULL, 3, ()))
-    assert not of(StartAttempt, world.ask("c"))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)), servers(2) + servers(2))
+    harness.send_request("a")
+    harness.now_us += 60 * SECOND_US
+    harness.handle(TimerFired(0))
+    assert len(actions_of_type(StartAttempt, harness.send_request("b"))) == 1
+    harness.handle(EndpointUpdate(EndpointUpdateKind.FULL, 3, ()))
+    assert not actions_of_type(StartAttempt, harness.send_request("c"))
 
 
 # --- health of servers, and retries ---
 
 
 def test_failing_server_is_ejected_and_tried_half_open() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(),)), servers(3))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)), servers(3))
     failing_server, sends, half_open_attempts = "s0", 0, 0
     for n in range(400):
-        world.ask(f"r{n}")
-        world.run((1 + n * 37 % 50) * MS)
-        for name, attempt in list(world.out):
-            fails = world.out[(name, attempt)][0] == failing_server
+        harness.send_request(f"r{n}")
+        harness.advance((1 + n * 37 % 50) * MILLISECOND_US)
+        for name, attempt in list(harness.in_flight):
+            fails = harness.in_flight[(name, attempt)][0] == failing_server
             sends, half_open_attempts = sends + fails, half_open_attempts + (fails and n > 200)
-            world.answer(name, AttemptResult.RESET if fails else AttemptResult.SUCCESS, attempt)
+            harness.complete_attempt(name, AttemptResult.RESET if fails else AttemptResult.SUCCESS, attempt)
     assert sends < 20
     assert half_open_attempts >= 1
 
 
 def test_time_out_on_a_server_that_answers_others_does_not_eject_it() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(),)), servers(1))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)), servers(1))
     for n in range(4):
-        world.ask(f"r{n}")
+        harness.send_request(f"r{n}")
     for n in range(2):
-        world.ask(f"ok{n}")
-    world.run(1 * S)
-    world.answer("ok0")
-    world.run(10 * MS)
+        harness.send_request(f"ok{n}")
+    harness.advance(1 * SECOND_US)
+    harness.complete_attempt("ok0")
+    harness.advance(10 * MILLISECOND_US)
     for n in range(4):
-        world.answer(f"r{n}", AttemptResult.TIMEOUT)
-    assert world.gateway.servers_by_name["s0"].is_ejected is False
+        harness.complete_attempt(f"r{n}", AttemptResult.TIMEOUT)
+    assert harness.engine.servers_by_name["s0"].is_ejected is False
 
 
 def test_retries_stay_a_small_share_of_first_attempts() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(),)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)))
     for n in range(100):
-        for action in of(StartAttempt, world.ask(f"r{n}")):
-            retries = of(StartAttempt, world.answer(action.id, AttemptResult.ERROR))
+        for action in actions_of_type(StartAttempt, harness.send_request(f"r{n}")):
+            retries = actions_of_type(StartAttempt, harness.complete_attempt(action.id, AttemptResult.ERROR))
             while retries:
-                attempt = world.tries[action.id] - 1
-                retries = of(StartAttempt, world.answer(action.id, AttemptResult.ERROR, attempt))
-        world.run(10 * MS)
-    assert len(of(StartAttempt, [action for _, action in world.log])) <= 100 * 1.1 + 8
+                attempt = harness.attempt_counts[action.id] - 1
+                retries = actions_of_type(
+                    StartAttempt, harness.complete_attempt(action.id, AttemptResult.ERROR, attempt)
+                )
+        harness.advance(10 * MILLISECOND_US)
+    assert len(actions_of_type(StartAttempt, [action for _, action in harness.action_log])) <= 100 * 1.1 + 8
 
 
 def test_same_events_give_the_same_actions() -> None:
     logs = []
     for _ in range(2):
-        world = World(replace(SETTINGS, plans=(replace(PLAN, rate=2.0, burst=4.0),)))
+        harness = GatewayHarness(replace(SETTINGS, plans=(replace(PLAN, rate=2.0, burst=4.0),)))
         for n in range(100):
-            world.ask(f"r{n}")
-            world.run(30 * MS)
-        logs.append(world.log)
+            harness.send_request(f"r{n}")
+            harness.advance(30 * MILLISECOND_US)
+        logs.append(harness.action_log)
     assert logs[0] == logs[1]
 
 
@@ -621,14 +645,14 @@
     gateway = PolicyEngine(replace(SETTINGS, must_subscribe=True))
     assert WatchEndpoints(True) in gateway.handle(5, EndpointUpdate(EndpointUpdateKind.CACHED, 1, servers(2)))
     assert gateway.handle(9, EndpointUpdate(EndpointUpdateKind.FAILED, 0)) == [WatchEndpoints(True)]
-    assert of(StartAttempt, gateway.handle(10, RequestArrived("a", 0, 0, "c", S)))
+    assert actions_of_type(StartAttempt, gateway.handle(10, RequestArrived("a", 0, 0, "c", SECOND_US)))
 
 
 def test_started_stream_needs_no_further_answer() -> None:
-    world = World(with_class(replace(SAFE, streamed=True)))
-    world.ask("a")
-    assert world.tell(StreamStarted("a", 0, world.out[("a", 0)][0], 5)) == []
-    assert of(RejectRequest, world.answer("a", AttemptResult.RESET)) == []
+    harness = GatewayHarness(with_class(replace(SAFE_CLASS, streamed=True)))
+    harness.send_request("a")
+    assert harness.handle(StreamStarted("a", 0, harness.in_flight[("a", 0)][0], 5)) == []
+    assert actions_of_type(RejectRequest, harness.complete_attempt("a", AttemptResult.RESET)) == []
 
 
 # --- size of the modules, and expiry ---
@@ -676,34 +700,34 @@
 
 
 def test_unsent_request_is_rejected_before_half_of_its_time() -> None:
-    for fleet in ((), servers(1)):
-        world = World(fleet=fleet)
+    for endpoints in ((), servers(1)):
+        harness = GatewayHarness(endpoints=endpoints)
         # With this mean latency, the latency objective alone would let it wait longer.
-        world.gateway.traffic.mean_latency_us = [50.0 * MS]
-        start = world.now
-        world.ask("a", remaining_us=S)
-        if fleet:  # a failed connect sends nothing
-            world.gateway.servers.available.clear()
-            world.answer("a", AttemptResult.CONNECT_FAILED)
-        world.run(S)
-        rejected_at = [time_us for time_us, action in world.log if isinstance(action, RejectRequest)]
+        harness.engine.traffic.mean_latency_us = [50.0 * MILLISECOND_US]
+        start = harness.now_us
+        harness.send_request("a", remaining_us=SECOND_US)
+        if endpoints:  # a failed connect sends nothing
+            harness.engine.servers.available.clear()
+            harness.complete_attempt("a", AttemptResult.CONNECT_FAILED)
+        harness.advance(SECOND_US)
+        rejected_at = [time_us for time_us, action in harness.action_log if isinstance(action, RejectRequest)]
         assert len(rejected_at) == 1
-        assert 400 * MS < rejected_at[0] - start < 500 * MS
+        assert 400 * MILLISECOND_US < rejected_at[0] - start < 500 * MILLISECOND_US
 
 
 def test_sent_request_may_wait_beyond_half_of_its_time() -> None:
-    world = World()
-    world.ask("a", remaining_us=S)
-    world.run(900 * MS)
-    assert of(RejectRequest, world.run(0)) == [] and world.out
+    harness = GatewayHarness()
+    harness.send_request("a", remaining_us=SECOND_US)
+    harness.advance(900 * MILLISECOND_US)
+    assert actions_of_type(RejectRequest, harness.advance(0)) == [] and harness.in_flight
 
 
 def test_limit_scales_with_the_latency_objective() -> None:
     """With a third of the objective, servers serve three times as much, and overload builds up as fast."""
     for scale in (1, 3):
-        request_class = replace(SAFE, latency_objective_us=round(1.5 * S) // scale)
-        gateway = World(replace(SETTINGS, classes=(request_class,), gateway_count=2)).gateway
-        assert gateway.overload.control_period_us == S // scale
+        request_class = replace(SAFE_CLASS, latency_objective_us=round(1.5 * SECOND_US) // scale)
+        gateway = GatewayHarness(replace(SETTINGS, classes=(request_class,), gateway_count=2)).engine
+        assert gateway.overload.control_period_us == SECOND_US // scale
         gateway.overload.utilization_samples = [0.9]
         gateway.overload.update_limit(100)
         # 8 for each of 4 servers that are not cold, divided between two gateways
@@ -714,7 +738,7 @@
 
 
 def test_occasional_broken_answers_do_not_eject_a_server() -> None:
-    gateway = World(fleet=servers(1)).gateway
+    gateway = GatewayHarness(endpoints=servers(1)).engine
     server = gateway.servers_by_name["s0"]
     for _ in range(40):
         gateway.outliers.record_broken_answer(server)
@@ -726,174 +750,192 @@
 
 
 def test_retry_after_the_objective_of_its_first_attempt_is_rejected_at_once() -> None:
-    world = World()
-    world.ask("first", remaining_us=6 * S)
-    assert of(StartAttempt, world.ask("soon", remaining_us=5 * S, is_retry=True))
+    harness = GatewayHarness()
+    harness.send_request("first", remaining_us=6 * SECOND_US)
+    assert actions_of_type(
+        StartAttempt, harness.send_request("soon", remaining_us=5 * SECOND_US, is_retry=True)
+    )
     # First sent 2 s ago, which is as long as the latency objective.
-    late = world.ask("late", remaining_us=4 * S, is_retry=True)
-    assert of(RejectRequest, late) and not of(StartAttempt, late)
-    world = World(replace(SETTINGS, classes=(replace(SAFE, late_value=0.5),)))
-    world.ask("first", remaining_us=6 * S)
-    assert of(StartAttempt, world.ask("late", remaining_us=4 * S, is_retry=True))
+    late = harness.send_request("late", remaining_us=4 * SECOND_US, is_retry=True)
+    assert actions_of_type(RejectRequest, late) and not actions_of_type(StartAttempt, late)
+    harness = GatewayHarness(replace(SETTINGS, classes=(replace(SAFE_CLASS, late_value=0.5),)))
+    harness.send_request("first", remaining_us=6 * SECOND_US)
+    assert actions_of_type(
+        StartAttempt, harness.send_request("late", remaining_us=4 * SECOND_US, is_retry=True)
+    )
 
 
 def test_retries_are_admitted_where_client_timeouts_differ() -> None:
-    world = World()
-    for number, remaining_us in enumerate([6 * S, 3 * S, 6 * S, 3 * S]):
-        world.ask(f"first{number}", remaining_us=remaining_us)
-    assert of(StartAttempt, world.ask("retry", remaining_us=2 * S, is_retry=True))
+    harness = GatewayHarness()
+    for number, remaining_us in enumerate([6 * SECOND_US, 3 * SECOND_US, 6 * SECOND_US, 3 * SECOND_US]):
+        harness.send_request(f"first{number}", remaining_us=remaining_us)
+    assert actions_of_type(
+        StartAttempt, harness.send_request("retry", remaining_us=2 * SECOND_US, is_retry=True)
+    )
 
 
 def test_report_excludes_units_that_the_owner_may_have_counted() -> None:
     """The quota owner counts each request for units as partly spent; a repeated one must not count twice."""
-    world = World(replace(SETTINGS, gateway_count=2), servers(8))
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2), servers(8))
     # The other gateway owns this customer's quota.
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(11):  # the eleventh exceeds this gateway's share of the burst
-        world.ask(f"a{number}", customer=name, set_size=2)
-    world.run(S)
+        harness.send_request(f"a{number}", customer=name, set_size=2)
+    harness.advance(SECOND_US)
     messages = [
         message
-        for _, action in world.log
+        for _, action in harness.action_log
         if isinstance(action, SendPeerMessage)
         for message in action.quota_messages
     ]
     unit_requests = [message for message in messages if message.requested]
     assert len(unit_requests) == 2
-    (customer,) = world.gateway.customers.by_key.values()
+    (customer,) = harness.engine.customers.by_key.values()
     spending = sum(message.spent for message in messages) + customer.unreported_spending
     assert spending == 11 - 2 * 1.0  # two requests for one unit, each with a chance of 1
 
 
 def test_gone_servers_and_refilled_customers_are_evicted() -> None:
-    world = World(fleet=servers(2))
+    harness = GatewayHarness(endpoints=servers(2))
     for number in range(200):
         gone = Server(f"x{number}", 0, 0, 0, ServerState.SERVING)
-        world.tell(EndpointUpdate(EndpointUpdateKind.CHANGES, number, (gone,)))
-        world.tell(
+        harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, number, (gone,)))
+        harness.handle(
             EndpointUpdate(EndpointUpdateKind.CHANGES, number, (replace(gone, state=ServerState.GONE),))
         )
-        world.ask(f"a{number}", customer=f"once{number}")
-        world.answer(f"a{number}")
-    assert set(world.gateway.servers_by_name) == {"s0", "s1"}
-    assert len(world.gateway.customers.by_key) == 200
-    world.run(12 * S)
+        harness.send_request(f"a{number}", customer=f"once{number}")
+        harness.complete_attempt(f"a{number}")
+    assert set(harness.engine.servers_by_name) == {"s0", "s1"}
+    assert len(harness.engine.customers.by_key) == 200
+    harness.advance(12 * SECOND_US)
     assert (
-        not world.gateway.customers.by_key
-        and not world.gateway.customers.first_keys
-        and not world.gateway.requests_by_id
+        not harness.engine.customers.by_key
+        and not harness.engine.customers.first_keys
+        and not harness.engine.requests_by_id
     )
 
 
 def test_customer_is_evicted_only_when_its_buckets_are_full() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(rate=1.0, burst=30.0),)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(Plan(rate=1.0, burst=30.0),)))
     for number in range(30):
-        world.ask(f"a{number}")
-        world.answer(f"a{number}")
-    world.run(29 * S)
-    (customer,) = world.gateway.customers.by_key.values()
+        harness.send_request(f"a{number}")
+        harness.complete_attempt(f"a{number}")
+    harness.advance(29 * SECOND_US)
+    (customer,) = harness.engine.customers.by_key.values()
     assert customer.local_bucket.level == 0.0  # as of its last refill
-    world.run(4 * S)
-    assert not world.gateway.customers.by_key
+    harness.advance(4 * SECOND_US)
+    assert not harness.engine.customers.by_key
 
 
 def test_ceiling_starts_empty_only_when_the_gateway_starts() -> None:
     plan = Plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
-    world = World(replace(SETTINGS, plans=(plan,)), servers(8))
-    assert not of(StartAttempt, world.ask("a"))  # the gateway may have admitted a burst before it restarted
-    world.run(2 * S)
-    sent = [of(StartAttempt, world.ask(f"b{number}", customer="another")) for number in range(20)]
+    harness = GatewayHarness(replace(SETTINGS, plans=(plan,)), servers(8))
+    # The gateway may have admitted a burst before it restarted.
+    assert not actions_of_type(StartAttempt, harness.send_request("a"))
+    harness.advance(2 * SECOND_US)
+    sent = [
+        actions_of_type(StartAttempt, harness.send_request(f"b{number}", customer="another"))
+        for number in range(20)
+    ]
     assert sum(map(len, sent)) == 20
 
 
 def test_customer_under_another_set_of_gateways_gets_no_fresh_burst() -> None:
-    world = World(replace(SETTINGS, gateway_count=2, may_message_peers=False))
-    sent = [len(of(StartAttempt, world.ask(f"a{number}", set_size=1 + number % 2))) for number in range(60)]
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2, may_message_peers=False))
+    sent = [
+        len(actions_of_type(StartAttempt, harness.send_request(f"a{number}", set_size=1 + number % 2)))
+        for number in range(60)
+    ]
     assert sum(sent) <= 21  # the burst of 20, and at most one more by chance
-    world = World(replace(SETTINGS, gateway_count=2, may_message_peers=False))
-    assert of(StartAttempt, world.ask("other", customer="other", set_size=2))
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2, may_message_peers=False))
+    assert actions_of_type(StartAttempt, harness.send_request("other", customer="other", set_size=2))
 
 
 @pytest.mark.parametrize(("first", "size"), [(0, 3), (0, 0), (0, 65535), (9, 2), (1, 1)])
 def test_quota_messages_for_an_impossible_set_are_ignored(first: int, size: int) -> None:
-    world = World(replace(SETTINGS, gateway_count=2))
-    world.tell(
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2))
+    harness.handle(
         PeerMessageReceived(1, (QuotaMessage(7, 0, first, size, demand=1.0, spent=1.0, requested=1.0),))
     )
-    assert not world.gateway.customers.by_key
-    world.tell(PeerMessageReceived(1, (QuotaMessage(7, 0, 0, 2, demand=1.0),)))
-    assert len(world.gateway.customers.by_key) == 1
+    assert not harness.engine.customers.by_key
+    harness.handle(PeerMessageReceived(1, (QuotaMessage(7, 0, 0, 2, demand=1.0),)))
+    assert len(harness.engine.customers.by_key) == 1
 
 
 def test_entirely_cold_fleet_receives_the_offered_load() -> None:
     """If attempts were spaced by the rate of those sent before, that rate could never rise."""
-    world = World(replace(SETTINGS, plans=(Plan(rate=1e4, burst=1e4),), cold_capacity=0.9), servers(4))
-    for server in world.gateway.servers_by_name.values():
-        server.warm_up_start_us = world.now  # as on return from ejection
-    world.gateway.traffic.first_attempts_per_s = 1.0
+    harness = GatewayHarness(
+        replace(SETTINGS, plans=(Plan(rate=1e4, burst=1e4),), cold_capacity=0.9), servers(4)
+    )
+    for server in harness.engine.servers_by_name.values():
+        server.warm_up_start_us = harness.now_us  # as on return from ejection
+    harness.engine.traffic.first_attempts_per_s = 1.0
     for number in range(400):
-        world.ask(f"a{number}", remaining_us=6 * S)
-        world.run(20 * MS)
-        for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt)
+        harness.send_request(f"a{number}", remaining_us=6 * SECOND_US)
+        harness.advance(20 * MILLISECOND_US)
+        for name, attempt in list(harness.in_flight):
+            harness.complete_attempt(name, attempt=attempt)
     sent = [
         time_us
-        for time_us, action in world.log
-        if isinstance(action, StartAttempt) and time_us > world.now - S
+        for time_us, action in harness.action_log
+        if isinstance(action, StartAttempt) and time_us > harness.now_us - SECOND_US
     ]
     assert len(sent) > 30  # 50 arrived in the last second; with the fault, 4 were sent
 
 
 def test_wait_for_the_quota_owner_ends_before_half_of_the_time() -> None:
-    world = World(replace(SETTINGS, gateway_count=2), servers(8))
-    world.gateway.traffic.mean_latency_us = [10.0 * MS]
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2), servers(8))
+    harness.engine.traffic.mean_latency_us = [10.0 * MILLISECOND_US]
     # The other gateway owns this customer's quota.
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(10):
-        world.ask(f"a{number}", customer=name, set_size=2)
-    assert not of(StartAttempt, world.ask("last", customer=name, set_size=2, remaining_us=200 * MS))
-    world.run(100 * MS)
-    assert world.tries.get("last") == 1
+        harness.send_request(f"a{number}", customer=name, set_size=2)
+    assert not actions_of_type(
+        StartAttempt,
+        harness.send_request("last", customer=name, set_size=2, remaining_us=200 * MILLISECOND_US),
+    )
+    harness.advance(100 * MILLISECOND_US)
+    assert harness.attempt_counts.get("last") == 1
 
 
-def customer_of_peer(world: World) -> str:
+def customer_of_peer(harness: GatewayHarness) -> str:
     """Return a customer that the other of two gateways owns, after using up the local share of its burst."""
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(10):
-        world.ask(f"used{number}", customer=name, set_size=2)
-        world.answer(f"used{number}")
+        harness.send_request(f"used{number}", customer=name, set_size=2)
+        harness.complete_attempt(f"used{number}")
     return name
 
 
 def test_last_answer_of_a_silent_owner_holds_for_one_second() -> None:
     """If its answer held for 10 s, the old demand in it would count beside the local demand for that time."""
-    world = World(replace(SETTINGS, gateway_count=2), servers(8))
-    name = customer_of_peer(world)
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2), servers(8))
+    name = customer_of_peer(harness)
     key = zlib.crc32(name.encode()), 0, 0, 2
-    world.tell(PeerMessageReceived(1, (QuotaMessage(*key, True, demand=40.0, level=-5.0),)))
-    customer = world.gateway.customers.by_key[key]
+    harness.handle(PeerMessageReceived(1, (QuotaMessage(*key, True, demand=40.0, level=-5.0),)))
+    customer = harness.engine.customers.by_key[key]
     for number in range(30):
-        world.ask(f"a{number}", customer=name, set_size=2, remaining_us=S)
-        world.run(100 * MS)
-    assert customer.refill(world.now).demand < 10  # 5 arrive in the time over which demand ages
+        harness.send_request(f"a{number}", customer=name, set_size=2, remaining_us=SECOND_US)
+        harness.advance(100 * MILLISECOND_US)
+    assert customer.refill(harness.now_us).demand < 10  # 5 arrive in the time over which demand ages
     sent = [
         time_us
-        for time_us, action in world.log
-        if isinstance(action, StartAttempt) and time_us > world.now - S
+        for time_us, action in harness.action_log
+        if isinstance(action, StartAttempt) and time_us > harness.now_us - SECOND_US
     ]
     assert len(sent) >= 8
 
 
 def test_fewer_than_half_of_requests_wait_for_a_silent_owner() -> None:
-    world = World(replace(SETTINGS, gateway_count=2))
-    name = customer_of_peer(world)
+    harness = GatewayHarness(replace(SETTINGS, gateway_count=2))
+    name = customer_of_peer(harness)
     waited = 0
     for number in range(30):
-        if not of(StartAttempt, world.ask(f"a{number}", customer=name, set_size=2)):
+        if not actions_of_type(StartAttempt, harness.send_request(f"a{number}", customer=name, set_size=2)):
             waited += 1
-        world.run(100 * MS)
-        for request_id, attempt in list(world.out):
-            world.answer(request_id, attempt=attempt)
+        harness.advance(100 * MILLISECOND_US)
+        for request_id, attempt in list(harness.in_flight):
+            harness.complete_attempt(request_id, attempt=attempt)
     assert waited < 15  # all in the first half second, and a few later
     assert waited > 5  # it is still tried again
 
@@ -902,52 +944,57 @@
     free, costly = (replace(PLAN, over_quota_cost=cost) for cost in (0.0, 1.0))
     chances = {}
     for plan in (free, costly):
-        world = World(replace(SETTINGS, plans=(plan,)))
-        world.ask("a")
-        (customer,) = world.gateway.customers.by_key.values()
+        harness = GatewayHarness(replace(SETTINGS, plans=(plan,)))
+        harness.send_request("a")
+        (customer,) = harness.engine.customers.by_key.values()
         assert customer.admission_chance(1.0) == 1.0  # a full bucket admits all
         customer.set_level, customer.local_demand = 1.0, 12.0
         chances[plan.over_quota_cost] = customer.admission_chance(1.0)
     assert chances == {0.0: pytest.approx(6 / 12), 1.0: pytest.approx(5 / 12)}
 
 
-def limited_world(exact_limit: float, queued: int) -> World:
-    """Return a world with `queued` requests behind a limit N of `exact_limit` a second."""
-    world = loaded_world(0.9)
-    world.gateway.overload.set_limit(exact_limit)
-    world.gateway.overload.accepted_in_period = 99
-    world.log.clear()
+def limited_harness(exact_limit: float, queued: int) -> GatewayHarness:
+    """Return a harness with `queued` requests behind a limit N of `exact_limit` a second."""
+    harness = loaded_harness(0.9)
+    harness.engine.overload.set_limit(exact_limit)
+    harness.engine.overload.accepted_in_period = 99
+    harness.action_log.clear()
     for number in range(queued):
-        world.ask(f"h{number}", customer=f"c{number}")
-    return world
+        harness.send_request(f"h{number}", customer=f"c{number}")
+    return harness
 
 
 def test_request_too_far_back_in_the_queue_is_rejected_with_a_short_retry_after() -> None:
-    world = limited_world(2.0, 20)  # ten seconds' worth, and the latency objective is six seconds
-    world.run(40 * MS)
-    rejections = of(RejectRequest, [action for _, action in world.log])
+    harness = limited_harness(2.0, 20)  # ten seconds' worth, and the latency objective is six seconds
+    harness.advance(40 * MILLISECOND_US)
+    rejections = actions_of_type(RejectRequest, [action for _, action in harness.action_log])
     assert 8 <= len(rejections) <= 15
-    assert {action.retry_after_us for action in rejections} == {500 * MS}  # the maximum Retry-After
-    world = limited_world(20.0, 20)  # one second's worth
-    world.run(40 * MS)
-    assert not of(RejectRequest, [action for _, action in world.log])
+    maximum_retry_after_us = 500 * MILLISECOND_US
+    assert {action.retry_after_us for action in rejections} == {maximum_retry_after_us}
+    harness = limited_harness(20.0, 20)  # one second's worth
+    harness.advance(40 * MILLISECOND_US)
+    assert not actions_of_type(RejectRequest, [action for _, action in harness.action_log])
 
 
 def test_retry_after_is_short_only_while_a_retry_can_be_in_time() -> None:
-    request_class = replace(SAFE, latency_objective_us=1500 * MS)
-    world = World(with_class(request_class, max_retry_after_us=2 * S), ())
+    request_class = replace(SAFE_CLASS, latency_objective_us=1500 * MILLISECOND_US)
+    harness = GatewayHarness(with_class(request_class, max_retry_after_us=2 * SECOND_US), ())
     # The gateway started long ago: during the recovery after a start, Retry-After has jitter.
-    world.gateway.incarnations.note_serving(0)
-    (early,) = of(RejectRequest, world.ask("early", remaining_us=100 * MS) + world.run(100 * MS))
-    assert early.retry_after_us == 2 * S  # its client has little time left
-    world.gateway.traffic.mean_latency_us = [500.0 * MS]
+    harness.engine.incarnations.note_serving(0)
+    (early,) = actions_of_type(
+        RejectRequest,
+        harness.send_request("early", remaining_us=100 * MILLISECOND_US)
+        + harness.advance(100 * MILLISECOND_US),
+    )
+    assert early.retry_after_us == 2 * SECOND_US  # its client has little time left
+    harness.engine.traffic.mean_latency_us = [500.0 * MILLISECOND_US]
     actions: list[Action] = []
-    world.ask("queued")
-    request = world.gateway.requests_by_id["queued"]
-    assert not world.gateway.expiry.expire_if_too_late(request, 2.0)
-    world.gateway.context.actions = actions
-    assert world.gateway.expiry.expire_if_too_late(request, 2.0, 5.0 * S)
-    assert of(RejectRequest, actions) == [RejectRequest("queued", 300 * MS)]
+    harness.send_request("queued")
+    request = harness.engine.requests_by_id["queued"]
+    assert not harness.engine.expiry.expire_if_too_late(request, 2.0)
+    harness.engine.context.actions = actions
+    assert harness.engine.expiry.expire_if_too_late(request, 2.0, 5.0 * SECOND_US)
+    assert actions_of_type(RejectRequest, actions) == [RejectRequest("queued", 300 * MILLISECOND_US)]
 
 
 def test_server_selection_makes_no_call_for_each_warm_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -964,109 +1011,122 @@
         "recognises_repeat",
         lambda self, request, first_server, server: called_for.append(server.entry.name) or True,
     )
-    fleet = [*servers(200, started_us=80 * S), *[replace(servers(1)[0], name="cold", started_us=99 * S)]]
-    world = World(fleet=fleet)
+    endpoints = [
+        *servers(200, started_us=80 * SECOND_US),
+        *[replace(servers(1)[0], name="cold", started_us=99 * SECOND_US)],
+    ]
+    harness = GatewayHarness(endpoints=endpoints)
     called_for.clear()
-    assert of(StartAttempt, world.ask("r1"))
+    assert actions_of_type(StartAttempt, harness.send_request("r1"))
     # A second call spaces the attempts of the cold server, when the selector picks it.
     assert called_for in (["cold"], ["cold", "cold"])
 
 
-def attempts_until_failed(world: World, name: str) -> int:
+def attempts_until_failed(harness: GatewayHarness, name: str) -> int:
     """Return how many attempts a request gets if all of them fail."""
-    world.ask(name)
-    while world.out:
-        for key, attempt in list(world.out):
-            world.answer(key, AttemptResult.ERROR, attempt)
-    return world.tries.get(name, 0)
+    harness.send_request(name)
+    while harness.in_flight:
+        for key, attempt in list(harness.in_flight):
+            harness.complete_attempt(key, AttemptResult.ERROR, attempt)
+    return harness.attempt_counts.get(name, 0)
 
 
 def test_spent_retry_budget_bounds_attempts_and_is_logged() -> None:
     """All requests share the budget, so that retries do not multiply the load of failing servers."""
-    world = World(fleet=servers(40))
-    attempts = [attempts_until_failed(world, f"r{number}") for number in range(20)]
+    harness = GatewayHarness(endpoints=servers(40))
+    attempts = [attempts_until_failed(harness, f"r{number}") for number in range(20)]
     assert attempts[0] == 3 and attempts[-1] == 1
     assert sum(attempts) - 20 <= 4 + 0.1 * 20  # the initial budget, and the share of first attempts
-    log_lines = [action.text for action in of(WriteLog, world.run(3 * S))]
+    log_lines = [action.text for action in actions_of_type(WriteLog, harness.advance(3 * SECOND_US))]
     assert log_lines and "not begun" in log_lines[0]
 
 
 # --- retries that clients do not mark ---
 
 
-def send_first_attempts(world: World, count: int, remaining_us: int) -> None:
+def send_first_attempts(harness: GatewayHarness, count: int, remaining_us: int) -> None:
     """Send `count` first attempts of different customers, each answered after 100 ms."""
     for number in range(count):
-        world.ask(f"f{number}", remaining_us=remaining_us, customer=f"c{number}")
-        world.run(100 * MS)
-        if (f"f{number}", 0) in world.out:
-            world.answer(f"f{number}")
+        harness.send_request(f"f{number}", remaining_us=remaining_us, customer=f"c{number}")
+        harness.advance(100 * MILLISECOND_US)
+        if (f"f{number}", 0) in harness.in_flight:
+            harness.complete_attempt(f"f{number}")
 
 
 def test_late_unmarked_retry_is_rejected_at_once() -> None:
-    world = World()  # latency objective 2 s, deadline 6 s
-    send_first_attempts(world, 30, 6 * S)
-    fresh = world.ask("fresh", remaining_us=5 * S, customer="d")  # first sent 1 s ago
-    assert of(StartAttempt, fresh)
-    late = world.ask("late", remaining_us=6 * S - 2500 * MS, customer="d")
-    assert [action.id for action in of(RejectRequest, late)] == ["late"] and not of(StartAttempt, late)
+    harness = GatewayHarness()  # latency objective 2 s, deadline 6 s
+    send_first_attempts(harness, 30, 6 * SECOND_US)
+    fresh = harness.send_request("fresh", remaining_us=5 * SECOND_US, customer="d")  # first sent 1 s ago
+    assert actions_of_type(StartAttempt, fresh)
+    late = harness.send_request("late", remaining_us=6 * SECOND_US - 2500 * MILLISECOND_US, customer="d")
+    assert [action.id for action in actions_of_type(RejectRequest, late)] == ["late"]
+    assert not actions_of_type(StartAttempt, late)
 
 
 def test_common_short_client_timeouts_are_not_taken_for_retries() -> None:
-    world = World()
-    send_first_attempts(world, 30, 6 * S)
+    harness = GatewayHarness()
+    send_first_attempts(harness, 30, 6 * SECOND_US)
     for number in range(12):  # more than one in seven state this time, so it is one of first attempts
-        world.ask(f"early{number}", remaining_us=3 * S, customer=f"e{number}")
-        if (f"early{number}", 0) in world.out:
-            world.answer(f"early{number}")
-    assert of(StartAttempt, world.ask("early", remaining_us=3 * S, customer="e"))
+        harness.send_request(f"early{number}", remaining_us=3 * SECOND_US, customer=f"e{number}")
+        if (f"early{number}", 0) in harness.in_flight:
+            harness.complete_attempt(f"early{number}")
+    assert actions_of_type(
+        StartAttempt, harness.send_request("early", remaining_us=3 * SECOND_US, customer="e")
+    )
 
 
 def test_delayed_first_attempt_is_not_taken_for_a_retry() -> None:
-    world = World()
-    send_first_attempts(world, 30, 4 * S)  # the deadline is 6 s: a retry would be at least 2 s old
-    assert of(StartAttempt, world.ask("delayed", remaining_us=4 * S - 250 * MS, customer="d"))
-    assert of(RejectRequest, world.ask("retry", remaining_us=3500 * MS, customer="d"))
+    harness = GatewayHarness()
+    send_first_attempts(harness, 30, 4 * SECOND_US)  # the deadline is 6 s: a retry would be at least 2 s old
+    assert actions_of_type(
+        StartAttempt,
+        harness.send_request("delayed", remaining_us=4 * SECOND_US - 250 * MILLISECOND_US, customer="d"),
+    )
+    assert actions_of_type(
+        RejectRequest, harness.send_request("retry", remaining_us=3500 * MILLISECOND_US, customer="d")
+    )
 
 
 def test_unmarked_retries_are_not_detected_after_few_requests() -> None:
-    world = World()
-    send_first_attempts(world, 5, 6 * S)
-    assert of(StartAttempt, world.ask("x", remaining_us=3 * S, customer="d"))
+    harness = GatewayHarness()
+    send_first_attempts(harness, 5, 6 * SECOND_US)
+    assert actions_of_type(StartAttempt, harness.send_request("x", remaining_us=3 * SECOND_US, customer="d"))
 
 
 def test_requests_during_a_shutdown_are_not_taken_for_retries() -> None:
-    world = World()
-    send_first_attempts(world, 30, 6 * S)
-    world.tell(ShutdownStarted(3 * S))
-    assert of(StartAttempt, world.ask("x", remaining_us=3 * S, customer="d"))
+    harness = GatewayHarness()
+    send_first_attempts(harness, 30, 6 * SECOND_US)
+    harness.handle(ShutdownStarted(3 * SECOND_US))
+    assert actions_of_type(StartAttempt, harness.send_request("x", remaining_us=3 * SECOND_US, customer="d"))
 
 
 def test_late_retry_is_rejected_only_where_its_quota_is_scarce() -> None:
-    request_class = replace(SAFE, late_value=0.2)
-    world = World(replace(SETTINGS, classes=(request_class,)))
-    send_first_attempts(world, 30, 6 * S)
+    request_class = replace(SAFE_CLASS, late_value=0.2)
+    harness = GatewayHarness(replace(SETTINGS, classes=(request_class,)))
+    send_first_attempts(harness, 30, 6 * SECOND_US)
     # Its customer's quota is not scarce.
-    assert of(StartAttempt, world.ask("late", remaining_us=3 * S, customer="rich"))
+    assert actions_of_type(
+        StartAttempt, harness.send_request("late", remaining_us=3 * SECOND_US, customer="rich")
+    )
     for number in range(25):  # its burst is 20
-        world.ask(f"p{number}", remaining_us=6 * S, customer="poor")
-    actions = world.ask("poor-late", remaining_us=3 * S, customer="poor")
-    assert [action.id for action in of(RejectRequest, actions)] == ["poor-late"]
-    before = world.gateway.customers.by_key[next(reversed(world.gateway.customers.by_key))].local_demand
-    world.ask("poor-late-2", remaining_us=3 * S, customer="poor")
-    after = world.gateway.customers.by_key[next(reversed(world.gateway.customers.by_key))].local_demand
+        harness.send_request(f"p{number}", remaining_us=6 * SECOND_US, customer="poor")
+    actions = harness.send_request("poor-late", remaining_us=3 * SECOND_US, customer="poor")
+    assert [action.id for action in actions_of_type(RejectRequest, actions)] == ["poor-late"]
+    before = harness.engine.customers.by_key[next(reversed(harness.engine.customers.by_key))].local_demand
+    harness.send_request("poor-late-2", remaining_us=3 * SECOND_US, customer="poor")
+    after = harness.engine.customers.by_key[next(reversed(harness.engine.customers.by_key))].local_demand
     # It does not count as demand, so that requests within their objective keep their chance of admission.
     assert after <= before
 
 
 def test_late_retries_are_queued_last() -> None:
-    request_class = replace(SAFE, late_value=0.2)
-    world = World(replace(SETTINGS, classes=(request_class,)))
-    send_first_attempts(world, 30, 6 * S)
-    world.gateway.servers.available.clear()
-    world.ask("late", remaining_us=3 * S, customer="a")
-    world.ask("fresh", remaining_us=6 * S, customer="b")
-    queued = [request.arrival.id for request in world.gateway.queue]
+    request_class = replace(SAFE_CLASS, late_value=0.2)
+    harness = GatewayHarness(replace(SETTINGS, classes=(request_class,)))
+    send_first_attempts(harness, 30, 6 * SECOND_US)
+    harness.engine.servers.available.clear()
+    harness.send_request("late", remaining_us=3 * SECOND_US, customer="a")
+    harness.send_request("fresh", remaining_us=6 * SECOND_US, customer="b")
+    queued = [request.arrival.id for request in harness.engine.queue]
     assert queued.index("fresh") < queued.index("late")
 
 
@@ -1076,8 +1136,8 @@
         detector.record(number * 7919 % 6_000_000)
     assert len(detector.counts) <= 121 and detector.total_count <= 400
     for _ in range(400):
-        detector.record(2 * S)
-    assert detector.is_common(2 * S) and not detector.is_common(4 * S)
+        detector.record(2 * SECOND_US)
+    assert detector.is_common(2 * SECOND_US) and not detector.is_common(4 * SECOND_US)
     for _ in range(1200):
-        detector.record(4 * S)
-    assert detector.is_common(4 * S) and not detector.is_common(2 * S)
+        detector.record(4 * SECOND_US)
+    assert detector.is_common(4 * SECOND_US) and not detector.is_common(2 * SECOND_US)
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from tests.helpers import SETTINGS, S, World, of
+from tests.helpers import SECOND_US, SETTINGS, GatewayHarness, actions_of_type
 from tests.sockets import CONFIG, HOST, Backend, Client, Watch, query, run, running_gateway
 from tests.test_program import config as config_values
 from tests.test_program import write as write_config
@@ -103,40 +103,48 @@
 SETTINGS_WITH_CEILING = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
 
 
-def restored_world(age_us: int, **changes: object) -> World:
+def restored_harness(age_us: int, **changes: object) -> GatewayHarness:
     """A gateway that has restored a snapshot of that age."""
-    world = World(SETTINGS_WITH_CEILING)
-    world.tell(SnapshotFound(replace(snapshot().policy, **changes), age_us))
-    return world
+    harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    harness.handle(SnapshotFound(replace(snapshot().policy, **changes), age_us))
+    return harness
 
 
 def test_a_snapshot_holds_the_state_of_the_policy() -> None:
     # The bucket of a ceiling starts empty, so this plan has no ceiling.
-    world = World(replace(SETTINGS_WITH_CEILING, plans=(replace(PLAN, ceiling_rate=0.0),)))
+    harness = GatewayHarness(replace(SETTINGS_WITH_CEILING, plans=(replace(PLAN, ceiling_rate=0.0),)))
     for number in range(8):
-        world.ask(f"r{number}", set_size=2)
-    world.gateway.overload.set_limit(12.0)
-    ejected = world.gateway.servers_by_name["s1"]
-    ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = True, world.now + S, 2 * S
-    collected = world.gateway.snapshot()
-    ((key, customer),) = world.gateway.customers.by_key.items()
+        harness.send_request(f"r{number}", set_size=2)
+    harness.engine.overload.set_limit(12.0)
+    ejected = harness.engine.servers_by_name["s1"]
+    ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = (
+        True,
+        harness.now_us + SECOND_US,
+        2 * SECOND_US,
+    )
+    collected = harness.engine.snapshot()
+    ((key, customer),) = harness.engine.customers.by_key.items()
     (stored,) = collected.customers
     assert (stored.customer, stored.plan_index, stored.set_first, stored.set_size) == key
     assert stored.local_level == customer.local_bucket.level < 10.0
     assert stored.set_level == customer.set_level < 20.0
-    assert collected.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
+    assert collected.ejected_servers == (
+        EjectedServerSnapshot("s1", SECOND_US, 2 * SECOND_US, ejected.latency_ratio),
+    )
     assert collected.limit_per_scaled_second == pytest.approx(12.0)
 
-    next_world = World(SETTINGS_WITH_CEILING)
-    next_world.tell(SnapshotFound(collected, 500_000))
-    restored_customer = next_world.gateway.customers.by_key[key]
+    next_harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    next_harness.handle(SnapshotFound(collected, 500_000))
+    restored_customer = next_harness.engine.customers.by_key[key]
     assert (
         restored_customer.local_bucket.level <= customer.local_bucket.level + 1e-9
         and restored_customer.set_level <= customer.set_level + 1e-9
     )
-    assert next_world.gateway.servers_by_name["s1"].is_ejected
-    assert next_world.gateway.servers_by_name["s1"].avoid_until_us == next_world.now + S // 2
-    assert next_world.gateway.overload.admission_limit == 12 and next_world.gateway.incarnations.has_restarted
+    assert next_harness.engine.servers_by_name["s1"].is_ejected
+    assert next_harness.engine.servers_by_name["s1"].avoid_until_us == next_harness.now_us + SECOND_US // 2
+    assert (
+        next_harness.engine.overload.admission_limit == 12 and next_harness.engine.incarnations.has_restarted
+    )
 
 
 @pytest.mark.parametrize(
@@ -152,19 +160,19 @@
 def test_expired_parts_of_a_snapshot_are_not_used(
     age_us: int, customer_count: int, is_ejected: bool, limit: int | None
 ) -> None:
-    world = restored_world(age_us)
-    assert len(world.gateway.customers.by_key) == customer_count
-    assert world.gateway.servers_by_name["s1"].is_ejected is is_ejected
-    assert world.gateway.overload.admission_limit == limit
+    harness = restored_harness(age_us)
+    assert len(harness.engine.customers.by_key) == customer_count
+    assert harness.engine.servers_by_name["s1"].is_ejected is is_ejected
+    assert harness.engine.overload.admission_limit == limit
 
 
 def test_customers_are_not_restored_when_their_buckets_are_full_again() -> None:
-    world = World(SETTINGS_WITH_CEILING)
-    retention_us = world.gateway.customers.retention_us
-    assert retention_us >= 10 * S
+    harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    retention_us = harness.engine.customers.retention_us
+    assert retention_us >= 10 * SECOND_US
     assert (
-        restored_world(retention_us - 1).gateway.customers.by_key
-        and not restored_world(retention_us).gateway.customers.by_key
+        restored_harness(retention_us - 1).engine.customers.by_key
+        and not restored_harness(retention_us).engine.customers.by_key
     )
 
 
@@ -176,12 +184,12 @@
     ],
 )
 def test_an_invalid_customer_is_ignored(invalid: CustomerSnapshot) -> None:
-    assert not restored_world(0, customers=(invalid,)).gateway.customers.by_key
+    assert not restored_harness(0, customers=(invalid,)).engine.customers.by_key
 
 
 def test_restored_levels_never_exceed_the_burst_of_a_bucket() -> None:
-    world = restored_world(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
-    customer = world.gateway.customers.by_key[KEY]
+    harness = restored_harness(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
+    customer = harness.engine.customers.by_key[KEY]
     assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
     assert (
         customer.ceiling_bucket.level <= 40.0 * customer.ceiling_bucket.share
@@ -190,8 +198,8 @@
 
 
 def test_the_restored_state_is_logged() -> None:
-    world = World(SETTINGS_WITH_CEILING)
-    (log_line,) = of(WriteLog, world.tell(SnapshotFound(snapshot().policy, 2_500_000)))
+    harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    (log_line,) = actions_of_type(WriteLog, harness.handle(SnapshotFound(snapshot().policy, 2_500_000)))
     assert log_line.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 ejected servers, N 7.5 a second"
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.helpers import World
+from tests.helpers import GatewayHarness
 from thistletrail.gateway.config import Config, load
 from thistletrail.gateway.settings_digest import settings_digest
 from thistletrail.gateway.snapshot_file import decode_snapshot, encode_snapshot
@@ -124,11 +124,11 @@
     set_unix_time(monkeypatch, SNAPSHOT_UNIX_S)
     gateway_store = SnapshotStore(config)
     assert gateway_store.stored_snapshot is not None
-    world = World(config.settings, ())
+    harness = GatewayHarness(config.settings, ())
     servers = tuple(Server(f"s{number}", 0, 0, 0, ServerState.SERVING) for number in range(4))
-    world.tell(EndpointUpdate(EndpointUpdateKind.CACHED, 7, servers))
-    world.tell(SnapshotFound(gateway_store.stored_snapshot.policy, 0))
-    gateway = world.gateway
+    harness.handle(EndpointUpdate(EndpointUpdateKind.CACHED, 7, servers))
+    harness.handle(SnapshotFound(gateway_store.stored_snapshot.policy, 0))
+    gateway = harness.engine
     restored = [
         (
             *key,
@@ -144,7 +144,7 @@
     assert [name for name, server in gateway.servers_by_name.items() if server.is_ejected] == ["s1", "s2"]
     for ejected in EJECTED_SERVERS:
         server = gateway.servers_by_name[ejected.server]
-        assert server.avoid_until_us == world.now + ejected.half_open_after_us
+        assert server.avoid_until_us == harness.now_us + ejected.half_open_after_us
         assert (server.backoff_us, server.latency_ratio) == (ejected.backoff_us, ejected.latency_ratio)
     assert gateway.incarnations.has_restarted
     # A snapshot that is made at once has the same state, including N.
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -39,7 +39,6 @@
     # Issue on the data path, simulation, fault injection, benchmarks and tests; keys of plans stay.
     "docs/ROADMAP.md": 1,
     "docs/fault_injection.md": 3,
-    "tests/helpers.py": 1,
     "tests/test_leased_budgets.py": 3,
     "tests/test_fault_injection_checks.py": 1,
     "tests/test_fault_injection_leases.py": 12,
--- a/tests/test_work_state.py
+++ b/tests/test_work_state.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from tests.helpers import SETTINGS, S, World, copied, log_of, of, servers
+from tests.helpers import (
+    SECOND_US,
+    SETTINGS,
+    GatewayHarness,
+    actions_of_type,
+    copy_with_log,
+    current_log_path,
+    servers,
+)
 from thistletrail.gateway.config import read_work_leases
 from thistletrail.gateway.errors import ConfigError
 from thistletrail.leasing import journal as journal_module
@@ -500,9 +508,11 @@
     fixed_now_ms = now_ms()
     monkeypatch.setattr(journal_module, "now_ms", lambda: fixed_now_ms)
     sizes, states = write_history(tmp_path / "complete")
-    complete_log = log_of(tmp_path / "complete").read_bytes()
+    complete_log = current_log_path(tmp_path / "complete").read_bytes()
     for cut in range(sizes[0], len(complete_log) + 1):
-        journal = Journal(begin_term(copied(tmp_path / "complete", tmp_path / f"{cut}", complete_log[:cut])))
+        journal = Journal(
+            begin_term(copy_with_log(tmp_path / "complete", tmp_path / f"{cut}", complete_log[:cut]))
+        )
         work = journal.open(CONFIG).work
         written_count = sum(size <= cut for size in sizes)
         if cut in sizes:
@@ -573,43 +583,47 @@
 # --- the policy ---
 
 KEYED = RequestClass(
-    latency_objective_us=2 * S,
-    deadline_us=6 * S,
+    latency_objective_us=2 * SECOND_US,
+    deadline_us=6 * SECOND_US,
     effect=Effect.IDEMPOTENT_BY_KEY,
     idempotency_scope=IdempotencyScope.ZONE,
-    idempotency_window_us=8 * S,
+    idempotency_window_us=8 * SECOND_US,
 )
-UNSAFE = RequestClass(latency_objective_us=2 * S, deadline_us=6 * S, effect=Effect.UNSAFE)
+UNSAFE = RequestClass(latency_objective_us=2 * SECOND_US, deadline_us=6 * SECOND_US, effect=Effect.UNSAFE)
 SMALL_PLAN = Plan(rate=0.01, burst=1.0)
 WORK_SETTINGS = replace(SETTINGS, classes=(KEYED, UNSAFE), plans=(SMALL_PLAN,))
 
 
 def test_taken_over_work_costs_no_units_and_stays_in_its_zone() -> None:
-    world = World(WORK_SETTINGS, servers(8))
-    assert of(StartAttempt, world.ask("own"))  # uses up the quota
+    harness = GatewayHarness(WORK_SETTINGS, servers(8))
+    assert actions_of_type(StartAttempt, harness.send_request("own"))  # uses up the quota
     for number in range(20):
-        (sent,) = of(StartAttempt, world.ask(f"in-{number}", is_taken_over=True, ran_on_server="s3"))
+        (sent,) = actions_of_type(
+            StartAttempt, harness.send_request(f"in-{number}", is_taken_over=True, ran_on_server="s3")
+        )
         assert int(sent.server[1:]) % 2 == 1  # in zone 1, as s3
     # Another attempt after one that never ran stays in the zone too.
-    sends = of(StartAttempt, world.answer("in-0", AttemptResult.CONNECT_FAILED))
+    sends = actions_of_type(StartAttempt, harness.complete_attempt("in-0", AttemptResult.CONNECT_FAILED))
     assert all(int(sent.server[1:]) % 2 == 1 for sent in sends)
-    assert of(StartAttempt, world.ask("free", is_taken_over=True))
+    assert actions_of_type(StartAttempt, harness.send_request("free", is_taken_over=True))
 
 
 def test_taken_over_unsafe_work_that_may_have_run_fails() -> None:
-    world = World(WORK_SETTINGS)
-    assert of(FailRequest, world.ask("a", is_taken_over=True, ran_on_server="s1", class_index=1))
-    assert of(StartAttempt, world.ask("b", is_taken_over=True, class_index=1))
+    harness = GatewayHarness(WORK_SETTINGS)
+    assert actions_of_type(
+        FailRequest, harness.send_request("a", is_taken_over=True, ran_on_server="s1", class_index=1)
+    )
+    assert actions_of_type(StartAttempt, harness.send_request("b", is_taken_over=True, class_index=1))
 
 
 def test_work_owned_elsewhere_returns_its_units_and_counts_no_failure() -> None:
-    world = World(WORK_SETTINGS)
-    assert of(StartAttempt, world.ask("a"))
-    server, sent, _ = world.out.pop(("a", 0))
-    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OWNED_ELSEWHERE, world.now - sent))
-    assert "a" not in world.gateway.requests_by_id and not world.gateway.servers_by_name[server].failures
-    assert of(StartAttempt, world.ask("b"))  # the quota is unchanged
-    assert not of(StartAttempt, world.ask("c"))
+    harness = GatewayHarness(WORK_SETTINGS)
+    assert actions_of_type(StartAttempt, harness.send_request("a"))
+    server, sent, _ = harness.in_flight.pop(("a", 0))
+    harness.handle(AttemptEnded("a", True, 0, server, AttemptResult.OWNED_ELSEWHERE, harness.now_us - sent))
+    assert "a" not in harness.engine.requests_by_id and not harness.engine.servers_by_name[server].failures
+    assert actions_of_type(StartAttempt, harness.send_request("b"))  # the quota is unchanged
+    assert not actions_of_type(StartAttempt, harness.send_request("c"))
 
 
 # --- the configuration ---
