--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.sockets import HOST, Backend, refusing_address, resp, run, value
+from tests.sockets import HOST, StubScanServer, encode_command, refusing_address, run_scenario, value_response
 from thistletrail.gateway import backends
 from thistletrail.gateway.backends import Attempt, Backends, outcome_of
 from thistletrail.gateway.config import Address
@@ -31,7 +31,7 @@
         self.backends.update({"s": ServerState.SERVING}, {"s": address}, is_full=True)
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
-    def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
+    def send(self, payload: bytes = encode_command("PING"), timeout_us: int = 5 * S) -> Attempt:
         attempt = Attempt(
             "a", 0, "s", lambda remaining_us: payload, lambda _, *outcome: self.ended.put_nowait(outcome)
         )
@@ -41,7 +41,7 @@
     async def result(self) -> AttemptResult:
         return (await self.ended.get())[0]
 
-    async def send_and_time_out(self, payload: bytes = resp("PING")) -> AttemptResult:
+    async def send_and_time_out(self, payload: bytes = encode_command("PING")) -> AttemptResult:
         """The result of an attempt that times out 50 ms after its writing has begun."""
         attempt = self.send(payload)
         while not (attempt.written_us or attempt.is_over):
@@ -64,50 +64,50 @@
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
-        await backend.received(2)
-        assert backend.opened == 2
+        await backend.wait_for_commands(2)
+        assert backend.opened_connections == 2
         for writer in backend.writers:
-            writer.write(value(b"x"))
+            writer.write(value_response(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
-        backend.answer = lambda arguments: value(b"y")
+        backend.respond = lambda arguments: value_response(b"y")
         for _ in range(5):
             sender.send()
             assert await sender.result() is AttemptResult.SUCCESS
-        assert backend.opened == 2
+        assert backend.opened_connections == 2
         sender.backends.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_cancelled_attempt_closes_its_connection() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.left.wait()  # its late answer must not answer the next command
-        backend.answer = lambda arguments: value(b"fresh")
+        await backend.connection_closed.wait()  # its late answer must not answer the next command
+        backend.respond = lambda arguments: value_response(b"fresh")
         sender.send()
         assert (await sender.ended.get())[1] == b"fresh"
         assert sender.ended.empty()
         sender.backends.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_reset_after_the_last_byte_means_that_the_attempt_may_have_run() -> None:
     async def scenario() -> None:
-        sender = Sender(await Backend(lambda arguments: b"").start())
+        sender = Sender(await StubScanServer(lambda arguments: b"").start())
         sender.send()
         assert await sender.result() is AttemptResult.RESET
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_silence_after_the_last_byte_is_a_timeout() -> None:
@@ -115,7 +115,7 @@
         async with unresponsive_machine() as (address, _):
             assert await Sender(address).send_and_time_out() is AttemptResult.TIMEOUT
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_that_fails_before_the_last_byte_never_ran() -> None:
@@ -134,7 +134,7 @@
             accepted.close()  # with bytes unread: a reset
             assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_that_ends_at_once_is_reported_as_failed() -> None:
@@ -150,7 +150,7 @@
                 AttemptResult.RESET,
             )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connect_without_an_answer_fails_after_its_timeout() -> None:
@@ -167,7 +167,7 @@
             sender.send(timeout_us=60 * S)
             assert await asyncio.wait_for(sender.result(), 20) is AttemptResult.CONNECT_FAILED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_established_as_its_timeout_passes_is_not_used(
@@ -186,7 +186,7 @@
             timeouts[-1].reschedule(0)
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         sender = Sender(await backend.start())
         sender.backends.connection_class = Crossing
         monkeypatch.setattr(asyncio, "timeout", recorded_timeout)
@@ -195,20 +195,20 @@
         assert sender.backends.connection_count() == 0 and not backend.commands
         assert sender.backends.pools["s"].connecting == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connection_is_closed_before_the_server_closes_it() -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         sender = Sender(await backend.start(), idle_us=200_000)
         sender.backends.sweep()
         sender.send()
         assert await sender.result() is AttemptResult.SUCCESS
-        await backend.left.wait()
+        await backend.connection_closed.wait()
         assert sender.backends.connection_count() == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_timeout_or_reset_closes_the_idle_connections_to_a_server() -> None:
@@ -216,25 +216,25 @@
 
     async def scenario() -> None:
         for broken in (None, b""):
-            backend = Backend(lambda arguments: None)
+            backend = StubScanServer(lambda arguments: None)
             sender = Sender(await backend.start())
             sender.send()
             sender.send()
-            await backend.received(2)
+            await backend.wait_for_commands(2)
             for writer in backend.writers:
-                writer.write(value(b"x"))
+                writer.write(value_response(b"x"))
             assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
             assert len(sender.backends.pools["s"].idle) == 2
-            backend.answer = lambda arguments, broken=broken: broken
+            backend.respond = lambda arguments, broken=broken: broken
             assert await sender.send_and_time_out() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
             assert sender.backends.pools["s"].idle == []
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_are_bounded_over_all_servers() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start(), max_connections=2)
         first = sender.send()
         sender.send()
@@ -243,26 +243,26 @@
         assert sender.backends.connection_count() == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.came.wait()
+        await backend.command_received.wait()
         sender.backends.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_removed_server_completes_its_attempt_and_loses_its_idle_connections() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         sender.backends.update({}, {}, is_full=True)
-        backend.writers[0].write(value(b"x"))
+        backend.writers[0].write(value_response(b"x"))
         assert await sender.result() is AttemptResult.SUCCESS
-        await backend.left.wait()
+        await backend.connection_closed.wait()
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 MALFORMED_ANSWERS = [
@@ -294,54 +294,56 @@
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
-        await backend.received(2)
+        await backend.wait_for_commands(2)
         for writer in backend.writers:
-            writer.write(value(b"x"))
+            writer.write(value_response(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
-        backend.answer = lambda arguments: answer
+        backend.respond = lambda arguments: answer
         sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
-        await backend.left.wait()
+        await backend.connection_closed.wait()
         assert len(sender.backends.pools["s"].idle) == 1
-        backend.answer = lambda arguments: value(b"good")
+        backend.respond = lambda arguments: value_response(b"good")
         sender.send()
         assert await sender.ended.get() == (AttemptResult.SUCCESS, b"good", None)
-        assert backend.opened == 2
+        assert backend.opened_connections == 2
         sender.backends.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_bytes_behind_an_answer_never_answer_the_next_request() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
-        await backend.came.wait()
-        backend.writers[0].write(value(b"first"))
+        await backend.command_received.wait()
+        backend.writers[0].write(value_response(b"first"))
         assert (await sender.ended.get())[1] == b"first"
-        backend.answer = lambda arguments: value(b"second")
+        backend.respond = lambda arguments: value_response(b"second")
         sender.send()  # at once: the connection may not be reused yet
         assert (await sender.ended.get())[1] == b"second"
-        assert backend.opened == 2
+        assert backend.opened_connections == 2
         for connection in sender.backends.pools["s"].idle:
             connection.idle_since_us = 0
         # Both may be reused by now, and get unread bytes, which are found although the loop does not run
         # in between.
         for writer in backend.writers:
             writer.transport.get_extra_info("socket")  # still open
-            socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())).send(value(b"copy"))
-        backend.answer = lambda arguments: value(b"third")
+            socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())).send(
+                value_response(b"copy")
+            )
+        backend.respond = lambda arguments: value_response(b"third")
         sender.send()
         assert (await sender.ended.get())[1] == b"third"
-        assert backend.opened == 3
+        assert backend.opened_connections == 3
         sender.backends.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_before_the_last_byte_of_the_request_is_not_its_value() -> None:
@@ -352,10 +354,10 @@
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             with accepted:
-                accepted.send(value(b"of another"))
+                accepted.send(value_response(b"of another"))
                 assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.GONE, ServerState.DRAINING])
@@ -373,71 +375,71 @@
             assert await asyncio.get_running_loop().sock_recv(accepted, 100) == b""
             accepted.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_draining_server_gets_no_new_attempts() -> None:
     """The policy may have selected it just before the endpoint list said so."""
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         address = await backend.start()
         sender = Sender(address)
         sender.backends.update({"s": ServerState.DRAINING}, {"s": address}, is_full=False)
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        assert not sender.backends.connection_count() and not backend.opened
+        assert not sender.backends.connection_count() and not backend.opened_connections
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_of_a_cancelled_attempt_is_closed_before_the_callback() -> None:
     """The callback may start a further attempt at once, and two may not be in flight."""
 
     async def scenario() -> None:
-        backend, counts = Backend(lambda arguments: None), []
+        backend, counts = StubScanServer(lambda arguments: None), []
         sender = Sender(await backend.start())
         attempt = sender.send()
         attempt.on_ended = lambda *_: counts.append(sender.backends.connection_count())
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         attempt.cancel()
-        await backend.left.wait()
+        await backend.connection_closed.wait()
         assert counts == [0]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_long_answers_pass_and_incomplete_answers_are_bounded_in_total() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: value(b"x" * 213_035))
+        backend = StubScanServer(lambda arguments: value_response(b"x" * 213_035))
         sender = Sender(await backend.start())
         sender.send()
         assert await sender.ended.get() == (AttemptResult.SUCCESS, b"x" * 213_035, None)
-        backend.answer = lambda arguments: value(b"x" * 213_035)[:150_000]
+        backend.respond = lambda arguments: value_response(b"x" * 213_035)[:150_000]
         sender.backends.max_partial_answer_bytes = 400_000
         for _ in range(3):
             sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
         assert sender.backends.partial_answer_bytes <= 400_000
         sender.backends.close()
-        await backend.left.wait()
+        await backend.connection_closed.wait()
         while sender.backends.connection_count():
             await asyncio.sleep(0.01)
         assert sender.backends.partial_answer_bytes == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_count_follows_the_open_sockets() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         assert sender.backends.connection_count() == 1  # the event loop closes the socket in a later turn
-        await backend.left.wait()
+        await backend.connection_closed.wait()
         assert sender.backends.connection_count() == 0
         sender.backends.update({"s": ServerState.SERVING}, {"s": refusing_address()}, is_full=True)
         sender.send()
@@ -445,7 +447,7 @@
         assert await sender.result() is AttemptResult.CONNECT_FAILED
         assert sender.backends.connection_count() == 0 and sender.backends.pools["s"].connecting == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connections_are_no_longer_reused_after_resets(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -454,10 +456,12 @@
     monkeypatch.setattr(backends, "now_us", lambda: 0)  # all are in one idle class, however busy the machine
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         # The second command on a connection resets it.
-        backend.answer = lambda arguments: (
-            b"" if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1 else value(b"ok")
+        backend.respond = lambda arguments: (
+            b""
+            if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1
+            else value_response(b"ok")
         )
         sender = Sender(await backend.start())
         results = []
@@ -473,7 +477,7 @@
         assert sender.backends.reuse_limit.idle_class_limit == backends.IDLE_CLASSES
         sender.backends.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_resets_as_frequent_on_new_connections_do_not_limit_reuse() -> None:
@@ -507,7 +511,7 @@
     answers: list[tuple[bytes, bytes | None]], cuts: list[int]
 ) -> None:
     data = b"".join(
-        value(body, b"$-1\r\n" if report is None else b"$%d\r\n%b\r\n" % (len(report), report))
+        value_response(body, b"$-1\r\n" if report is None else b"$%d\r\n%b\r\n" % (len(report), report))
         for body, report in answers
     )
     assert parse_split(data, cuts) == [Answer(body, report=report) for body, report in answers]
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.sockets import run
+from tests.sockets import run_scenario
 from thistletrail.benchmarks import cost
 from thistletrail.benchmarks.__main__ import main
 from thistletrail.benchmarks.errors import BenchError
@@ -96,7 +96,7 @@
             owner.close()
             await owner.wait_closed()
 
-    run(job())
+    run_scenario(job())
 
 
 def test_front_door_that_does_not_start_is_one_plain_line(
@@ -118,7 +118,7 @@
         text = cost.cost_table([found])
         assert text.splitlines()[1].split()[:2] == ["steady", "60"] and "by stage" in text
 
-    run(job())
+    run_scenario(job())
 
 
 def test_plays_of_one_seed_ask_the_same() -> None:
@@ -144,7 +144,7 @@
             await task
         assert gone(pid)
 
-    run(job())
+    run_scenario(job())
 
 
 def test_front_door_that_dies_ends_the_play(tmp_path: Path) -> None:
@@ -158,7 +158,7 @@
             with pytest.raises(BenchError, match="has ended"):
                 process.descriptors()
 
-    run(job())
+    run_scenario(job())
 
 
 @pytest.mark.skipif(not PROC.is_dir(), reason="this system lists no children of a process")
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -13,7 +13,16 @@
 import uvloop
 
 from tests.helpers import MILLISECOND_US, PLAN, SECOND_US, SETTINGS, GatewayHarness, servers
-from tests.sockets import PATIENT, PATIENT_MS, Backend, Client, query, run, running_gateway, value
+from tests.sockets import (
+    LONG_TIMEOUT_MS,
+    LONG_TIMEOUT_SETTINGS,
+    RespClient,
+    StubScanServer,
+    query_command,
+    run_scenario,
+    running_gateway,
+    value_response,
+)
 from thistletrail.gateway import backends
 from thistletrail.gateway.backends import Attempt
 from thistletrail.gateway.exchange import Exchange
@@ -53,17 +62,22 @@
     count = 200
 
     async def scenario() -> None:
-        async with running_gateway(Backend(), sockets=512, settings=PATIENT) as (_, address):
+        async with running_gateway(StubScanServer(), sockets=512, settings=LONG_TIMEOUT_SETTINGS) as (
+            _,
+            address,
+        ):
             # What the first requests allocate once for all is not counted.
             for number in range(20):
-                await (await Client.open(address)).ask(query(f"w{number}", wait_ms=PATIENT_MS))
+                await (await RespClient.connect(address)).request(
+                    query_command(f"w{number}", wait_ms=LONG_TIMEOUT_MS)
+                )
             measure = allocated_bytes("thistletrail/gateway/clients.py")
-            clients = [await Client.open(address) for _ in range(count)]
+            clients = [await RespClient.connect(address) for _ in range(count)]
             for number, client in enumerate(clients):
-                assert await client.ask(query(f"a{number}", wait_ms=PATIENT_MS)) == b"ok"
+                assert await client.request(query_command(f"a{number}", wait_ms=LONG_TIMEOUT_MS)) == b"ok"
             assert 0 < measure() / count < MAX_IDLE_CONNECTION_BYTES
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def serve_customers(harness: GatewayHarness, start: int, count: int) -> None:
@@ -117,20 +131,22 @@
 
     async def scenario() -> None:
         def answer(arguments: list[bytes]) -> bytes | None:
-            return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(arguments[2][:1], value(b"ok"))
+            return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(
+                arguments[2][:1], value_response(b"ok")
+            )
 
-        backend = Backend(answer)
+        backend = StubScanServer(answer)
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            assert await client.ask(query("a0")) == b"ok"
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("a0")) == b"ok"
             before = asyncio.all_tasks()
             for number in range(20):
-                assert await client.ask(query(f"a{number + 1}")) == b"ok"
-            assert str(await client.ask(query("b1"))).startswith("-")
-            assert str(await client.ask(query("c1"))).startswith("-")
-            leaving = await Client.open(address)
-            leaving.send(query("z1"))
-            await backend.received(1, b"z1")
+                assert await client.request(query_command(f"a{number + 1}")) == b"ok"
+            assert str(await client.request(query_command("b1"))).startswith("-")
+            assert str(await client.request(query_command("c1"))).startswith("-")
+            leaving = await RespClient.connect(address)
+            leaving.send(query_command("z1"))
+            await backend.wait_for_commands(1, b"z1")
             leaving.writer.close()
             while (
                 gateway.exchanges.unanswered
@@ -146,7 +162,7 @@
             assert not gateway_tasks
             assert not live_objects(Exchange, Attempt, PendingRequest)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("at_once", "rounds"), [(1, 40), (8, 5)])
@@ -157,18 +173,18 @@
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (gateway, address):
-            clients = [await Client.open(address) for _ in range(at_once)]
+            clients = [await RespClient.connect(address) for _ in range(at_once)]
             for turn in range(rounds):
                 for number, client in enumerate(clients):
-                    client.send(query(f"a{turn}x{number}"))
-                assert [await client.answer() for client in clients] == [b"ok"] * at_once
+                    client.send(query_command(f"a{turn}x{number}"))
+                assert [await client.read_reply() for client in clients] == [b"ok"] * at_once
             assert gateway.costs.requests == at_once * rounds
-            assert gateway.costs.handshakes == backend.opened <= at_once
+            assert gateway.costs.handshakes == backend.opened_connections <= at_once
             assert gateway.backends.connection_count() <= at_once and gateway.clients.sockets == at_once
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_start_does_not_import_large_modules_with_little_use() -> None:
@@ -187,7 +203,7 @@
     """An idle policy waits for the end of its period; a request sets an earlier timer, which replaces it."""
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, _):
+        async with running_gateway(StubScanServer()) as (gateway, _):
             for _ in range(10):
                 gateway.driver.set_timer(SetTimer(900 * MILLISECOND_US, 0))
                 gateway.driver.set_timer(SetTimer(500 * MILLISECOND_US, 0))
@@ -202,4 +218,4 @@
             gateway.driver.set_timer(SetTimer(0, 0))
             assert fired == [TimerFired(0)] and not gateway.driver.timers
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,15 +12,15 @@
 from tests.sockets import (
     CONFIG,
     CUSTOMER,
-    PATIENT,
-    PATIENT_MS,
-    Backend,
-    Client,
-    query,
-    resp,
-    run,
+    LONG_TIMEOUT_MS,
+    LONG_TIMEOUT_SETTINGS,
+    RespClient,
+    StubScanServer,
+    encode_command,
+    query_command,
+    run_scenario,
     running_gateway,
-    value,
+    value_response,
 )
 from thistletrail.gateway import clients
 from thistletrail.gateway.clients import CommandError, CommandParser
@@ -32,17 +32,21 @@
 
 def test_answers_are_sent_in_the_order_of_the_commands() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None if arguments[2] == b"a1" else value(arguments[2]))
+        backend = StubScanServer(
+            lambda arguments: None if arguments[2] == b"a1" else value_response(arguments[2])
+        )
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            client.send(query("a1") + resp("PING") + query("a2") + resp("WHAT"))
-            await backend.received(2)
+            client = await RespClient.connect(address)
+            client.send(
+                query_command("a1") + encode_command("PING") + query_command("a2") + encode_command("WHAT")
+            )
+            await backend.wait_for_commands(2)
             slow = next(index for index, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
-            backend.writers[slow].write(value(b"a1"))
-            answers = [await client.answer() for _ in range(4)]
+            backend.writers[slow].write(value_response(b"a1"))
+            answers = [await client.read_reply() for _ in range(4)]
             assert answers == [b"a1", b"PONG", b"a2", "-ERR unknown command"]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -66,16 +70,16 @@
 )
 def test_malformed_resp_gets_an_error_and_closes_the_connection(data: bytes) -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert str(await client.ask(data)).startswith("-ERR Protocol error")
-            assert await client.ended()
-            other = await Client.open(address)
-            assert await other.ask(query("a1")) == b"ok"
+            client = await RespClient.connect(address)
+            assert str(await client.request(data)).startswith("-ERR Protocol error")
+            assert await client.closed_without_reply()
+            other = await RespClient.connect(address)
+            assert await other.request(query_command("a1")) == b"ok"
             assert len(backend.commands) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 FIELDS = "c=read,t=team,d=500"
@@ -123,14 +127,14 @@
 )
 def test_invalid_command_gets_an_error_and_the_connection_stays_open(arguments: tuple[str, ...]) -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert str(await client.ask(resp(*arguments))).startswith("-ERR ")
-            assert await client.ask(resp("PING")) == b"PONG"
+            client = await RespClient.connect(address)
+            assert str(await client.request(encode_command(*arguments))).startswith("-ERR ")
+            assert await client.request(encode_command("PING")) == b"PONG"
             assert backend.commands == []
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_full_gateway_evicts_the_least_active_connections_first(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -141,37 +145,37 @@
 
     async def scenario() -> None:
         is_silent = asyncio.Event()
-        backend = Backend(lambda arguments: None if is_silent.is_set() else value(b"ok"))
+        backend = StubScanServer(lambda arguments: None if is_silent.is_set() else value_response(b"ok"))
         async with running_gateway(backend) as (gateway, address):
             gateway.clients.max_sockets = 3
-            first, second = await Client.open(address), await Client.open(address)
-            assert await first.ask(query("a")) == b"ok"
-            assert await second.ask(query("b")) == b"ok"
-            silent = await Client.open(address)
-            pinging = await Client.open(address)
-            assert await silent.ended()
-            assert await pinging.ask(resp("PING")) == b"PONG"
-            third = await Client.open(address)
-            assert await pinging.ended()
-            assert await third.ask(query("c")) == b"ok"
-            early = await Client.open(address)  # the others have not been idle for long enough
-            assert await early.answer() == "-ERR max number of clients reached"
-            assert await early.ended()
+            first, second = await RespClient.connect(address), await RespClient.connect(address)
+            assert await first.request(query_command("a")) == b"ok"
+            assert await second.request(query_command("b")) == b"ok"
+            silent = await RespClient.connect(address)
+            pinging = await RespClient.connect(address)
+            assert await silent.closed_without_reply()
+            assert await pinging.request(encode_command("PING")) == b"PONG"
+            third = await RespClient.connect(address)
+            assert await pinging.closed_without_reply()
+            assert await third.request(query_command("c")) == b"ok"
+            early = await RespClient.connect(address)  # the others have not been idle for long enough
+            assert await early.read_reply() == "-ERR max number of clients reached"
+            assert await early.closed_without_reply()
             for connection in gateway.clients.eviction_candidates[clients.State.IDLE]:
                 connection.state_since_us -= clients.MIN_IDLE_US
-            fourth = await Client.open(address)
-            assert await fourth.ask(resp("PING")) == b"PONG"
-            assert await first.ended()
+            fourth = await RespClient.connect(address)
+            assert await fourth.request(encode_command("PING")) == b"PONG"
+            assert await first.closed_without_reply()
             is_silent.set()
             for number, client in enumerate((second, third, fourth)):
-                client.send(query(f"a{number}"))
+                client.send(query_command(f"a{number}"))
             while len(gateway.exchanges.unanswered) < 3:
                 await asyncio.sleep(0)
-            late = await Client.open(address)  # no client is idle
-            assert await late.answer() == "-ERR max number of clients reached"
-            assert await late.ended()
+            late = await RespClient.connect(address)  # no client is idle
+            assert await late.read_reply() == "-ERR max number of clients reached"
+            assert await late.closed_without_reply()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_burst_of_connections_stays_within_the_bound() -> None:
@@ -194,11 +198,11 @@
                     burst = stack.enter_context(socket.socket())
                     burst.setblocking(False)
                     burst.connect_ex(address)
-                client = await Client.open(address)
-                assert await client.ask(resp("PING")) == b"PONG"
+                client = await RespClient.connect(address)
+                assert await client.request(encode_command("PING")) == b"PONG"
             assert 20 <= max_seen <= 21
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 TEST_TIMEOUT_US = 500_000  # short, but longer than a slow machine takes to answer
@@ -224,9 +228,9 @@
     [
         ("FIRST_COMMAND_TIMEOUT_US", b"", 0),
         ("FIRST_COMMAND_TIMEOUT_US", b"*4\r\n$9\r\nSVC.", 0),
-        ("FIRST_COMMAND_TIMEOUT_US", resp("WHAT"), 1),
-        ("PARTIAL_COMMAND_TIMEOUT_US", resp("PING") + b"*4\r\n$9\r\nSVC.", 1),
-        ("IDLE_TIMEOUT_US", resp("PING"), 1),
+        ("FIRST_COMMAND_TIMEOUT_US", encode_command("WHAT"), 1),
+        ("PARTIAL_COMMAND_TIMEOUT_US", encode_command("PING") + b"*4\r\n$9\r\nSVC.", 1),
+        ("IDLE_TIMEOUT_US", encode_command("PING"), 1),
     ],
 )
 def test_connection_ends_after_the_timeout_of_its_state(
@@ -236,17 +240,17 @@
 
     async def scenario() -> None:
         async with running_gateway() as (_, address):
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             client.send(data)
             for _ in range(answers):
-                await client.answer()
+                await client.read_reply()
             if name == "IDLE_TIMEOUT_US":
-                assert await client.ended()
+                assert await client.closed_without_reply()
             else:
-                assert await client.answer() == "-ERR timed out"
-                assert await client.ended()
+                assert await client.read_reply() == "-ERR timed out"
+                assert await client.closed_without_reply()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_timeouts_are_within_the_limits_of_the_protocol() -> None:
@@ -262,7 +266,10 @@
 
     async def scenario() -> None:
         body = b"x" * 65536
-        async with running_gateway(Backend(lambda arguments: value(body))) as (gateway, address):
+        async with running_gateway(StubScanServer(lambda arguments: value_response(body))) as (
+            gateway,
+            address,
+        ):
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 deaf.connect(address)
@@ -270,12 +277,12 @@
                 loop = asyncio.get_running_loop()
                 with contextlib.suppress(OSError):
                     for number in range(200):
-                        await loop.sock_sendall(deaf, query(f"a{number}"))
+                        await loop.sock_sendall(deaf, query_command(f"a{number}"))
                 while not gateway.clients.connections:
                     await asyncio.sleep(0)
                 assert await gateway.clients.wait_closed(20)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_close_is_bounded_when_the_client_reads_nothing_and_goes_on_sending(
@@ -285,16 +292,16 @@
 
     async def scenario() -> None:
         async with running_gateway() as (gateway, address):
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             client.send(b"*1\r\n$60000000\r\n" + b"x" * (4 << 20))
-            assert await client.answer() == "-ERR Protocol error: too long"
+            assert await client.read_reply() == "-ERR Protocol error: too long"
             (connection,) = gateway.clients.connections
             read = len(connection.reader.buffer)
-            assert await client.ended()
+            assert await client.closed_without_reply()
             assert read <= clients.READ_BUFFER_BYTES  # nothing was read after the malformed length
             assert await gateway.clients.wait_closed(20)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_buffered_bytes_are_bounded_over_all_clients(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -303,38 +310,47 @@
     async def scenario() -> None:
         async with running_gateway() as (gateway, address):
             gateway.clients.max_buffered_bytes = 100_000
-            small = await Client.open(address)
-            assert await small.ask(resp("PING")) == b"PONG"
-            large = [await Client.open(address) for _ in range(2)]
+            small = await RespClient.connect(address)
+            assert await small.request(encode_command("PING")) == b"PONG"
+            large = [await RespClient.connect(address) for _ in range(2)]
             for client in large:
                 client.send(b"*1\r\n$60000\r\n" + b"x" * 59_000)
             while len(gateway.clients.connections) == 3:
                 await asyncio.sleep(0)
             assert len(gateway.clients.connections) == 2
-            assert await small.ask(resp("PING")) == b"PONG"
+            assert await small.request(encode_command("PING")) == b"PONG"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_unanswered_requests_are_bounded_by_the_memory_limit() -> None:
     async def scenario() -> None:
-        backends = [Backend(lambda arguments: None) for _ in range(64 // IN_FLIGHT_PER_SERVER + 1)]
-        async with running_gateway(*backends, memory_mb=1, settings=PATIENT) as (gateway, address):
+        backends = [StubScanServer(lambda arguments: None) for _ in range(64 // IN_FLIGHT_PER_SERVER + 1)]
+        async with running_gateway(*backends, memory_mb=1, settings=LONG_TIMEOUT_SETTINGS) as (
+            gateway,
+            address,
+        ):
             for number in range(4):
-                client = await Client.open(address)
-                client.send(b"".join(query(f"a{number}x{other}", wait_ms=PATIENT_MS) for other in range(16)))
-            last = await Client.open(address)
+                client = await RespClient.connect(address)
+                client.send(
+                    b"".join(
+                        query_command(f"a{number}x{other}", wait_ms=LONG_TIMEOUT_MS) for other in range(16)
+                    )
+                )
+            last = await RespClient.connect(address)
             while len(gateway.exchanges.unanswered) < 30:
                 await asyncio.sleep(0)
             too_many = "-ERR too many requests are open"
             while (
-                answer := await last.ask(query(f"b{len(gateway.exchanges.unanswered)}", wait_ms=10))
+                answer := await last.request(
+                    query_command(f"b{len(gateway.exchanges.unanswered)}", wait_ms=10)
+                )
             ) != too_many:
                 # Its deadline had passed, before it was read or later.
                 assert answer in ("-BUSY 750", "-ERR failed")
             assert gateway.exchanges.buffered_bytes < (1 << 20) // 8 + 5000
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_hundreds_of_commands_at_once_are_bounded_and_served_in_order() -> None:
@@ -344,53 +360,53 @@
         def answer(arguments: list[bytes]) -> bytes:
             nonlocal max_unanswered
             max_unanswered = max(max_unanswered, len(gateway.exchanges.unanswered))
-            return value(arguments[2])
+            return value_response(arguments[2])
 
-        backends = [Backend(answer) for _ in range(clients.MAX_PIPELINED // IN_FLIGHT_PER_SERVER + 1)]
-        async with running_gateway(*backends, settings=PATIENT) as (gateway, address):
-            client = await Client.open(address)
+        backends = [StubScanServer(answer) for _ in range(clients.MAX_PIPELINED // IN_FLIGHT_PER_SERVER + 1)]
+        async with running_gateway(*backends, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
+            client = await RespClient.connect(address)
             names = [f"a{number}" for number in range(300)]
-            queries = b"".join(query(name, wait_ms=PATIENT_MS) for name in names)
-            client.send(queries + resp("PING") * 300)
-            assert [await client.answer() for _ in names] == [name.encode() for name in names]
-            assert [await client.answer() for _ in names] == [b"PONG"] * 300
+            queries = b"".join(query_command(name, wait_ms=LONG_TIMEOUT_MS) for name in names)
+            client.send(queries + encode_command("PING") * 300)
+            assert [await client.read_reply() for _ in names] == [name.encode() for name in names]
+            assert [await client.read_reply() for _ in names] == [b"PONG"] * 300
             assert 1 < max_unanswered <= clients.MAX_PIPELINED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_consecutive_invalid_commands_end_the_connection() -> None:
     async def scenario() -> None:
         async with running_gateway() as (_, address):
-            client = await Client.open(address)
-            client.send(resp("WHAT") * 1000)
+            client = await RespClient.connect(address)
+            client.send(encode_command("WHAT") * 1000)
             for _ in range(clients.MAX_CONSECUTIVE_ERRORS):
-                assert await client.answer() == "-ERR unknown command"
-            assert await client.answer() == "-ERR too many wrong commands"
-            assert await client.ended()
+                assert await client.read_reply() == "-ERR unknown command"
+            assert await client.read_reply() == "-ERR too many wrong commands"
+            assert await client.closed_without_reply()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_internal_error_on_a_connection_still_answers_every_command(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(query("a1"))
-            await backend.came.wait()
+            client = await RespClient.connect(address)
+            client.send(query_command("a1"))
+            await backend.command_received.wait()
 
             def failing(arguments: list[bytes], reply: object) -> None:
                 raise RuntimeError("an internal fault")
 
             gateway.clients.on_command = failing
-            client.send(query("a2"))
-            answers = [await client.answer() for _ in range(3)]
+            client.send(query_command("a2"))
+            answers = [await client.read_reply() for _ in range(3)]
             assert answers == ["-ERR failed", "-ERR failed", "-ERR internal error"]
-            assert await client.ended()
+            assert await client.closed_without_reply()
             assert not gateway.exchanges.unanswered
 
-    run(scenario())
+    run_scenario(scenario())
     assert "an internal fault" in caplog.text
 
 
@@ -401,7 +417,7 @@
 def test_commands_are_the_same_however_the_bytes_are_split(
     commands: list[list[bytes]], cuts: list[int]
 ) -> None:
-    data = b"".join(resp(*arguments) for arguments in commands)
+    data = b"".join(encode_command(*arguments) for arguments in commands)
     reader = CommandReader()
     received = []
     offsets = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -8,7 +8,15 @@
 
 import pytest
 
-from tests.sockets import Backend, Client, query, refusing_address, run, running_gateway, value
+from tests.sockets import (
+    RespClient,
+    StubScanServer,
+    query_command,
+    refusing_address,
+    run_scenario,
+    running_gateway,
+    value_response,
+)
 from tests.test_program import config, start, write
 from thistletrail.gateway import backends
 from thistletrail.gateway import cost_counters as costs
@@ -34,45 +42,46 @@
 
     async def scenario() -> None:
         def answer(arguments: list[bytes]) -> bytes | None:
-            return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(arguments[2], value(b"ok"))
+            return {b"b1": b"-ERR failed\r\n", b"z1": None}.get(arguments[2], value_response(b"ok"))
 
-        backend = Backend(answer)
+        backend = StubScanServer(answer)
         async with running_gateway(backend) as (gateway_server, address):
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             for number in range(20):
-                assert await client.ask(query(f"a{number}")) == b"ok"
-            assert await client.ask(b"*1\r\n$4\r\nPING\r\n") == b"PONG"
-            assert str(await client.ask(query("a!"))).startswith("-ERR")
-            assert await client.ask(query("b1")) == "-BUSY 750"  # an idempotent class without attempts left
-            leaving = await Client.open(address)
-            leaving.send(query("z1"))
-            await backend.received(1, b"z1")
+                assert await client.request(query_command(f"a{number}")) == b"ok"
+            assert await client.request(b"*1\r\n$4\r\nPING\r\n") == b"PONG"
+            assert str(await client.request(query_command("a!"))).startswith("-ERR")
+            # An idempotent class without attempts left.
+            assert await client.request(query_command("b1")) == "-BUSY 750"
+            leaving = await RespClient.connect(address)
+            leaving.send(query_command("z1"))
+            await backend.wait_for_commands(1, b"z1")
             leaving.writer.close()
             while not (figures := read_figures(gateway_server))["gone"]:
                 await asyncio.sleep(0.001)
             assert [figures[key] for key in ("requests", "served", "refused", "failed")] == [22, 20, 1, 0]
             assert figures["accepted"] == 2 and figures["pings"] == 1 and figures["wrong_commands"] == 1
             assert figures["attempts"] == len(backend.commands)
-            assert figures["handshakes"] == backend.opened
-            assert figures["reused"] == len(backend.commands) - backend.opened
+            assert figures["handshakes"] == backend.opened_connections
+            assert figures["reused"] == len(backend.commands) - backend.opened_connections
             assert figures["handshakes_failed"] == 0 and figures["turned_away"] == 0
             assert figures["list_lines"] == 1 and figures["watches"] == 1
             assert figures["bytes"] == {"requests": 0, "clients": 0}
             assert "stages_s" not in figures
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_handshakes_that_fail_are_counted() -> None:
     async def scenario() -> None:
         async with running_gateway(addresses=[refusing_address()]) as (gateway_server, address):
-            client = await Client.open(address)
-            assert str(await client.ask(query("a1"))).startswith("-")
+            client = await RespClient.connect(address)
+            assert str(await client.request(query_command("a1"))).startswith("-")
             figures = read_figures(gateway_server)
             assert figures["handshakes"] == figures["handshakes_failed"] == figures["attempts"] > 0
             assert figures["refused"] + figures["failed"] == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.skipif(
@@ -80,21 +89,21 @@
 )
 def test_descriptors_agree_with_the_descriptor_table_of_the_process() -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (gateway_server, address):
             before = read_figures(gateway_server)["descriptors"]
-            clients = [await Client.open(address) for _ in range(30)]
+            clients = [await RespClient.connect(address) for _ in range(30)]
             for number, client in enumerate(clients):
-                assert await client.ask(query(f"a{number}")) == b"ok"
+                assert await client.request(query_command(f"a{number}")) == b"ok"
             after, listed = read_figures(gateway_server)["descriptors"], len(os.listdir(DESCRIPTOR_TABLE)) - 1
             assert after["all"] == listed
             assert after["clients"] - before["clients"] == len(clients)
-            assert after["backends"] - before["backends"] == backend.opened
+            assert after["backends"] - before["backends"] == backend.opened_connections
             # This process also has the other ends of these connections, which have no owner in the gateway.
-            assert after["process"] - before["process"] == len(clients) + backend.opened
+            assert after["process"] - before["process"] == len(clients) + backend.opened_connections
             assert after["listener"] == after["discovery"] == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_figures_that_the_system_does_not_provide_are_left_out(
@@ -134,23 +143,23 @@
 
 def test_stages_that_are_off_change_nothing() -> None:
     stages = StageTimer(False, clock=lambda: 1 // 0)
-    assert stages.wrap("x", len) is len and stages.wrap_class("x", Backend, "serve") is Backend
+    assert stages.wrap("x", len) is len and stages.wrap_class("x", StubScanServer, "serve") is StubScanServer
     assert stages.report() == {}
 
 
 def test_stages_of_a_gateway_add_up_to_its_time() -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend(), time_stages=True) as (gateway_server, address):
-            client = await Client.open(address)
+        async with running_gateway(StubScanServer(), time_stages=True) as (gateway_server, address):
+            client = await RespClient.connect(address)
             for number in range(50):
-                assert await client.ask(query(f"a{number}")) == b"ok"
+                assert await client.request(query_command(f"a{number}")) == b"ok"
             gateway_server.peers.datagram_received(b"\0", ("127.0.0.9", 9))  # an unknown address
             spent = read_figures(gateway_server)["stages_s"]
             assert {"actions", "backends", "clients", "decisions", "discovery", "peers", "rest"} == set(spent)
             assert all(seconds > 0 for seconds in spent.values())
             assert read_figures(gateway_server)["datagrams_dropped"] == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_datagrams_are_counted() -> None:
@@ -182,7 +191,7 @@
         for end in ends:
             end.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_time_stages_must_be_a_boolean(tmp_path: Path) -> None:
@@ -194,9 +203,9 @@
 
 def test_signal_and_shutdown_each_log_one_cost_line(tmp_path: Path) -> None:
     async def scenario() -> None:
-        process, address = await start(tmp_path, Backend())
-        client = await Client.open(address)
-        assert await client.ask(query("a1", 1500)) == b"ok"
+        process, address = await start(tmp_path, StubScanServer())
+        client = await RespClient.connect(address)
+        assert await client.request(query_command("a1", 1500)) == b"ok"
         lines = []
         for number in (signal.SIGUSR1, signal.SIGTERM):
             process.send_signal(number)
@@ -208,4 +217,4 @@
         assert lines[1]["processor_s"] >= lines[0]["processor_s"] > 0
         assert await process.wait() == 0
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,22 +9,22 @@
 import pytest
 
 from tests.sockets import (
+    CHUNKED_RESPONSE_HEAD,
     CONFIG,
-    HEAD,
-    PATIENT,
-    PATIENT_MS,
-    Backend,
-    Client,
-    Watch,
-    catalog,
-    chunk,
-    entry,
-    query,
-    resp,
-    run,
+    LONG_TIMEOUT_MS,
+    LONG_TIMEOUT_SETTINGS,
+    RespClient,
+    StubDiscovery,
+    StubScanServer,
+    encode_command,
+    endpoint_entry,
+    http_chunk,
+    query_command,
+    run_scenario,
     running_gateway,
-    submit,
-    value,
+    submit_command,
+    value_response,
+    watch_event,
 )
 from thistletrail.gateway import backends, clients, graceful_shutdown
 from thistletrail.gateway.backends import now_us
@@ -60,11 +60,11 @@
     return connection
 
 
-async def fill_pipeline(gateway: GatewayServer, client: socket.socket, backend: Backend) -> None:
+async def fill_pipeline(gateway: GatewayServer, client: socket.socket, backend: StubScanServer) -> None:
     """Send more commands than a connection may have in flight, so that the gateway stops reading from it."""
     for number in range(clients.MAX_PIPELINED + 4):
-        client.sendall(submit(f"a{number}", wait_ms=PATIENT_MS))
-    await backend.received(5)
+        client.sendall(submit_command(f"a{number}", wait_ms=LONG_TIMEOUT_MS))
+    await backend.wait_for_commands(5)
     while len(gateway.exchanges.unanswered) < clients.MAX_PIPELINED:
         await asyncio.sleep(0.001)
 
@@ -76,11 +76,11 @@
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (gateway, address):
             with raw_client(address) as client:
-                client.sendall(query("first"))
-                await backend.received(1)
+                client.sendall(query_command("first"))
+                await backend.wait_for_commands(1)
                 while not gateway.costs.served:
                     await asyncio.sleep(0.001)
                 has_unread = clients.has_unread
@@ -89,7 +89,7 @@
                 def send_after_check(transport: asyncio.Transport) -> bool:
                     result = has_unread(transport)
                     if transport is connection.transport:
-                        client.sendall(query("second"))
+                        client.sendall(query_command("second"))
                     return result
 
                 monkeypatch.setattr(clients, "has_unread", send_after_check)
@@ -98,7 +98,7 @@
                 await draining
             assert [arguments[2] for arguments in backend.commands] == [b"first"]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_drain_waits_until_clients_have_had_time_to_read_their_last_answer(
@@ -109,9 +109,9 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.02)
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             with raw_client(address) as client:
-                client.sendall(query("a1"))
+                client.sendall(query_command("a1"))
                 while not gateway.costs.served:
                     await asyncio.sleep(0.001)
                 connection = connection_of(gateway, client)
@@ -119,7 +119,7 @@
                 assert connection.state is State.CLOSING
                 assert now_us() - connection.state_since_us >= clients.LINGER_TIMEOUT_US
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("is_new", [False, True])
@@ -131,11 +131,11 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.05)
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
-            slow = await Client.open(address)
+        async with running_gateway(StubScanServer()) as (gateway, address):
+            slow = await RespClient.connect(address)
             if not is_new:
-                assert await slow.ask(resp("PING")) == b"PONG"
-            slow.send(query("a1")[:40])
+                assert await slow.request(encode_command("PING")) == b"PONG"
+            slow.send(query_command("a1")[:40])
             while not any(connection.reader.buffer for connection in gateway.clients.connections):
                 await asyncio.sleep(0.001)
             checked = asyncio.Event()
@@ -151,12 +151,12 @@
             await checked.wait()
             checked.clear()
             await checked.wait()
-            slow.send(query("a1")[40:])
-            assert await slow.answer() == b"ok"
-            assert await slow.ended()
+            slow.send(query_command("a1")[40:])
+            assert await slow.read_reply() == b"ok"
+            assert await slow.closed_without_reply()
             await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_in_the_backlog_at_the_end_of_a_drain_is_served(
@@ -166,15 +166,15 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.05)
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             gateway.loop.remove_reader(gateway.clients.listener)  # as after a failure to accept
             with raw_client(address) as client:
-                client.sendall(query("a1"))
+                client.sendall(query_command("a1"))
                 draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_nothing_more_is_forwarded_for_a_client_that_disconnects_while_reading_is_paused(
@@ -184,8 +184,8 @@
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 60.0)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
-        async with running_gateway(backend, settings=PATIENT) as (gateway, address):
+        backend = StubScanServer(lambda arguments: None)
+        async with running_gateway(backend, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             with raw_client(address) as client:
                 await fill_pipeline(gateway, client, backend)
                 client.shutdown(socket.SHUT_RDWR)
@@ -193,18 +193,18 @@
             for arguments, writer in forwarded:
                 # All later answers wait for that to a0: a write to the client would make the loop notice.
                 if arguments[2] != b"a0":
-                    writer.write(value(b"ok"))
+                    writer.write(value_response(b"ok"))
             while len(gateway.policy.requests_by_id) > 1:
                 await asyncio.sleep(0.001)
             assert len(backend.commands) == len(forwarded)
             for writer in backend.writers:
-                writer.write(value(b"ok"))
+                writer.write(value_response(b"ok"))
             policy = gateway.policy
             while gateway.exchanges.answered_in_flight or policy.requests_by_id or policy.queue:
                 await asyncio.sleep(0.001)
             assert policy.overload.in_flight == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_sweep_ends_the_requests_of_a_client_that_disconnected_while_reading_is_paused(
@@ -213,15 +213,15 @@
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
-        async with running_gateway(backend, settings=PATIENT) as (gateway, address):
+        backend = StubScanServer(lambda arguments: None)
+        async with running_gateway(backend, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             with raw_client(address) as client:
                 await fill_pipeline(gateway, client, backend)
             while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
             assert gateway.costs.gone == clients.MAX_PIPELINED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_disconnected_client_has_nothing_written_although_attempts_are_not_cancelled(
@@ -238,26 +238,26 @@
     monkeypatch.setattr(backends.Pool, "connect", connect_late)
 
     async def scenario() -> None:
-        backend = Backend()
-        async with running_gateway(backend, settings=replace(PATIENT, may_cancel=False)) as (
+        backend = StubScanServer()
+        async with running_gateway(backend, settings=replace(LONG_TIMEOUT_SETTINGS, may_cancel=False)) as (
             gateway,
             address,
         ):
-            client = await Client.open(address)
-            client.send(submit("a1", wait_ms=PATIENT_MS))
+            client = await RespClient.connect(address)
+            client.send(submit_command("a1", wait_ms=LONG_TIMEOUT_MS))
             while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
             while gateway.exchanges.unanswered:
                 await asyncio.sleep(0.001)
             has_left.set()
-            other = await Client.open(address)
-            assert await other.ask(submit("b1", wait_ms=PATIENT_MS)) == b"ok"
+            other = await RespClient.connect(address)
+            assert await other.request(submit_command("b1", wait_ms=LONG_TIMEOUT_MS)) == b"ok"
             assert [arguments[2] for arguments in backend.commands] == [b"b1"]
             while gateway.exchanges.answered_in_flight or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_client_that_disconnects_as_its_attempt_fails_leaves_no_request_in_flight() -> None:
@@ -267,8 +267,8 @@
     """
 
     async def scenario() -> None:
-        fleet = [Backend(lambda arguments: b"") for _ in range(2)]
-        async with running_gateway(*fleet, settings=PATIENT) as (gateway, address):
+        fleet = [StubScanServer(lambda arguments: b"") for _ in range(2)]
+        async with running_gateway(*fleet, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             post = gateway.driver.post
 
             def post_and_disconnect(event: object) -> None:
@@ -277,8 +277,8 @@
                     gateway.exchanges.on_client_disconnected(gateway.exchanges.unanswered[event.id].reply)
 
             gateway.driver.post = post_and_disconnect
-            client = await Client.open(address)
-            client.send(query("a1", wait_ms=PATIENT_MS))
+            client = await RespClient.connect(address)
+            client.send(query_command("a1", wait_ms=LONG_TIMEOUT_MS))
             policy = gateway.policy
             while not gateway.costs.gone or gateway.driver.pending_events:
                 await asyncio.sleep(0.001)
@@ -289,7 +289,7 @@
             )
             assert all(customer.in_flight == 0 for customer in policy.customers.by_key.values())
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_retry_that_connects_after_the_idempotency_window_is_not_written(
@@ -306,59 +306,64 @@
         await connect(pool, connection)
 
     monkeypatch.setattr(backends.Pool, "connect", connect_second_late)
-    keyed = replace(PATIENT.classes[1], idempotency_window_us=round(window_s * 1e6))
-    settings = replace(PATIENT, classes=(PATIENT.classes[0], keyed, PATIENT.classes[2]))
+    keyed = replace(LONG_TIMEOUT_SETTINGS.classes[1], idempotency_window_us=round(window_s * 1e6))
+    settings = replace(
+        LONG_TIMEOUT_SETTINGS,
+        classes=(LONG_TIMEOUT_SETTINGS.classes[0], keyed, LONG_TIMEOUT_SETTINGS.classes[2]),
+    )
 
     async def scenario() -> None:
-        fleet = [Backend(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
+        fleet = [StubScanServer(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
         async with running_gateway(*fleet, settings=settings) as (gateway, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1", "book", wait_ms=PATIENT_MS)) == "-ERR failed"
+            client = await RespClient.connect(address)
+            assert (
+                await client.request(submit_command("a1", "book", wait_ms=LONG_TIMEOUT_MS)) == "-ERR failed"
+            )
             assert gateway.costs.attempts == 2 and sum(len(backend.commands) for backend in fleet) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_evicted_connection_is_one_without_unread_bytes() -> None:
     """The client that was idle longest has just sent a request, which the gateway has not read."""
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             with raw_client(address) as requesting, raw_client(address) as idle:
                 for number, client in enumerate((requesting, idle)):
-                    client.sendall(query(f"a{number}"))
+                    client.sendall(query_command(f"a{number}"))
                     while gateway.costs.served <= number:
                         await asyncio.sleep(0.001)
                     assert client.recv(100) == b"$2\r\nok\r\n"
                 for connection in gateway.clients.connections:
                     connection.state_since_us -= 2 * clients.MIN_IDLE_US
-                requesting.sendall(query("a2"))
+                requesting.sendall(query_command("a2"))
                 assert gateway.clients.make_room()
                 assert await received(idle) == b""
                 assert await asyncio.to_thread(requesting.recv, 100) == b"$2\r\nok\r\n"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_error_to_a_rejected_connection_is_not_discarded_by_a_reset() -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             gateway.clients.max_sockets = 0
             with raw_client(address) as client:
-                client.sendall(query("a1"))  # is received before the gateway accepts
+                client.sendall(query_command("a1"))  # is received before the gateway accepts
                 assert await received(client) == clients.TOO_MANY_CLIENTS_RESPONSE
             assert gateway.costs.turned_away == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_all_connections_disable_the_delay_of_small_writes() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(query("a1"))
-            await backend.came.wait()
+            client = await RespClient.connect(address)
+            client.send(query_command("a1"))
+            await backend.command_received.wait()
             (pool,) = gateway.backends.pools.values()
             connections = (*pool.connections, *gateway.clients.connections)
             transports = [connection.transport for connection in connections]
@@ -367,35 +372,35 @@
                 connection_socket = transport.get_extra_info("socket")
                 assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_clients_at_the_socket_limit_leave_descriptors_for_discovery_and_servers() -> None:
     """They connect while discovery is silent; its list is read when it answers again, and its server used."""
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         is_back = asyncio.Event()
-        listed = catalog(7, [entry("s0", await backend.start())])
+        listed = watch_event(7, [endpoint_entry("s0", await backend.start())])
 
         async def answer_when_back(writer: asyncio.StreamWriter) -> None:
             await is_back.wait()
-            writer.write(HEAD + chunk(listed))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(listed))
             await asyncio.Event().wait()
 
-        watch = Watch(answer_when_back)
-        config = replace(CONFIG, settings=PATIENT, sockets=48, discovery=(await watch.start(),))
+        watch = StubDiscovery(answer_when_back)
+        config = replace(CONFIG, settings=LONG_TIMEOUT_SETTINGS, sockets=48, discovery=(await watch.start(),))
         gateway = GatewayServer(config)
         await gateway.start()
-        idle = [await Client.open(gateway.address) for _ in range(3 * gateway.clients.max_sockets)]
-        requesting = await Client.open(gateway.address)
-        requesting.send(query("a1", wait_ms=PATIENT_MS))
+        idle = [await RespClient.connect(gateway.address) for _ in range(3 * gateway.clients.max_sockets)]
+        requesting = await RespClient.connect(gateway.address)
+        requesting.send(query_command("a1", wait_ms=LONG_TIMEOUT_MS))
         while "a1" not in gateway.exchanges.unanswered:
             await asyncio.sleep(0.001)
         assert gateway.clients.sockets <= gateway.clients.max_sockets
         is_back.set()
-        assert await requesting.answer() == b"ok"
-        assert len(watch.targets) == 1 and len(idle) > gateway.clients.max_sockets
+        assert await requesting.read_reply() == b"ok"
+        assert len(watch.request_targets) == 1 and len(idle) > gateway.clients.max_sockets
         gateway.close()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -10,7 +10,16 @@
 import pytest
 
 from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS, GatewayHarness, actions_of_type, servers
-from tests.sockets import HOST, Backend, Client, query, run, running_gateway, submit, value
+from tests.sockets import (
+    HOST,
+    RespClient,
+    StubScanServer,
+    query_command,
+    run_scenario,
+    running_gateway,
+    submit_command,
+    value_response,
+)
 from thistletrail.gateway import backends, graceful_shutdown
 from thistletrail.gateway.backends import Attempt, Backends, now_us
 from thistletrail.gateway.deadline import ANSWER_MARGIN_US
@@ -32,7 +41,7 @@
     return int(dict(part.split(b"=") for part in arguments[3].split(b","))[b"d"])
 
 
-class Recorder(Backend):
+class Recorder(StubScanServer):
     """Answers at once and records the `d` of each command."""
 
     def __init__(self) -> None:
@@ -41,7 +50,7 @@
 
     def record(self, arguments: list[bytes]) -> bytes:
         self.received_ms.append(received_wait_ms(arguments))
-        return value(b"ok")
+        return value_response(b"ok")
 
 
 @pytest.fixture
@@ -61,23 +70,23 @@
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1", wait_ms=3000)) == b"ok"
+            client = await RespClient.connect(address)
+            assert await client.request(submit_command("a1", wait_ms=3000)) == b"ok"
             assert 0 < backend.received_ms[0] <= 3000 - MARGIN_MS - 195  # a timer may be slightly early
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_without_remaining_time_is_not_written() -> None:
     """The connection was established too late. The backend is not to blame, and the next attempt uses it."""
 
     async def scenario() -> None:
-        backend, ended = Backend(), []
+        backend, ended = StubScanServer(), []
         pool = Backends(30 * SECOND_US, 200_000, 5)
         pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
 
         def attempt(name: str) -> Attempt:
-            payload = query(name)
+            payload = query_command(name)
             return Attempt(
                 name,
                 0,
@@ -97,11 +106,11 @@
         pool.send(second, 5 * SECOND_US)
         while len(ended) < 2:
             await asyncio.sleep(0.001)
-        assert ended[1] == (second, AttemptResult.SUCCESS) and backend.opened == 1
+        assert ended[1] == (second, AttemptResult.SUCCESS) and backend.opened_connections == 1
         assert [arguments[2] for arguments in backend.commands] == [b"a2"]
         pool.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_command_is_charged_for_the_time_it_was_unread() -> None:
@@ -110,32 +119,32 @@
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (_, address):
-            await (await Client.open(address)).ask(query("a0"))
+            await (await RespClient.connect(address)).request(query_command("a0"))
             with socket.create_connection(address) as client:
                 await asyncio.sleep(0.05)  # the gateway accepts the connection
-                client.sendall(submit("a1", wait_ms=3000))
+                client.sendall(submit_command("a1", wait_ms=3000))
                 time.sleep(0.5)
                 while len(backend.received_ms) < 2:
                     await asyncio.sleep(0.001)
             # The sweep is due every 0.2 s, so at least 0.3 s of lateness are measured, and half is charged.
             assert 0 < backend.received_ms[1] <= 3000 - MARGIN_MS - 145
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_command_unread_past_its_deadline_is_rejected_at_once() -> None:
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert await client.ask(query("a0")) == b"ok"
-            client.send(query("a1", wait_ms=60))
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("a0")) == b"ok"
+            client.send(query_command("a1", wait_ms=60))
             await asyncio.sleep(0)
             time.sleep(0.6)
-            assert str(await client.answer()).startswith("-BUSY")
+            assert str(await client.read_reply()).startswith("-BUSY")
             assert len(backend.received_ms) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_commands_queued_behind_a_slow_one_are_charged_for_their_wait() -> None:
@@ -147,13 +156,13 @@
             if arguments[2] == b"a0":
                 first.set()
                 return None
-            return value(arguments[2])
+            return value_response(arguments[2])
 
         received_ms: dict[bytes, int] = {}
-        scan_servers = [Backend(answer) for _ in range(8)]
+        scan_servers = [StubScanServer(answer) for _ in range(8)]
         async with running_gateway(*scan_servers) as (gateway, address):
-            client = await Client.open(address)
-            client.send(b"".join(submit(f"a{number}", wait_ms=4000) for number in range(50)))
+            client = await RespClient.connect(address)
+            client.send(b"".join(submit_command(f"a{number}", wait_ms=4000) for number in range(50)))
             await first.wait()
             await asyncio.sleep(0.3)
             commands = [
@@ -161,13 +170,13 @@
                 for backend in scan_servers
                 for arguments, writer in zip(backend.commands, backend.writers, strict=True)
             ]
-            dict(commands)[b"a0"].write(value(b"a0"))
-            assert [await client.answer() for _ in range(50)] == [b"a%d" % number for number in range(50)]
+            dict(commands)[b"a0"].write(value_response(b"a0"))
+            assert [await client.read_reply() for _ in range(50)] == [b"a%d" % number for number in range(50)]
             assert all(received_ms[b"a%d" % number] <= 4000 - MARGIN_MS for number in range(16))
             assert all(received_ms[b"a%d" % number] <= 4000 - MARGIN_MS - 290 for number in range(16, 50))
             assert gateway.costs.behind >= 15
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_time_between_commands_is_not_charged() -> None:
@@ -176,15 +185,15 @@
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            client.send(b"".join(query(f"a{number}") for number in range(20)))
+            client = await RespClient.connect(address)
+            client.send(b"".join(query_command(f"a{number}") for number in range(20)))
             for _ in range(20):
-                await client.answer()
+                await client.read_reply()
             await asyncio.sleep(2.5)
-            assert await client.ask(submit("b1", wait_ms=3000)) == b"ok"
+            assert await client.request(submit_command("b1", wait_ms=3000)) == b"ok"
             assert backend.received_ms[-1] >= 3000 - MARGIN_MS - 1000  # half of the idle time is not charged
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_limits_requests_to_the_shorter_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -192,27 +201,27 @@
     monkeypatch.setattr(graceful_shutdown, "DRAIN_EXTRA_US", -5_300_000)  # 6 s less 5.3 s: 0.7 s remain
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            short, long = await Client.open(address), await Client.open(address)
-            long.send(submit("a1", wait_ms=6000))
-            short.send(submit("a2", wait_ms=500))
-            await backend.received(2)
+            short, long = await RespClient.connect(address), await RespClient.connect(address)
+            long.send(submit_command("a1", wait_ms=6000))
+            short.send(submit_command("a2", wait_ms=500))
+            await backend.wait_for_commands(2)
             began = time.monotonic()
             draining = asyncio.create_task(gateway.drain())
-            assert str(await short.answer()) == "-ERR failed"
+            assert str(await short.read_reply()) == "-ERR failed"
             assert list(gateway.exchanges.unanswered) == ["a1"]
-            new = await Client.open(address)
-            new.send(query("a3", wait_ms=6000))
-            assert str(await long.answer()) == "-ERR failed"  # an attempt may have run
+            new = await RespClient.connect(address)
+            new.send(query_command("a3", wait_ms=6000))
+            assert str(await long.read_reply()) == "-ERR failed"  # an attempt may have run
             assert 0.6 < time.monotonic() - began < 5
-            assert str(await new.answer()).startswith("-")
+            assert str(await new.read_reply()).startswith("-")
             assert max(map(received_wait_ms, backend.commands[2:]), default=0) <= 700
             for client in (short, long, new):
                 client.writer.close()
             await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_rejects_queued_requests_without_a_server_at_once() -> None:
@@ -230,14 +239,14 @@
     caplog.set_level(logging.INFO)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1", wait_ms=325)) == "-ERR failed"
+            client = await RespClient.connect(address)
+            assert await client.request(submit_command("a1", wait_ms=325)) == "-ERR failed"
             figures = json.loads(gateway.cost_line().partition(" ")[2])
             assert figures["late"] == {"waiting": 1} and 0 < figures["late_s"]["waiting"] <= 0.3
 
-    run(scenario())
+    run_scenario(scenario())
     line = next(line for line in caplog.messages if line.startswith("request a1 failed after "))
     assert "waiting " in line
 
@@ -246,22 +255,22 @@
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             for number, step in enumerate((-(10**9), 10**9)):
                 monkeypatch.setattr(time, "time", lambda step=step: 1e9 + step)
                 monkeypatch.setattr(time, "time_ns", lambda step=step: 10**18 + step * 10**9)
-                assert await client.ask(submit(f"a{number}", wait_ms=3000)) == b"ok"
+                assert await client.request(submit_command(f"a{number}", wait_ms=3000)) == b"ok"
                 assert 1000 < backend.received_ms[-1] <= 3000 - MARGIN_MS
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_is_not_sent_if_its_client_disconnects_during_the_handshake(slow_handshakes: None) -> None:
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(submit("a1"))
+            client = await RespClient.connect(address)
+            client.send(submit_command("a1"))
             while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
@@ -271,11 +280,11 @@
                 or gateway.policy.requests_by_id
             ):
                 await asyncio.sleep(0.001)
-            other = await Client.open(address)  # the first connection is established by then
-            assert await other.ask(submit("b1")) == b"ok"
+            other = await RespClient.connect(address)  # the first connection is established by then
+            assert await other.request(submit_command("b1")) == b"ok"
             assert [arguments[2] for arguments in backend.commands] == [b"b1"]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_during_a_handshake_still_answers(
@@ -287,50 +296,55 @@
     async def scenario() -> None:
         backend = Recorder()
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(submit("a1", wait_ms=6000))
+            client = await RespClient.connect(address)
+            client.send(submit_command("a1", wait_ms=6000))
             while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             draining = asyncio.create_task(gateway.drain())
-            assert await client.answer() == b"ok"
+            assert await client.read_reply() == b"ok"
             assert backend.received_ms[0] <= 2000 - 150  # the handshake started somewhat before the shutdown
-            assert await client.ended()
+            assert await client.closed_without_reply()
             await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_value_that_ends_after_the_deadline_counts_as_failed() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: value(b"x" * 100)[:50])
+        backend = StubScanServer(lambda arguments: value_response(b"x" * 100)[:50])
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            client.send(submit("a1", wait_ms=400))
-            assert await client.answer() == "-ERR failed"
-            await backend.left.wait()  # the connection is closed, so the rest cannot arrive
-            backend.answer = lambda arguments: value(arguments[2])
-            assert await client.ask(submit("a2")) == b"a2"  # not the late value of the first request
-            assert backend.opened == 2
+            client = await RespClient.connect(address)
+            client.send(submit_command("a1", wait_ms=400))
+            assert await client.read_reply() == "-ERR failed"
+            await backend.connection_closed.wait()  # the connection is closed, so the rest cannot arrive
+            backend.respond = lambda arguments: value_response(arguments[2])
+            # The late value of the first request must not be taken for this answer.
+            assert await client.request(submit_command("a2")) == b"a2"
+            assert backend.opened_connections == 2
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_cancelled_while_its_answer_arrives_ends_once() -> None:
     async def scenario() -> None:
-        backend, ended = Backend(lambda arguments: None), []
+        backend, ended = StubScanServer(lambda arguments: None), []
         pool = Backends(30 * SECOND_US, 200_000, 5)
         pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
         first = Attempt(
-            "a1", 0, "s", lambda remaining_us: query("a1"), lambda attempt, result, *_: ended.append(result)
+            "a1",
+            0,
+            "s",
+            lambda remaining_us: query_command("a1"),
+            lambda attempt, result, *_: ended.append(result),
         )
         pool.send(first, 5 * SECOND_US)
-        await backend.came.wait()
-        backend.writers[0].write(value(b"ok"))  # it is in the socket's buffer now
+        await backend.command_received.wait()
+        backend.writers[0].write(value_response(b"ok"))  # it is in the socket's buffer now
         first.cancel()
         await asyncio.sleep(0.01)
         assert ended == [AttemptResult.CANCELLED] and not pool.pools["s"].idle and not pool.connection_count()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_started_without_remaining_time_opens_no_connection() -> None:
@@ -345,7 +359,7 @@
             )
         assert ended == [AttemptResult.NOT_SENT] * 2 and not pool.connection_count()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("effect", list(Effect))
@@ -377,20 +391,20 @@
     """
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(*[backend], sockets=256) as (gateway, address):
-            clients = [await Client.open(address) for _ in range(2)]
-            clients[0].send(submit("a0", wait_ms=700))
-            clients[1].send(submit("a1", wait_ms=6000))
-            await backend.received(2)
+            clients = [await RespClient.connect(address) for _ in range(2)]
+            clients[0].send(submit_command("a0", wait_ms=700))
+            clients[1].send(submit_command("a1", wait_ms=6000))
+            await backend.wait_for_commands(2)
             time.sleep(1.0)
-            assert await clients[0].answer() == "-ERR failed"
+            assert await clients[0].read_reply() == "-ERR failed"
             assert list(gateway.exchanges.unanswered) == ["a1"]
             backend.writers[[arguments[2] for arguments in backend.commands].index(b"a1")].write(
-                value(b"late")
+                value_response(b"late")
             )
-            assert await clients[1].answer() == b"late"
+            assert await clients[1].read_reply() == b"late"
             assert gateway.costs.requests == gateway.costs.served + gateway.costs.failed == 2
 
-    run(scenario())
+    run_scenario(scenario())
     assert "left without an answer" not in caplog.text
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -10,7 +10,17 @@
 
 import pytest
 
-from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
+from tests.sockets import (
+    CHUNKED_RESPONSE_HEAD,
+    CONFIG,
+    HOST,
+    StubDiscovery,
+    endpoint_entry,
+    http_chunk,
+    refusing_address,
+    run_scenario,
+    watch_event,
+)
 from thistletrail.gateway import discovery_client, watch_connection
 from thistletrail.gateway.discovery_client import DiscoveryClient
 from thistletrail.gateway.endpoint_list import EndpointListCodec, EndpointListUpdate
@@ -30,7 +40,7 @@
         return high
 
 
-async def receive_updates(watch: Watch, count: int, version: int = 0) -> list[EndpointListUpdate]:
+async def receive_updates(watch: StubDiscovery, count: int, version: int = 0) -> list[EndpointListUpdate]:
     """The first `count` updates of a watch."""
     received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
     tasks = []
@@ -62,13 +72,17 @@
 
 def test_updates_are_read_from_pieces_with_empty_lines_and_unknown_states() -> None:
     async def scenario() -> None:
-        others = [entry("s2", ADDRESS, "RESTING"), {"instanceId": "odd"}, entry("s3", ADDRESS, "DRAINING")]
-        line = catalog(5, [entry("s1", ADDRESS), *others])
-        removal = catalog(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
-        stream = HEAD + chunk(b"\n") + chunk(line[:30])
-        stream += chunk(line[30:] + b"\n" + removal[:9]) + chunk(removal[9:])
+        others = [
+            endpoint_entry("s2", ADDRESS, "RESTING"),
+            {"instanceId": "odd"},
+            endpoint_entry("s3", ADDRESS, "DRAINING"),
+        ]
+        line = watch_event(5, [endpoint_entry("s1", ADDRESS), *others])
+        removal = watch_event(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
+        stream = CHUNKED_RESPONSE_HEAD + http_chunk(b"\n") + http_chunk(line[:30])
+        stream += http_chunk(line[30:] + b"\n" + removal[:9]) + http_chunk(removal[9:])
         pieces = [stream[start : start + 50] for start in range(0, len(stream), 50)]
-        first, second = await receive_updates(Watch(answer_script(*pieces)), 2)
+        first, second = await receive_updates(StubDiscovery(answer_script(*pieces)), 2)
         states = {server.name: server.state for server in first.event.servers}
         assert (first.event.kind, first.event.version) == (EndpointUpdateKind.FULL, 5)
         draining = ServerState.DRAINING
@@ -76,7 +90,7 @@
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.GONE
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def indented(listed: bytes) -> bytes:
@@ -85,30 +99,38 @@
 
 def test_indented_lists_and_changes_are_read() -> None:
     async def scenario() -> None:
-        brace = entry("s2", ADDRESS) | {"zone": 'a "{" b'}  # braces in strings do not count
-        complete = indented(catalog(5, [entry("s1", ADDRESS), brace]))
-        change = indented(catalog(6, [entry("s1", ADDRESS, "DRAINING")], reset=False))
-        stream = HEAD + chunk(complete[:70]) + chunk(complete[70:] + b"\n") + chunk(change)
+        brace = endpoint_entry("s2", ADDRESS) | {"zone": 'a "{" b'}  # braces in strings do not count
+        complete = indented(watch_event(5, [endpoint_entry("s1", ADDRESS), brace]))
+        change = indented(watch_event(6, [endpoint_entry("s1", ADDRESS, "DRAINING")], reset=False))
+        stream = (
+            CHUNKED_RESPONSE_HEAD
+            + http_chunk(complete[:70])
+            + http_chunk(complete[70:] + b"\n")
+            + http_chunk(change)
+        )
         pieces = [stream[start : start + 90] for start in range(0, len(stream), 90)]
-        first, second = await receive_updates(Watch(answer_script(*pieces)), 2)
+        first, second = await receive_updates(StubDiscovery(answer_script(*pieces)), 2)
         assert [server.name for server in first.event.servers] == ["s1", "s2"]
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.DRAINING
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_indented_complete_list_without_a_final_line_end_is_read() -> None:
     async def scenario() -> None:
-        body = indented(catalog(5, [entry("s1", ADDRESS)])).strip()
+        body = indented(watch_event(5, [endpoint_entry("s1", ADDRESS)])).strip()
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        old, new = Watch(answer_script(HEAD)), Watch(answer_script(answer, stay=False))
+        old, new = (
+            StubDiscovery(answer_script(CHUNKED_RESPONSE_HEAD)),
+            StubDiscovery(answer_script(answer, stay=False)),
+        )
         harness = DiscoveryHarness(await old.start())
         harness.discovery.change_addresses((await new.start(),))
         assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_complete_list_that_the_end_of_its_connection_ends_is_read(caplog: pytest.LogCaptureFixture) -> None:
@@ -117,15 +139,18 @@
     async def scenario() -> None:
         answer = (
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-            + indented(catalog(5, [entry("s1", ADDRESS)])).strip()
+            + indented(watch_event(5, [endpoint_entry("s1", ADDRESS)])).strip()
+        )
+        old, new = (
+            StubDiscovery(answer_script(CHUNKED_RESPONSE_HEAD, stay=False)),
+            StubDiscovery(answer_script(answer, stay=False)),
         )
-        old, new = Watch(answer_script(HEAD, stay=False)), Watch(answer_script(answer, stay=False))
         harness = DiscoveryHarness(await old.start())
         harness.discovery.change_addresses((await new.start(),))
         assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
     assert "malformed" not in caplog.text
 
 
@@ -137,15 +162,15 @@
 
     async def scenario() -> None:
         async def stuck(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(b'{"generation": 5,\n'))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(b'{"generation": 5,\n'))
             while True:
-                writer.write(chunk(b"\n"))
+                writer.write(http_chunk(b"\n"))
                 await asyncio.sleep(0.02)
 
-        watch = Watch(stuck, answer_script(HEAD + chunk(catalog(5, []))))
+        watch = StubDiscovery(stuck, answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, []))))
         assert (await receive_updates(watch, 1))[0].event.version == 5
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_failed_request_is_repeated_within_the_time_of_notification() -> None:
@@ -171,32 +196,36 @@
 
 def test_watch_that_ends_is_reopened_after_the_last_received_version() -> None:
     async def scenario() -> None:
-        watch = Watch(
-            answer_script(HEAD + chunk(catalog(5, [])), stay=False),
+        watch = StubDiscovery(
+            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [])), stay=False),
             answer_script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
-            answer_script(HEAD + chunk(catalog(6, [])[:20]), stay=False),  # ends within a line: not received
-            answer_script(HEAD + chunk(b"{not json\n")),
-            answer_script(HEAD + chunk(catalog(9, [], reset=False))),
+            # This response ends within a line, which is discarded.
+            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(6, [])[:20]), stay=False),
+            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(b"{not json\n")),
+            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [], reset=False))),
         )
         started_s = time.monotonic()
         updates = await receive_updates(watch, 2, version=3)
         assert [update.event.version for update in updates] == [5, 9]
-        requested_versions = [target.partition("after=")[2] for target in watch.targets]
+        requested_versions = [target.partition("after=")[2] for target in watch.request_targets]
         assert requested_versions == ["3", "5", "5", "5", "5"]
         assert time.monotonic() - started_s > 4 * discovery_client.MIN_BACKOFF_S  # no busy loop
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        watch = Watch(answer_script(HEAD), answer_script(HEAD + chunk(catalog(4, []))))
+        watch = StubDiscovery(
+            answer_script(CHUNKED_RESPONSE_HEAD),
+            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(4, []))),
+        )
         assert (await receive_updates(watch, 1))[0].event.version == 4
-        assert len(watch.targets) == 2
+        assert len(watch.request_targets) == 2
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_unanswered_request_stays_open_during_the_backoff(
@@ -210,18 +239,18 @@
     async def scenario() -> None:
         async def answer_late(writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.4)
-            writer.write(HEAD + chunk(catalog(4, [])))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(4, [])))
             await asyncio.sleep(0.4)
-            writer.write(chunk(catalog(5, [], reset=False)))
+            writer.write(http_chunk(watch_event(5, [], reset=False)))
             await asyncio.Event().wait()
 
-        watch = Watch(answer_late)
+        watch = StubDiscovery(answer_late)
         async with asyncio.timeout(10):
             updates = await receive_updates(watch, 2)
         assert [update.event.version for update in updates] == [4, 5]
-        assert len(watch.targets) == 1  # it was answered late and continues
+        assert len(watch.request_targets) == 1  # it was answered late and continues
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_watch_that_became_silent_is_closed_before_the_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -232,22 +261,24 @@
 
     async def scenario() -> None:
         async def skip_an_update(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(catalog(4, [])))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(4, [])))
             await asyncio.sleep(0.6)
-            writer.write(chunk(catalog(9, [], reset=False)))
+            writer.write(http_chunk(watch_event(9, [], reset=False)))
             await asyncio.Event().wait()
 
-        watch = Watch(skip_an_update, answer_script(HEAD + chunk(catalog(6, [], reset=False))))
+        watch = StubDiscovery(
+            skip_an_update, answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(6, [], reset=False)))
+        )
         updates = await receive_updates(watch, 2)
         assert [update.event.version for update in updates] == [4, 6]
-        assert watch.targets[1].endswith("after=4")
+        assert watch.request_targets[1].endswith("after=4")
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
 def test_numbers_out_of_range_are_ignored(invalid: object) -> None:
-    listed = {**entry("s1", ADDRESS), "weight": invalid, "startedAtMs": invalid}
+    listed = {**endpoint_entry("s1", ADDRESS), "weight": invalid, "startedAtMs": invalid}
     update = EndpointListCodec(CONFIG).decode_update({"generation": 1, "instances": [listed]})
     (server,) = update.event.servers
     assert (server.size, server.started_us) == (1.0, 0)
@@ -264,9 +295,9 @@
 
 def test_configured_list_is_used_while_discovery_is_silent() -> None:
     async def scenario() -> None:
-        known = {"generation": 3, "reset": True, "instances": [entry("s1", ADDRESS)]}
+        known = {"generation": 3, "reset": True, "instances": [endpoint_entry("s1", ADDRESS)]}
         gateway_server = GatewayServer(
-            replace(CONFIG, known=known, discovery=(await Watch(answer_script()).start(),))
+            replace(CONFIG, known=known, discovery=(await StubDiscovery(answer_script()).start(),))
         )
         received: list[Event] = []
         gateway_server.policy.handle = lambda now, event: received.append(event) or []
@@ -277,7 +308,7 @@
         assert gateway_server.discovery.version == 3 and list(gateway_server.backends.pools) == ["s1"]
         gateway_server.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_datagrams_of_peers_are_received_and_those_of_unknown_addresses_dropped() -> None:
@@ -301,7 +332,7 @@
             quota_messages += message.quota_messages
         assert quota_messages == messages and received.empty()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 class DiscoveryHarness:
@@ -327,7 +358,7 @@
 
 def complete_list_script(*names: str, version: int = 4) -> object:
     """Answers the request for the complete list, without a final line end."""
-    body = catalog(version, [entry(name, ADDRESS) for name in names]).strip()
+    body = watch_event(version, [endpoint_entry(name, ADDRESS) for name in names]).strip()
     return answer_script(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, stay=False)
 
 
@@ -336,15 +367,16 @@
         late = asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])))
             await late.wait()
             # This update must not overwrite the list of the new address.
-            writer.write(chunk(catalog(10, [entry("s9", ADDRESS)])))
+            writer.write(http_chunk(watch_event(10, [endpoint_entry("s9", ADDRESS)])))
             await writer.drain()
 
-        old = Watch(old_watch)
-        new = Watch(
-            complete_list_script("s2", version=2), answer_script(HEAD + chunk(catalog(3, [], reset=False)))
+        old = StubDiscovery(old_watch)
+        new = StubDiscovery(
+            complete_list_script("s2", version=2),
+            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(3, [], reset=False))),
         )
         harness = DiscoveryHarness(await old.start())
         assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
@@ -352,13 +384,13 @@
         assert await harness.names() == (EndpointUpdateKind.FULL, ["s2"])
         late.set()
         assert await harness.names() == (EndpointUpdateKind.CHANGES, [])
-        assert new.targets == ["/catalog/members", "/catalog/members?watch=1&after=2"]
-        assert len(old.targets) == 1
+        assert new.request_targets == ["/catalog/members", "/catalog/members?watch=1&after=2"]
+        assert len(old.request_targets) == 1
         await harness.tasks[0]  # the old watch has ended and is not reopened
         assert harness.received.empty() and harness.discovery.version == 3
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_old_watch_continues_until_the_new_address_sends_its_list() -> None:
@@ -366,17 +398,17 @@
         moves, speak = asyncio.Event(), asyncio.Event()
 
         async def old_watch(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(catalog(5, [entry("s1", ADDRESS)])))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [endpoint_entry("s1", ADDRESS)])))
             await moves.wait()
-            writer.write(chunk(catalog(6, [entry("s2", ADDRESS)])))
+            writer.write(http_chunk(watch_event(6, [endpoint_entry("s2", ADDRESS)])))
 
         async def slow(writer: asyncio.StreamWriter) -> None:
             await speak.wait()
             await complete_list_script("s3")(writer)
 
-        never = Watch(answer_script())
-        last = Watch(slow, answer_script(HEAD))
-        harness = DiscoveryHarness(await Watch(old_watch).start())
+        never = StubDiscovery(answer_script())
+        last = StubDiscovery(slow, answer_script(CHUNKED_RESPONSE_HEAD))
+        harness = DiscoveryHarness(await StubDiscovery(old_watch).start())
         assert (await harness.names())[1] == ["s1"]
         harness.discovery.change_addresses((await never.start(),))
         # The second change follows at once, as after consecutive reloads.
@@ -388,11 +420,11 @@
         assert harness.discovery.watcher.address == last.server.sockets[0].getsockname()
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def watch_script(*pieces: bytes) -> object:
-    return answer_script(HEAD, *(chunk(piece) for piece in pieces))
+    return answer_script(CHUNKED_RESPONSE_HEAD, *(http_chunk(piece) for piece in pieces))
 
 
 async def versions(harness: DiscoveryHarness, count: int) -> list[int]:
@@ -401,30 +433,40 @@
 
 def test_the_next_address_is_watched_after_a_failure() -> None:
     async def scenario() -> None:
-        ends = Watch(answer_script(HEAD + chunk(catalog(5, [entry("s1", ADDRESS)])), stay=False))
-        stays = Watch(watch_script(catalog(6, [entry("s2", ADDRESS)], reset=False)))
+        ends = StubDiscovery(
+            answer_script(
+                CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [endpoint_entry("s1", ADDRESS)])),
+                stay=False,
+            )
+        )
+        stays = StubDiscovery(watch_script(watch_event(6, [endpoint_entry("s2", ADDRESS)], reset=False)))
         harness = DiscoveryHarness(refusing_address(), await ends.start(), await stays.start())
         assert await versions(harness, 2) == [5, 6]
-        assert stays.targets == ["/catalog/members?watch=1&after=5"]
+        assert stays.request_targets == ["/catalog/members?watch=1&after=5"]
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_outdated_changes_of_a_lagging_address_are_ignored() -> None:
     async def scenario() -> None:
-        ends = Watch(answer_script(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])), stay=False))
-        lags = Watch(
+        ends = StubDiscovery(
+            answer_script(
+                CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])),
+                stay=False,
+            )
+        )
+        lags = StubDiscovery(
             watch_script(
-                catalog(7, [entry("s1", ADDRESS, "DRAINING")], reset=False),
-                catalog(10, [entry("s2", ADDRESS)], reset=False),
+                watch_event(7, [endpoint_entry("s1", ADDRESS, "DRAINING")], reset=False),
+                watch_event(10, [endpoint_entry("s2", ADDRESS)], reset=False),
             )
         )
         harness = DiscoveryHarness(await ends.start(), await lags.start())
         assert await versions(harness, 2) == [9, 10]
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_an_older_list_is_accepted_only_after_the_grace_time(
@@ -434,27 +476,33 @@
     monkeypatch.setattr(discovery_client, "MAX_BACKOFF_S", 0.1)
 
     async def scenario() -> None:
-        ends = Watch(
-            answer_script(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])), stay=False),
-            answer_script(HEAD, stay=False),
+        ends = StubDiscovery(
+            answer_script(
+                CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])),
+                stay=False,
+            ),
+            answer_script(CHUNKED_RESPONSE_HEAD, stay=False),
         )
-        older = Watch(watch_script(catalog(4, [entry("s2", ADDRESS)])))
+        older = StubDiscovery(watch_script(watch_event(4, [endpoint_entry("s2", ADDRESS)])))
         harness = DiscoveryHarness(await ends.start(), await older.start())
         started_s = time.monotonic()
         assert await versions(harness, 2) == [9, 4]
-        assert time.monotonic() - started_s >= 0.4 and len(older.targets) > 1
+        assert time.monotonic() - started_s >= 0.4 and len(older.request_targets) > 1
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
     assert "the watch sent an older endpoint list: version 4 is older than 9" in caplog.text
     assert "there is only an older list: version 4 after 9" in caplog.text
 
 
 def test_an_older_list_of_the_same_address_replaces_the_list_in_use() -> None:
     async def scenario() -> None:
-        only = Watch(
-            answer_script(HEAD + chunk(catalog(9, [entry("s1", ADDRESS)])), stay=False),
-            watch_script(catalog(4, [entry("s2", ADDRESS)])),
+        only = StubDiscovery(
+            answer_script(
+                CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])),
+                stay=False,
+            ),
+            watch_script(watch_event(4, [endpoint_entry("s2", ADDRESS)])),
         )
         harness = DiscoveryHarness(await only.start())
         assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
@@ -462,7 +510,7 @@
         assert harness.discovery.version == 4
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_age_of_the_list_is_reported_and_logged(
@@ -473,7 +521,7 @@
 
     async def scenario() -> None:
         harness = DiscoveryHarness(
-            await Watch(answer_script(), watch_script(catalog(5, [])), answer_script()).start()
+            await StubDiscovery(answer_script(), watch_script(watch_event(5, [])), answer_script()).start()
         )
         assert harness.discovery.age_s() < 0
         assert await versions(harness, 1) == [5]
@@ -482,7 +530,7 @@
             await asyncio.sleep(0.02)
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
     assert "the watch on discovery is silent; the list is the one known at the start" in caplog.text
     assert "the watch on discovery is silent; the list is 0.3 s old" in caplog.text
 
@@ -492,9 +540,10 @@
     [
         [b"nonsense\r\n\r\n"],
         [b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 100_000],  # a head without an end
-        [HEAD + chunk(b"{" * 600_000), chunk(b"{" * 600_000)],  # a line without an end
-        [HEAD + chunk(b'{"generation":')],  # half a line, then silence
-        [HEAD + b"zz\r\n"],
+        # A line without an end.
+        [CHUNKED_RESPONSE_HEAD + http_chunk(b"{" * 600_000), http_chunk(b"{" * 600_000)],
+        [CHUNKED_RESPONSE_HEAD + http_chunk(b'{"generation":')],  # half a line, then silence
+        [CHUNKED_RESPONSE_HEAD + b"zz\r\n"],
         [],  # an answer that never starts
     ],
 )
@@ -505,12 +554,12 @@
         monkeypatch.setattr(watch_connection, name, 0.3)
 
     async def scenario() -> None:
-        good = Watch(watch_script(catalog(5, [entry("s1", ADDRESS)])))
-        harness = DiscoveryHarness(await Watch(answer_script(*pieces)).start(), await good.start())
+        good = StubDiscovery(watch_script(watch_event(5, [endpoint_entry("s1", ADDRESS)])))
+        harness = DiscoveryHarness(await StubDiscovery(answer_script(*pieces)).start(), await good.start())
         assert await versions(harness, 1) == [5]
         harness.discovery.watcher.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_backoff_between_requests_has_full_jitter_and_a_maximum() -> None:
@@ -538,4 +587,4 @@
         highs = [high for _, high in waits]
         assert highs[:4] == [0.2, 0.4, 0.8, 1.6] and max(highs) == discovery_client.MAX_BACKOFF_S
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_fault_injection_relay.py
+++ b/tests/test_fault_injection_relay.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from tests.sockets import query, run
+from tests.sockets import query_command, run_scenario
 from thistletrail.fault_injection.endpoint_list_rewriter import EndpointListRewriter
 from thistletrail.fault_injection.history import Writer, read
 from thistletrail.fault_injection.relay import (
@@ -96,7 +96,7 @@
             writer.close()
         assert [record["kind"] for record in read(tmp_path / "h")] == ["open"]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_relay_refuses_connections_and_accepts_them_again_at_the_same_address(tmp_path: Path) -> None:
@@ -111,7 +111,7 @@
             assert await reader.readexactly(1) == b"x"
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_cut_resets_open_and_new_connections_until_it_is_removed(tmp_path: Path) -> None:
@@ -132,7 +132,7 @@
             assert await reader.readexactly(1) == b"y"
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_cut_in_one_direction_drops_data_and_the_connection_ends_after_it(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
             set_fault(state, "")
             assert await has_ended(reader)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("way", ["there", "back"])
@@ -167,7 +167,7 @@
             assert await reader.read(-1) == b"bc"
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_delay_limit_and_loss_delay_data_without_loss(tmp_path: Path) -> None:
@@ -187,7 +187,7 @@
                 assert loop.time() - start_s >= min_round_trip_s * 0.95
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_break_truncates_a_chunk_and_resets_the_connection(tmp_path: Path) -> None:
@@ -201,14 +201,14 @@
                 await asyncio.sleep(0.01)
             assert echo.received in (b"", b"01234")  # a reset may drop data that were not read yet
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_requests_from_a_gateway_to_a_scan_server_are_recorded(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relayed_echo(tmp_path / "h", RequestRelay) as (_, relay, _):
             reader, writer = await asyncio.open_connection(*relay.address)
-            writer.write(query("abc"))
+            writer.write(query_command("abc"))
             await reader.readexactly(10)
             writer.close()
         sent = [record for record in read(tmp_path / "h") if record["kind"] == "sent"]
@@ -216,7 +216,7 @@
             ("doors-0", "servers-0", "abc")
         ]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_endpoint_list_has_the_addresses_of_the_gateways_relays_and_is_recorded() -> None:
@@ -322,4 +322,4 @@
         for gateway in gateways:
             gateway.transport.close()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,18 +15,18 @@
 from hypothesis import strategies as st
 
 from tests.sockets import (
+    CHUNKED_RESPONSE_HEAD,
     CUSTOMER,
-    HEAD,
     HOST,
-    Backend,
-    Client,
-    Watch,
-    catalog,
-    entry,
+    RespClient,
+    StubDiscovery,
+    StubScanServer,
+    encode_command,
+    endpoint_entry,
     refusing_address,
-    resp,
-    run,
-    value,
+    run_scenario,
+    value_response,
+    watch_event,
 )
 from thistletrail.gateway.__main__ import MAX_LINES_PER_PERIOD, RATE_LIMIT_PERIOD_S, LogRateLimit
 from thistletrail.gateway.config import load
@@ -63,7 +63,7 @@
 
 
 def config(**changes: object) -> dict[str, object]:
-    known = json.loads(catalog(4, []))
+    known = json.loads(watch_event(4, []))
     values = {
         "name": "n0",
         "listen": f"{HOST}:7",
@@ -126,10 +126,10 @@
 
 
 async def start(
-    tmp_path: Path, backend: Backend, **env: str
+    tmp_path: Path, backend: StubScanServer, **env: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     listen, silent = refusing_address(), refusing_address()
-    known = json.loads(catalog(4, [entry("s1", await backend.start())]))
+    known = json.loads(watch_event(4, [endpoint_entry("s1", await backend.start())]))
     values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -148,7 +148,7 @@
     """The file is a pipe, so that the start blocks until the test writes to it."""
 
     async def scenario() -> None:
-        fifo, new_discovery = tmp_path / "config.json", Watch(lambda writer: asyncio.sleep(60))
+        fifo, new_discovery = tmp_path / "config.json", StubDiscovery(lambda writer: asyncio.sleep(60))
         os.mkfifo(fifo)
         free, target = refusing_address(), await new_discovery.start()
         process = await asyncio.create_subprocess_exec(
@@ -172,78 +172,78 @@
         process.send_signal(signal.SIGHUP)
         os.write(end, json.dumps(old).encode())
         os.close(end)
-        while not new_discovery.targets:
+        while not new_discovery.request_targets:
             await asyncio.sleep(0.01)
         process.terminate()
         await process.wait()
         assert process.returncode == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_reload_takes_the_address_of_discovery_from_the_file(tmp_path: Path) -> None:
     """PROXY_DISCOVERY is as old as the process and is not used; an unusable file has no effect."""
 
     async def scenario() -> None:
-        process, address = await start(tmp_path, Backend(), PROXY_DISCOVERY=f"{HOST}:9")
+        process, address = await start(tmp_path, StubScanServer(), PROXY_DISCOVERY=f"{HOST}:9")
         file = tmp_path / "config.json"
         good = json.loads(file.read_text())
         file.write_text("{ not json")
         process.send_signal(signal.SIGHUP)
         while b"stays as it was" not in (line := await process.stderr.readline()):
             assert line
-        backend = Backend(lambda arguments: value(b"new"))
-        listed = json.loads(catalog(1, [entry("s2", await backend.start())]))
+        backend = StubScanServer(lambda arguments: value_response(b"new"))
+        listed = json.loads(watch_event(1, [endpoint_entry("s2", await backend.start())]))
         body = json.dumps(listed).encode()
 
         async def complete_list(writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
         async def silent(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD)
+            writer.write(CHUNKED_RESPONSE_HEAD)
             watched.set()
             await asyncio.Event().wait()
 
         watched = asyncio.Event()
-        discovery = await Watch(complete_list, silent).start()
+        discovery = await StubDiscovery(complete_list, silent).start()
         file.write_text(json.dumps({**good, "discovery": f"{HOST}:{discovery[1]}"}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
         await watched.wait()
-        client = await Client.open(address)
-        request = resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
-        assert await client.ask(request) == b"new"
+        client = await RespClient.connect(address)
+        request = encode_command("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
+        assert await client.request(request) == b"new"
         process.send_signal(signal.SIGTERM)
         while b"drains" not in await process.stderr.readline():
             pass
         process.send_signal(signal.SIGHUP)  # must be harmless during the shutdown
         assert await process.wait() == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_signal_starts_a_graceful_shutdown_with_exit_code_0(tmp_path: Path, number: int) -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         process, address = await start(tmp_path, backend)
-        client = await Client.open(address)
-        request = resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
-        assert await client.ask(request) == b"ok"
+        client = await RespClient.connect(address)
+        request = encode_command("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
+        assert await client.request(request) == b"ok"
         process.send_signal(number)
         while b"drains" not in await process.stderr.readline():
             pass
-        late = await Client.open(address)
-        assert await late.ask(request.replace(b"a1", b"a2")) == b"ok"
-        assert await client.ended()
+        late = await RespClient.connect(address)
+        assert await late.request(request.replace(b"a1", b"a2")) == b"ok"
+        assert await client.closed_without_reply()
         assert await process.wait() == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_address_in_use_is_reported_without_a_traceback(tmp_path: Path) -> None:
     async def scenario() -> None:
-        taken = await Backend().start()
+        taken = await StubScanServer().start()
         values = config(listen=f"{HOST}:{taken[1]}")
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -257,7 +257,7 @@
         assert process.returncode == 1
         assert b"gateway: cannot start: " in errors and b"Traceback" not in errors
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_log_lines_of_one_call_are_limited() -> None:
--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from tests.sockets import CONFIG, HOST, Backend, Client, query, run
+from tests.sockets import CONFIG, HOST, RespClient, StubScanServer, query_command, run_scenario
 from thistletrail.gateway.config import Address
 from thistletrail.gateway.server import GatewayServer
 from thistletrail.policy.events import ServerState
@@ -41,11 +41,11 @@
 @contextlib.asynccontextmanager
 async def registered_servers(
     registry: Address, *names: str
-) -> AsyncIterator[dict[str, tuple[Backend, Registration]]]:
+) -> AsyncIterator[dict[str, tuple[StubScanServer, Registration]]]:
     """Start stub scan servers, register them, and yield both by name."""
     servers = {}
     for number, name in enumerate(names):
-        backend = Backend()
+        backend = StubScanServer()
         host, port = await backend.start()
         settings = InstanceSettings(address=f"{host}:{port}", zone="a", machine_type="m2")
         registration = Registration(f"{registry[0]}:{registry[1]}", name, settings, random.Random(number))
@@ -64,10 +64,10 @@
     return gateway
 
 
-async def send_queries(client: Client, count: int, prefix: str) -> None:
+async def send_queries(client: RespClient, count: int, prefix: str) -> None:
     """Send `count` requests and assert that each is served."""
     for number in range(count):
-        assert await client.ask(query(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
+        assert await client.request(query_command(f"{prefix}{number}")) == b"ok", f"{prefix}{number}"
 
 
 async def wait_until_known(
@@ -91,7 +91,7 @@
         async with registered_servers(address, "s-1", "s-2"):
             gateway = await start_gateway(address)
             await wait_until_known(gateway, "s-1", "s-2")
-            client = await Client.open(gateway.address)
+            client = await RespClient.connect(gateway.address)
             await send_queries(client, 5, "before")
             await registry.stop()
             await send_queries(client, 20, "away")
@@ -103,7 +103,7 @@
             gateway.close()
         await registry.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_draining_scan_server_gets_no_more_requests(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
         async with registered_servers(address, "s-1", "s-2") as servers:
             gateway = await start_gateway(address)
             await wait_until_known(gateway, "s-1", "s-2")
-            client = await Client.open(gateway.address)
+            client = await RespClient.connect(gateway.address)
             await servers["s-1"][1].drain()
             await wait_until_known(gateway, "s-1", state=ServerState.DRAINING)
             commands_before = len(servers["s-1"][0].commands)
@@ -125,7 +125,7 @@
             gateway.close()
         await registry.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_scan_servers_register_again_with_a_registry_that_lost_its_data(tmp_path: Path) -> None:
@@ -139,7 +139,7 @@
             registration.start_renewing()
             gateway = await start_gateway(address)
             await wait_until_known(gateway, "s-1")
-            client = await Client.open(gateway.address)
+            client = await RespClient.connect(gateway.address)
             await registry.stop()
             empty_registry = RegistryService(tmp_path / "b")
             await registry.start(empty_registry)
@@ -150,7 +150,7 @@
             gateway.close()
         await registry.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_gateway_reads_from_a_follower_and_switches_to_the_primary(tmp_path: Path) -> None:
@@ -164,7 +164,7 @@
                 await asyncio.sleep(0.01)
             gateway = await start_gateway(follower_address)
             await wait_until_known(gateway, "s-1")
-            client = await Client.open(gateway.address)
+            client = await RespClient.connect(gateway.address)
             await send_queries(client, 5, "follower")
             gateway.reconfigure(replace(gateway.config, discovery=(primary_address,)))  # as SIGHUP does
             await follower_registry.stop()
@@ -173,4 +173,4 @@
             gateway.close()
         await registry.stop()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.sockets import value
+from tests.sockets import value_response
 from thistletrail.gateway.resp import Answer, AnswerReader, CommandReader, ProtocolError, Reader, encode
 
 ARGUMENT_LISTS = st.lists(
@@ -76,7 +76,7 @@
 def test_fast_path_reads_answers_as_the_incremental_reader_does(
     data: bytes, extra: bytes, length_error: int
 ) -> None:
-    complete = value(data)
+    complete = value_response(data)
     wrong_length = complete.replace(b"$%d\r" % len(data), b"$%d\r" % (len(data) + length_error))
     for text in (complete, complete + extra, complete[:-1], wrong_length):
         assert_same_outcome(AnswerReader, text)
@@ -90,7 +90,7 @@
         raise AssertionError("expected the fast path to read this, found an incremental read")
 
     command = encode([b"SVC.QUERY", b"1", b"2", b"c=read"])
-    for reader_class, data in ((CommandReader, command), (AnswerReader, value(b"ok"))):
+    for reader_class, data in ((CommandReader, command), (AnswerReader, value_response(b"ok"))):
         monkeypatch.setattr(reader_class, "read_incremental", read_incremental)
         reader = reader_class()
         reader.feed(data)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -12,15 +12,15 @@
     CONFIG,
     CUSTOMER,
     SETTINGS,
-    Backend,
-    Client,
-    query,
+    RespClient,
+    StubScanServer,
+    encode_command,
+    query_command,
     refusing_address,
-    resp,
-    run,
+    run_scenario,
     running_gateway,
-    submit,
-    value,
+    submit_command,
+    value_response,
 )
 from thistletrail.gateway import graceful_shutdown
 from thistletrail.gateway.server import GatewayServer
@@ -38,40 +38,40 @@
 def test_value_is_forwarded_byte_for_byte() -> None:
     async def scenario() -> None:
         body = bytes(range(256)) * 256  # 64 KiB, including line ends and null bytes
-        backend = Backend(lambda arguments: value(body))
+        backend = StubScanServer(lambda arguments: value_response(body))
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1", body=body)) == body
+            client = await RespClient.connect(address)
+            assert await client.request(submit_command("a1", body=body)) == body
             assert backend.commands[0][4] == body
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_only_the_wait_time_of_a_command_is_rewritten() -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             fields = "c=settle,r=1,kd=7,d=3000,t=team,k=5c0f,new=1,units=2,spread=2,first=1"
-            assert await client.ask(resp("SVC.SUBMIT", CUSTOMER, "a1", fields, "B")) == b"ok"
+            assert await client.request(encode_command("SVC.SUBMIT", CUSTOMER, "a1", fields, "B")) == b"ok"
             name, customer, request_id, sent, body = backend.commands[0]
             assert (name, customer, request_id, body) == (b"SVC.SUBMIT", CUSTOMER.encode(), b"a1", b"B")
             head, _, tail = fields.partition("d=3000")
             assert sent.startswith(head.encode()) and sent.endswith(tail.encode())
             assert 2000 < int(sent.decode().removeprefix(head).removesuffix(tail)[2:]) < 3000
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_backends_busy_answer_is_not_forwarded() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: b"-BUSY 123456\r\n")
+        backend = StubScanServer(lambda arguments: b"-BUSY 123456\r\n")
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1")) == "-BUSY 750"
+            client = await RespClient.connect(address)
+            assert await client.request(submit_command("a1")) == "-BUSY 750"
             assert len(backend.commands) == SETTINGS.max_attempts  # BUSY: none of them ran
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 ANSWERS_OF_UNKNOWN_EFFECT = [b"-ERR failed util=0.5\r\n", b"-ODD\r\n", b"", b"$-1\r\n", b"+OK\r\n", b"?"]
@@ -80,18 +80,18 @@
 @pytest.mark.parametrize("answer", ANSWERS_OF_UNKNOWN_EFFECT)
 def test_unsafe_request_that_may_have_run_is_sent_once(answer: bytes) -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: answer)
+        backend = StubScanServer(lambda arguments: answer)
         async with running_gateway(backend) as (_, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1")) == "-ERR failed"
+            client = await RespClient.connect(address)
+            assert await client.request(submit_command("a1")) == "-ERR failed"
             assert len(backend.commands) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_unsafe_request_is_retried_after_refused_connections() -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         refusing = [refusing_address() for _ in range(6)]
         async with running_gateway(
             backend, addresses=refusing, settings=replace(SETTINGS, max_attempts=9)
@@ -99,67 +99,67 @@
             _,
             address,
         ):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1")) == b"ok"
+            client = await RespClient.connect(address)
+            assert await client.request(submit_command("a1")) == b"ok"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_is_answered_once_before_its_client_times_out() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(submit("a1", wait_ms=300))
-            await backend.received(1)
+            client = await RespClient.connect(address)
+            client.send(submit_command("a1", wait_ms=300))
+            await backend.wait_for_commands(1)
             loop = asyncio.get_running_loop()
             open_at_end: asyncio.Future[list[str]] = loop.create_future()
             # The gateway's timers and this one fire in the order of their due times, even if all are late.
             loop.call_later(0.3, lambda: open_at_end.set_result(list(gateway.exchanges.unanswered)))
-            assert await client.answer() == "-ERR failed"
+            assert await client.read_reply() == "-ERR failed"
             assert await open_at_end == []
-            await backend.left.wait()  # the attempt ended with its connection
-            assert await client.ask(resp("PING")) == b"PONG"  # no second answer came in between
+            await backend.connection_closed.wait()  # the attempt ended with its connection
+            assert await client.request(encode_command("PING")) == b"PONG"  # no second answer came in between
             assert (
                 not gateway.exchanges.unanswered
                 and not gateway.exchanges.answered_in_flight
                 and gateway.exchanges.buffered_bytes == 0
             )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_ends_when_its_client_disconnects() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(query("a1"))
-            await backend.came.wait()
+            client = await RespClient.connect(address)
+            client.send(query_command("a1"))
+            await backend.command_received.wait()
             client.writer.close()
-            await backend.left.wait()
+            await backend.connection_closed.wait()
             assert not gateway.exchanges.unanswered and not gateway.policy.requests_by_id
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_second_request_with_an_id_in_use_is_an_error_and_the_first_continues() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (_, address):
-            client, other = await Client.open(address), await Client.open(address)
-            client.send(query("a1"))
-            await backend.came.wait()
-            assert await other.ask(query("a1")) == "-ERR this id is in use"
-            backend.writers[0].write(value(b"late"))
-            assert await client.answer() == b"late"
+            client, other = await RespClient.connect(address), await RespClient.connect(address)
+            client.send(query_command("a1"))
+            await backend.command_received.wait()
+            assert await other.request(query_command("a1")) == "-ERR this id is in use"
+            backend.writers[0].write(value_response(b"late"))
+            assert await client.read_reply() == b"late"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_exception_in_the_policy_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             handle = gateway.policy.handle
 
             def fail_on_one_request(now: int, event: Event) -> list[Action]:
@@ -168,12 +168,12 @@
                 return handle(now, event)
 
             gateway.policy.handle = fail_on_one_request
-            client = await Client.open(address)
-            assert await client.ask(query("bad")) == "-ERR failed"
-            assert await client.ask(query("good")) == b"ok"
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("bad")) == "-ERR failed"
+            assert await client.request(query_command("good")) == b"ok"
 
     with caplog.at_level(logging.ERROR):
-        run(scenario())
+        run_scenario(scenario())
     assert "a fault in the policy" in caplog.text and "Traceback" in caplog.text
 
 
@@ -181,21 +181,21 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             gateway.policy.handle = lambda now, event: []
-            client = await Client.open(address)
-            assert await client.ask(query("a1", wait_ms=200)) == "-ERR failed"
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("a1", wait_ms=200)) == "-ERR failed"
 
-    run(scenario())
+    run_scenario(scenario())
     assert "left without an answer" in caplog.text
 
 
 def test_attempt_for_an_answered_request_is_not_sent() -> None:
     async def scenario() -> None:
-        backend = Backend()
+        backend = StubScanServer()
         async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            assert await client.ask(query("a1")) == b"ok"
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("a1")) == b"ok"
             events: list[Event] = []
             gateway.policy.handle = lambda now, event: events.append(event) or []
             gateway.exchanges.start_attempt(StartAttempt("a1", "s0"))
@@ -206,7 +206,7 @@
             ]
             assert len(backend.commands) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_timers_are_never_early_and_events_of_a_batch_have_one_time() -> None:
@@ -239,30 +239,31 @@
         assert all(fired_at_us[token] >= due_at_us[token] for token in due_at_us)
         assert len(batch_times_us) == 5 and len(set(batch_times_us)) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_serves_new_requests_and_answers_all() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None if arguments[2] == b"slow" else value(b"ok"))
+        backend = StubScanServer(lambda arguments: None if arguments[2] == b"slow" else value_response(b"ok"))
         async with running_gateway(backend) as (gateway, address):
-            idle, busy = await Client.open(address), await Client.open(address)
-            assert await idle.ask(resp("PING")) == b"PONG"
-            busy.send(query("slow"))
-            await backend.came.wait()
+            idle, busy = await RespClient.connect(address), await RespClient.connect(address)
+            assert await idle.request(encode_command("PING")) == b"PONG"
+            busy.send(query_command("slow"))
+            await backend.command_received.wait()
             draining = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0)
-            late = await Client.open(address)
-            assert await late.ask(query("new")) == b"ok"
-            assert await idle.ask(query("kept")) == b"ok"
-            assert await idle.ended() and await late.ended()  # closed between requests
+            late = await RespClient.connect(address)
+            assert await late.request(query_command("new")) == b"ok"
+            assert await idle.request(query_command("kept")) == b"ok"
+            # Both connections are closed between requests.
+            assert await idle.closed_without_reply() and await late.closed_without_reply()
             assert not draining.done()
-            backend.writers[0].write(value(b"at last"))
-            assert await busy.answer() == b"at last"
-            assert await busy.ended()
+            backend.writers[0].write(value_response(b"at last"))
+            assert await busy.read_reply() == b"at last"
+            assert await busy.closed_without_reply()
             await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_waits_for_a_request_that_arrives_late(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -270,32 +271,32 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.1)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
+        backend = StubScanServer(lambda arguments: None)
         async with running_gateway(backend) as (gateway, address):
-            busy = await Client.open(address)
-            busy.send(submit("a1"))
-            await backend.came.wait()
+            busy = await RespClient.connect(address)
+            busy.send(submit_command("a1"))
+            await backend.command_received.wait()
             draining = asyncio.create_task(gateway.drain())
             while not gateway.clients.is_draining:
                 await asyncio.sleep(0)
-            client = await Client.open(address)
-            backend.came.clear()
-            client.send(submit("a2"))
-            await backend.came.wait()
-            backend.writers[0].write(value(b"first"))
-            assert await busy.answer() == b"first"
+            client = await RespClient.connect(address)
+            backend.command_received.clear()
+            client.send(submit_command("a2"))
+            await backend.command_received.wait()
+            backend.writers[0].write(value_response(b"first"))
+            assert await busy.read_reply() == b"first"
             await asyncio.sleep(0.3)  # longer than the grace: open requests are still awaited
             assert not draining.done()
-            backend.writers[1].write(value(b"at last"))
-            assert await client.answer() == b"at last"
+            backend.writers[1].write(value_response(b"at last"))
+            assert await client.read_reply() == b"at last"
             await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_action_whose_handler_fails_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             handle = gateway.policy.handle
 
             def add_invalid_action(now: int, event: Event) -> list[Action]:
@@ -305,11 +306,11 @@
                 return actions
 
             gateway.policy.handle = add_invalid_action
-            client = await Client.open(address)
-            assert await client.ask(query("bad")) == "-ERR failed"
-            assert await client.ask(query("good")) == b"ok"
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("bad")) == "-ERR failed"
+            assert await client.request(query_command("good")) == b"ok"
 
-    run(scenario())
+    run_scenario(scenario())
     assert "cannot carry out" in caplog.text
 
 
@@ -318,19 +319,19 @@
 
     async def scenario() -> None:
         rng = random.Random(5)
-        good, malformed = value(b"ok"), b"*9\r\n"
+        good, malformed = value_response(b"ok"), b"*9\r\n"
         answers = [good, good, b"-BUSY\r\n", b"-ERR failed\r\n", b"", malformed, good * 2, None]
-        servers = [Backend(lambda arguments: rng.choice(answers)) for _ in range(3)]
+        servers = [StubScanServer(lambda arguments: rng.choice(answers)) for _ in range(3)]
         async with running_gateway(*servers, addresses=[refusing_address()]) as (gateway, address):
-            clients = [await Client.open(address) for _ in range(20)]
+            clients = [await RespClient.connect(address) for _ in range(20)]
             for number in range(200):
-                ask = query if number % 3 else submit
+                ask = query_command if number % 3 else submit_command
                 clients[number % 20].send(ask(f"a{number}", wait_ms=400))
             for client in clients[:5]:
                 client.writer.close()  # with requests open
             for client in clients[5:]:
                 for _ in range(10):
-                    assert await client.answer() is not None
+                    assert await client.read_reply() is not None
             policy = gateway.policy
             while (
                 gateway.exchanges.unanswered or gateway.exchanges.answered_in_flight or policy.requests_by_id
@@ -347,4 +348,4 @@
             assert not any(pool.connecting or pool.waiting for pool in pools)
             assert gateway.clients.sockets == len(gateway.clients.connections) == 15
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -14,7 +14,16 @@
 import pytest
 
 from tests.helpers import SECOND_US, SETTINGS, GatewayHarness, actions_of_type
-from tests.sockets import CONFIG, HOST, Backend, Client, Watch, query, run, running_gateway
+from tests.sockets import (
+    CONFIG,
+    HOST,
+    RespClient,
+    StubDiscovery,
+    StubScanServer,
+    query_command,
+    run_scenario,
+    running_gateway,
+)
 from tests.test_program import config as config_values
 from tests.test_program import write as write_config
 from thistletrail.gateway import snapshot_file, snapshot_store
@@ -212,16 +221,16 @@
 
 def test_a_gateway_restores_the_snapshot_of_its_previous_process(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway_server, address):
+        async with running_gateway(StubScanServer()) as (gateway_server, address):
             first = store_in(tmp_path)
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             for number in range(5):
-                await client.ask(query(f"r{number}"))
+                await client.request(query_command(f"r{number}"))
             first.write(first.collect(gateway_server))
             first.close()
             second = store_in(tmp_path)
             assert second.stored_snapshot.endpoint_list["generation"] == 7
-            config = second.with_stored_list(replace(CONFIG, discovery=(await Watch(never).start(),)))
+            config = second.with_stored_list(replace(CONFIG, discovery=(await StubDiscovery(never).start(),)))
             next_gateway = GatewayServer(config)
             second.restore(next_gateway)
             await asyncio.sleep(0)
@@ -241,14 +250,14 @@
     async def never(writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_only_the_endpoint_list_of_an_old_snapshot_is_used(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway_server, _):
+        async with running_gateway(StubScanServer()) as (gateway_server, _):
             first = store_in(tmp_path)
             first.write(first.collect(gateway_server))
             first.close()
@@ -261,7 +270,7 @@
             assert third.stored_snapshot is None
             third.close()
 
-    run(scenario())
+    run_scenario(scenario())
     assert "is too old for all but its list" in caplog.text and "written 3600 s ago" in caplog.text
 
 
--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.sockets import CONFIG, SETTINGS, query, submit
+from tests.sockets import CONFIG, SETTINGS, query_command, submit_command
 from thistletrail.gateway.clients import CommandParser
 from thistletrail.gateway.deadline import Deadline
 from thistletrail.gateway.errors import GatewayError, TransferredRequestError
@@ -24,7 +24,7 @@
 
 
 def test_work_item_of_a_request_without_a_key_is_named_by_its_id() -> None:
-    command = read_transferred_request(PARSER, submit("a1"))
+    command = read_transferred_request(PARSER, submit_command("a1"))
     exchange = Exchange(command, DetachedReply("a1.7"), Deadline.start(command.wait_us, 0, 0))
     item = new_work_item(exchange, SETTINGS)
     assert item.name == "#a1"
@@ -33,7 +33,9 @@
 
 
 @pytest.mark.parametrize(
-    "data", [submit("a1")[:-3], b"", b"?\r\n", b"*1\r\n$3\r\nODD\r\n"], ids=["cut", "empty", "odd", "unknown"]
+    "data",
+    [submit_command("a1")[:-3], b"", b"?\r\n", b"*1\r\n$3\r\nODD\r\n"],
+    ids=["cut", "empty", "odd", "unknown"],
 )
 def test_unreadable_transferred_request_raises_transferred_request_error(data: bytes) -> None:
     with pytest.raises(TransferredRequestError) as raised:
@@ -47,14 +49,14 @@
         reader.feed(data)
         return reader.next()
 
-    arguments = parse_arguments(submit("a1", body=b"x"))
+    arguments = parse_arguments(submit_command("a1", body=b"x"))
     values = {"c": "settle", "t": "team", "units": "2"}
     assert request_digest(arguments, values) == request_digest(arguments, {**values, "d": "17", "r": "1"})
     assert request_digest(arguments, values) != request_digest(arguments, {**values, "units": "3"})
     assert request_digest(arguments, values) != request_digest(
-        parse_arguments(submit("a1", body=b"y")), values
+        parse_arguments(submit_command("a1", body=b"y")), values
     )
-    assert request_digest(arguments, values) != request_digest(parse_arguments(query("a1")), values)
+    assert request_digest(arguments, values) != request_digest(parse_arguments(query_command("a1")), values)
 
 
 @pytest.mark.parametrize(
