--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""The pages that name modules name those that are there."""
+"""Tests that the modules that the pages name exist."""
 
 import re
 from pathlib import Path
@@ -12,10 +12,10 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_modules_that_a_page_names_exist(page: str) -> None:
+def test_modules_named_on_a_page_exist(page: str) -> None:
     named = MODULE.findall((ROOT / page).read_text())
     assert [module for module in named if not (ROOT / "thistletrail" / module).exists()] == []
 
 
-def test_the_architecture_names_modules() -> None:
+def test_architecture_page_names_more_than_30_modules() -> None:
     assert len(MODULE.findall((ROOT / "docs/architecture.md").read_text())) > 30
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -18,20 +18,24 @@
 from thistletrail.gateway.resp import Answer, AnswerReader, ProtocolError
 from thistletrail.policy.events import AttemptResult, LoadReport, ServerState
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 class Sender:
     """Sends attempts through a pool and queues their outcomes."""
 
     def __init__(
-        self, address: Address, idle_us: int = 30 * S, max_connections: int = 50, connect_us: int = 20 * S
+        self,
+        address: Address,
+        idle_us: int = 30 * SECOND_US,
+        max_connections: int = 50,
+        connect_us: int = 20 * SECOND_US,
     ) -> None:
         self.backends = Backends(idle_us, connect_us, max_connections)
         self.backends.update({"s": ServerState.SERVING}, {"s": address}, is_full=True)
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
-    def send(self, payload: bytes = encode_command("PING"), timeout_us: int = 5 * S) -> Attempt:
+    def send(self, payload: bytes = encode_command("PING"), timeout_us: int = 5 * SECOND_US) -> Attempt:
         attempt = Attempt(
             "a", 0, "s", lambda remaining_us: payload, lambda _, *outcome: self.ended.put_nowait(outcome)
         )
@@ -42,7 +46,7 @@
         return (await self.ended.get())[0]
 
     async def send_and_time_out(self, payload: bytes = encode_command("PING")) -> AttemptResult:
-        """The result of an attempt that times out 50 ms after its writing has begun."""
+        """Return the result of an attempt that times out 50 ms after its first byte was written."""
         attempt = self.send(payload)
         while not (attempt.written_us or attempt.is_over):
             await asyncio.sleep(0.001)
@@ -53,7 +57,7 @@
 
 @contextlib.asynccontextmanager
 async def unresponsive_machine() -> AsyncIterator[tuple[Address, socket.socket]]:
-    """A machine that accepts connections and reads nothing."""
+    """Yield the address and the listener of a machine that accepts connections and reads nothing."""
     with socket.socket() as listener:
         listener.bind((HOST, 0))
         listener.listen()
@@ -64,20 +68,20 @@
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start())
         sender.send()
         sender.send()
-        await backend.wait_for_commands(2)
-        assert backend.opened_connections == 2
-        for writer in backend.writers:
+        await scan_server.wait_for_commands(2)
+        assert scan_server.opened_connections == 2
+        for writer in scan_server.writers:
             writer.write(value_response(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
-        backend.respond = lambda arguments: value_response(b"y")
+        scan_server.respond = lambda arguments: value_response(b"y")
         for _ in range(5):
             sender.send()
             assert await sender.result() is AttemptResult.SUCCESS
-        assert backend.opened_connections == 2
+        assert scan_server.opened_connections == 2
         sender.backends.close()
 
     run_scenario(scenario())
@@ -85,14 +89,14 @@
 
 def test_cancelled_attempt_closes_its_connection() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start())
         attempt = sender.send()
-        await backend.command_received.wait()
+        await scan_server.command_received.wait()
         attempt.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.connection_closed.wait()  # its late answer must not answer the next command
-        backend.respond = lambda arguments: value_response(b"fresh")
+        await scan_server.connection_closed.wait()  # its late answer must not answer the next command
+        scan_server.respond = lambda arguments: value_response(b"fresh")
         sender.send()
         assert (await sender.ended.get())[1] == b"fresh"
         assert sender.ended.empty()
@@ -141,7 +145,7 @@
     async def scenario() -> None:
         async with unresponsive_machine() as (address, listener):
             sender = Sender(address)
-            sender.send(timeout_us=20 * S)
+            sender.send(timeout_us=20 * SECOND_US)
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.close()  # before the event loop handles the established connection
@@ -159,12 +163,12 @@
             listener = stack.enter_context(socket.socket())
             listener.bind((HOST, 0))
             listener.listen(0)
-            for _ in range(3):  # its backlog is full: the kernel drops further attempts to connect
+            for _ in range(3):  # its backlog is full: the kernel drops further SYN segments
                 filler = stack.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
             sender = Sender(listener.getsockname(), connect_us=200_000)
-            sender.send(timeout_us=60 * S)
+            sender.send(timeout_us=60 * SECOND_US)
             assert await asyncio.wait_for(sender.result(), 20) is AttemptResult.CONNECT_FAILED
 
     run_scenario(scenario())
@@ -186,13 +190,13 @@
             timeouts[-1].reschedule(0)
 
     async def scenario() -> None:
-        backend = StubScanServer()
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer()
+        sender = Sender(await scan_server.start())
         sender.backends.connection_class = Crossing
         monkeypatch.setattr(asyncio, "timeout", recorded_timeout)
-        sender.send(timeout_us=60 * S)
+        sender.send(timeout_us=60 * SECOND_US)
         assert await asyncio.wait_for(sender.result(), 20) is AttemptResult.CONNECT_FAILED
-        assert sender.backends.connection_count() == 0 and not backend.commands
+        assert sender.backends.connection_count() == 0 and not scan_server.commands
         assert sender.backends.pools["s"].connecting == 0
 
     run_scenario(scenario())
@@ -200,12 +204,12 @@
 
 def test_idle_connection_is_closed_before_the_server_closes_it() -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
-        sender = Sender(await backend.start(), idle_us=200_000)
+        scan_server = StubScanServer()
+        sender = Sender(await scan_server.start(), idle_us=200_000)
         sender.backends.sweep()
         sender.send()
         assert await sender.result() is AttemptResult.SUCCESS
-        await backend.connection_closed.wait()
+        await scan_server.connection_closed.wait()
         assert sender.backends.connection_count() == 0
 
     run_scenario(scenario())
@@ -216,16 +220,16 @@
 
     async def scenario() -> None:
         for broken in (None, b""):
-            backend = StubScanServer(lambda arguments: None)
-            sender = Sender(await backend.start())
+            scan_server = StubScanServer(lambda arguments: None)
+            sender = Sender(await scan_server.start())
             sender.send()
             sender.send()
-            await backend.wait_for_commands(2)
-            for writer in backend.writers:
+            await scan_server.wait_for_commands(2)
+            for writer in scan_server.writers:
                 writer.write(value_response(b"x"))
             assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
             assert len(sender.backends.pools["s"].idle) == 2
-            backend.respond = lambda arguments, broken=broken: broken
+            scan_server.respond = lambda arguments, broken=broken: broken
             assert await sender.send_and_time_out() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
             assert sender.backends.pools["s"].idle == []
 
@@ -234,8 +238,8 @@
 
 def test_connections_are_bounded_over_all_servers() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start(), max_connections=2)
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start(), max_connections=2)
         first = sender.send()
         sender.send()
         sender.send()
@@ -243,7 +247,7 @@
         assert sender.backends.connection_count() == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.command_received.wait()
+        await scan_server.command_received.wait()
         sender.backends.close()
 
     run_scenario(scenario())
@@ -251,14 +255,14 @@
 
 def test_removed_server_completes_its_attempt_and_loses_its_idle_connections() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start())
         sender.send()
-        await backend.command_received.wait()
+        await scan_server.command_received.wait()
         sender.backends.update({}, {}, is_full=True)
-        backend.writers[0].write(value_response(b"x"))
+        scan_server.writers[0].write(value_response(b"x"))
         assert await sender.result() is AttemptResult.SUCCESS
-        await backend.connection_closed.wait()
+        await scan_server.connection_closed.wait()
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
@@ -294,23 +298,23 @@
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start())
         sender.send()
         sender.send()
-        await backend.wait_for_commands(2)
-        for writer in backend.writers:
+        await scan_server.wait_for_commands(2)
+        for writer in scan_server.writers:
             writer.write(value_response(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.SUCCESS] * 2
-        backend.respond = lambda arguments: answer
-        sender.send(timeout_us=20 * S)
+        scan_server.respond = lambda arguments: answer
+        sender.send(timeout_us=20 * SECOND_US)
         assert await sender.result() is AttemptResult.MALFORMED
-        await backend.connection_closed.wait()
+        await scan_server.connection_closed.wait()
         assert len(sender.backends.pools["s"].idle) == 1
-        backend.respond = lambda arguments: value_response(b"good")
+        scan_server.respond = lambda arguments: value_response(b"good")
         sender.send()
         assert await sender.ended.get() == (AttemptResult.SUCCESS, b"good", None)
-        assert backend.opened_connections == 2
+        assert scan_server.opened_connections == 2
         sender.backends.close()
 
     run_scenario(scenario())
@@ -318,29 +322,29 @@
 
 def test_bytes_behind_an_answer_never_answer_the_next_request() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start())
         sender.send()
-        await backend.command_received.wait()
-        backend.writers[0].write(value_response(b"first"))
+        await scan_server.command_received.wait()
+        scan_server.writers[0].write(value_response(b"first"))
         assert (await sender.ended.get())[1] == b"first"
-        backend.respond = lambda arguments: value_response(b"second")
+        scan_server.respond = lambda arguments: value_response(b"second")
         sender.send()  # at once: the connection may not be reused yet
         assert (await sender.ended.get())[1] == b"second"
-        assert backend.opened_connections == 2
+        assert scan_server.opened_connections == 2
         for connection in sender.backends.pools["s"].idle:
             connection.idle_since_us = 0
         # Both may be reused by now, and get unread bytes, which are found although the loop does not run
         # in between.
-        for writer in backend.writers:
+        for writer in scan_server.writers:
             writer.transport.get_extra_info("socket")  # still open
             socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())).send(
                 value_response(b"copy")
             )
-        backend.respond = lambda arguments: value_response(b"third")
+        scan_server.respond = lambda arguments: value_response(b"third")
         sender.send()
         assert (await sender.ended.get())[1] == b"third"
-        assert backend.opened_connections == 3
+        assert scan_server.opened_connections == 3
         sender.backends.close()
 
     run_scenario(scenario())
@@ -350,7 +354,7 @@
     async def scenario() -> None:
         async with unresponsive_machine() as (address, listener):
             sender = Sender(address)
-            sender.send(b"x" * (64 << 20), timeout_us=20 * S)
+            sender.send(b"x" * (64 << 20), timeout_us=20 * SECOND_US)
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             with accepted:
@@ -382,13 +386,13 @@
     """The policy may have selected it just before the endpoint list said so."""
 
     async def scenario() -> None:
-        backend = StubScanServer()
-        address = await backend.start()
+        scan_server = StubScanServer()
+        address = await scan_server.start()
         sender = Sender(address)
         sender.backends.update({"s": ServerState.DRAINING}, {"s": address}, is_full=False)
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        assert not sender.backends.connection_count() and not backend.opened_connections
+        assert not sender.backends.connection_count() and not scan_server.opened_connections
 
     run_scenario(scenario())
 
@@ -397,14 +401,14 @@
     """The callback may start a further attempt at once, and two may not be in flight."""
 
     async def scenario() -> None:
-        backend, counts = StubScanServer(lambda arguments: None), []
-        sender = Sender(await backend.start())
+        scan_server, counts = StubScanServer(lambda arguments: None), []
+        sender = Sender(await scan_server.start())
         attempt = sender.send()
         attempt.on_ended = lambda *_: counts.append(sender.backends.connection_count())
-        await backend.command_received.wait()
+        await scan_server.command_received.wait()
         attempt.cancel()
         attempt.cancel()
-        await backend.connection_closed.wait()
+        await scan_server.connection_closed.wait()
         assert counts == [0]
 
     run_scenario(scenario())
@@ -412,18 +416,18 @@
 
 def test_long_answers_pass_and_incomplete_answers_are_bounded_in_total() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: value_response(b"x" * 213_035))
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: value_response(b"x" * 213_035))
+        sender = Sender(await scan_server.start())
         sender.send()
         assert await sender.ended.get() == (AttemptResult.SUCCESS, b"x" * 213_035, None)
-        backend.respond = lambda arguments: value_response(b"x" * 213_035)[:150_000]
+        scan_server.respond = lambda arguments: value_response(b"x" * 213_035)[:150_000]
         sender.backends.max_partial_answer_bytes = 400_000
         for _ in range(3):
-            sender.send(timeout_us=20 * S)
+            sender.send(timeout_us=20 * SECOND_US)
         assert await sender.result() is AttemptResult.MALFORMED
         assert sender.backends.partial_answer_bytes <= 400_000
         sender.backends.close()
-        await backend.connection_closed.wait()
+        await scan_server.connection_closed.wait()
         while sender.backends.connection_count():
             await asyncio.sleep(0.01)
         assert sender.backends.partial_answer_bytes == 0
@@ -433,13 +437,13 @@
 
 def test_connection_count_follows_the_open_sockets() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        sender = Sender(await backend.start())
+        scan_server = StubScanServer(lambda arguments: None)
+        sender = Sender(await scan_server.start())
         attempt = sender.send()
-        await backend.command_received.wait()
+        await scan_server.command_received.wait()
         attempt.cancel()
         assert sender.backends.connection_count() == 1  # the event loop closes the socket in a later turn
-        await backend.connection_closed.wait()
+        await scan_server.connection_closed.wait()
         assert sender.backends.connection_count() == 0
         sender.backends.update({"s": ServerState.SERVING}, {"s": refusing_address()}, is_full=True)
         sender.send()
@@ -456,14 +460,14 @@
     monkeypatch.setattr(backends, "now_us", lambda: 0)  # all are in one idle class, however busy the machine
 
     async def scenario() -> None:
-        backend = StubScanServer()
+        scan_server = StubScanServer()
         # The second command on a connection resets it.
-        backend.respond = lambda arguments: (
+        scan_server.respond = lambda arguments: (
             b""
-            if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1
+            if scan_server.writers.index(scan_server.writers[-1]) < len(scan_server.writers) - 1
             else value_response(b"ok")
         )
-        sender = Sender(await backend.start())
+        sender = Sender(await scan_server.start())
         results = []
         for _ in range(40):
             sender.send()
@@ -489,7 +493,7 @@
 
 
 def parse_split(data: bytes, cuts: list[int]) -> list[Answer | None]:
-    """The answers in data that is fed in pieces, and None where the rest is malformed."""
+    """Return the answers in data that is split at `cuts`, and None in place of a malformed rest."""
     reader = AnswerReader()
     answers: list[Answer | None] = []
     offsets = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
@@ -517,15 +521,17 @@
     assert parse_split(data, cuts) == [Answer(body, report=report) for body, report in answers]
 
 
-PIECES = st.one_of(
+FRAGMENTS = st.one_of(
     st.binary(max_size=20),
     st.sampled_from([b"*3\r\n", b"$3\r\nabc\r\n", b"$-1\r\n", b"-ERR failed\r\n", b"-BUSY\r\n", b"\r\n"]),
 )
 
 
-@given(st.lists(PIECES), st.lists(st.integers(0, 200)))
-def test_arbitrary_bytes_read_the_same_however_they_are_split(pieces: list[bytes], cuts: list[int]) -> None:
-    assert parse_split(b"".join(pieces), cuts) == parse_split(b"".join(pieces), [])
+@given(st.lists(FRAGMENTS), st.lists(st.integers(0, 200)))
+def test_arbitrary_bytes_read_the_same_however_they_are_split(
+    fragments: list[bytes], cuts: list[int]
+) -> None:
+    assert parse_split(b"".join(fragments), cuts) == parse_split(b"".join(fragments), [])
 
 
 def test_load_report_is_read_by_field_names_and_without_malformed_values() -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on what requests, connections and customers use, in bytes and objects, independent of time."""
+"""Bounds on the memory, objects and connections that requests and customers use, without measuring time."""
 
 import asyncio
 import gc
@@ -31,7 +31,7 @@
 from thistletrail.policy.pending_request import PendingRequest
 
 ROOT = Path(__file__).parent.parent
-# Allocated by the program's own lines for an idle connection, the transport included. With uvloop 0.23 it is
+# Allocated by lines of the gateway for an idle connection, including the transport. With uvloop 0.23 it is
 # 1,600 bytes (2,450 with a deque for the replies, 1,750 without slots).
 MAX_IDLE_CONNECTION_BYTES = 2000
 # Allocated by the policy for a customer with one request: about 650 bytes, and more just after a dictionary
@@ -40,7 +40,7 @@
 
 
 def allocated_bytes(path_pattern: str) -> Callable[[], int]:
-    """A function for the bytes that lines of these files allocate from now on and have not freed."""
+    """Return a function that measures the bytes allocated by these files from now on and not yet freed."""
     filters = [tracemalloc.Filter(True, str(ROOT / path_pattern))]
 
     def take_snapshot() -> tracemalloc.Snapshot:
@@ -58,7 +58,7 @@
     tracemalloc.stop()
 
 
-def test_idle_connection_uses_few_bytes(traced_memory: None) -> None:
+def test_memory_of_an_idle_connection_is_bounded(traced_memory: None) -> None:
     count = 200
 
     async def scenario() -> None:
@@ -66,7 +66,7 @@
             _,
             address,
         ):
-            # What the first requests allocate once for all is not counted.
+            # Memory that is allocated only once, by the first requests, is not counted.
             for number in range(20):
                 await (await RespClient.connect(address)).request(
                     query_command(f"w{number}", wait_ms=LONG_TIMEOUT_MS)
@@ -81,7 +81,7 @@
 
 
 def serve_customers(harness: GatewayHarness, start: int, count: int) -> None:
-    """Have `count` customers send one request each, which is answered."""
+    """Have `count` customers, numbered from `start`, send one request each, and answer it."""
     for number in range(start, start + count):
         harness.send_request(f"r{number}", customer=f"c{number}")
         for name, attempt in list(harness.in_flight):
@@ -90,7 +90,7 @@
         harness.attempt_counts.clear()
 
 
-def test_customer_with_one_request_uses_few_bytes(traced_memory: None) -> None:
+def test_memory_of_a_customer_with_one_request_is_bounded(traced_memory: None) -> None:
     harness = GatewayHarness()
     serve_customers(harness, 0, 100)
     count = 2000
@@ -99,8 +99,8 @@
     assert 0 < measure() / count < MAX_CUSTOMER_BYTES
 
 
-def test_ten_thousand_customers_with_one_request_each_are_all_forgotten() -> None:
-    """A customer is remembered until its token buckets are full again, and no longer."""
+def test_ten_thousand_customers_with_one_request_each_are_all_evicted() -> None:
+    """A customer is evicted as soon as its token buckets are full again."""
     harness = GatewayHarness(replace(SETTINGS, plans=(replace(PLAN, rate=1000.0),)), servers(4))
     gateway = harness.engine
     max_customers = 0
@@ -121,7 +121,7 @@
 
 
 def live_objects(*classes: type) -> list[object]:
-    """All objects of these classes that are still referenced."""
+    """Return the objects of these classes that are still referenced."""
     gc.collect()
     return [candidate for candidate in gc.get_objects() if isinstance(candidate, classes)]
 
@@ -130,13 +130,13 @@
     """A timer that is not cancelled refers to its callback, and so keeps the request in memory."""
 
     async def scenario() -> None:
-        def answer(arguments: list[bytes]) -> bytes | None:
+        def respond(arguments: list[bytes]) -> bytes | None:
             return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(
                 arguments[2][:1], value_response(b"ok")
             )
 
-        backend = StubScanServer(answer)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(respond)
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             assert await client.request(query_command("a0")) == b"ok"
             before = asyncio.all_tasks()
@@ -146,7 +146,7 @@
             assert str(await client.request(query_command("c1"))).startswith("-")
             leaving = await RespClient.connect(address)
             leaving.send(query_command("z1"))
-            await backend.wait_for_commands(1, b"z1")
+            await scan_server.wait_for_commands(1, b"z1")
             leaving.writer.close()
             while (
                 gateway.exchanges.unanswered
@@ -166,29 +166,29 @@
 
 
 @pytest.mark.parametrize(("at_once", "rounds"), [(1, 40), (8, 5)])
-def test_connections_to_a_server_are_as_many_as_attempts_in_flight_at_once(
+def test_connections_to_a_server_do_not_exceed_the_attempts_in_flight_at_once(
     at_once: int, rounds: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Their number does not grow with the number of requests."""
+    """The number of connections must not grow with the number of requests."""
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (gateway, address):
             clients = [await RespClient.connect(address) for _ in range(at_once)]
             for turn in range(rounds):
                 for number, client in enumerate(clients):
                     client.send(query_command(f"a{turn}x{number}"))
                 assert [await client.read_reply() for client in clients] == [b"ok"] * at_once
             assert gateway.costs.requests == at_once * rounds
-            assert gateway.costs.handshakes == backend.opened_connections <= at_once
+            assert gateway.costs.handshakes == scan_server.opened_connections <= at_once
             assert gateway.backends.connection_count() <= at_once and gateway.clients.sockets == at_once
 
     run_scenario(scenario())
 
 
-def test_start_does_not_import_large_modules_with_little_use() -> None:
-    """An imported module stays in memory for the lifetime of every gateway of the fleet."""
+def test_gateway_start_does_not_import_pathlib_urllib_or_email() -> None:
+    """The gateway hardly uses these modules, but imported ones take memory in every process of the fleet."""
     code = (
         "import sys, thistletrail.gateway.__main__\n"
         "print([name for name in ('pathlib', 'urllib', 'email') if name in sys.modules])"
@@ -199,8 +199,8 @@
     assert process.stdout.strip() == "[]"
 
 
-def test_policy_has_one_timer_at_a_time() -> None:
-    """An idle policy waits for the end of its period; a request sets an earlier timer, which replaces it."""
+def test_setting_a_policy_timer_replaces_the_previous_one() -> None:
+    """The timer of an idle policy is due at the end of its period; a request sets an earlier one instead."""
 
     async def scenario() -> None:
         async with running_gateway(StubScanServer()) as (gateway, _):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -32,17 +32,19 @@
 
 def test_answers_are_sent_in_the_order_of_the_commands() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(
+        scan_server = StubScanServer(
             lambda arguments: None if arguments[2] == b"a1" else value_response(arguments[2])
         )
-        async with running_gateway(backend) as (_, address):
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             client.send(
                 query_command("a1") + encode_command("PING") + query_command("a2") + encode_command("WHAT")
             )
-            await backend.wait_for_commands(2)
-            slow = next(index for index, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
-            backend.writers[slow].write(value_response(b"a1"))
+            await scan_server.wait_for_commands(2)
+            slow = next(
+                index for index, arguments in enumerate(scan_server.commands) if arguments[2] == b"a1"
+            )
+            scan_server.writers[slow].write(value_response(b"a1"))
             answers = [await client.read_reply() for _ in range(4)]
             assert answers == [b"a1", b"PONG", b"a2", "-ERR unknown command"]
 
@@ -70,14 +72,14 @@
 )
 def test_malformed_resp_gets_an_error_and_closes_the_connection(data: bytes) -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert str(await client.request(data)).startswith("-ERR Protocol error")
             assert await client.closed_without_reply()
             other = await RespClient.connect(address)
             assert await other.request(query_command("a1")) == b"ok"
-            assert len(backend.commands) == 1
+            assert len(scan_server.commands) == 1
 
     run_scenario(scenario())
 
@@ -127,12 +129,12 @@
 )
 def test_invalid_command_gets_an_error_and_the_connection_stays_open(arguments: tuple[str, ...]) -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert str(await client.request(encode_command(*arguments))).startswith("-ERR ")
             assert await client.request(encode_command("PING")) == b"PONG"
-            assert backend.commands == []
+            assert scan_server.commands == []
 
     run_scenario(scenario())
 
@@ -145,8 +147,8 @@
 
     async def scenario() -> None:
         is_silent = asyncio.Event()
-        backend = StubScanServer(lambda arguments: None if is_silent.is_set() else value_response(b"ok"))
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None if is_silent.is_set() else value_response(b"ok"))
+        async with running_gateway(scan_server) as (gateway, address):
             gateway.clients.max_sockets = 3
             first, second = await RespClient.connect(address), await RespClient.connect(address)
             assert await first.request(query_command("a")) == b"ok"
@@ -209,7 +211,7 @@
 
 
 def shorten_timeout(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
-    """Make one of the timeouts short."""
+    """Set the timeout of this name to a short time."""
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setattr(clients, name, TEST_TIMEOUT_US)
     monkeypatch.setitem(clients.STATE_TIMEOUTS_US, clients.State.PINGED, clients.IDLE_TIMEOUT_US)
@@ -357,12 +359,12 @@
     async def scenario() -> None:
         max_unanswered = 0
 
-        def answer(arguments: list[bytes]) -> bytes:
+        def respond(arguments: list[bytes]) -> bytes:
             nonlocal max_unanswered
             max_unanswered = max(max_unanswered, len(gateway.exchanges.unanswered))
             return value_response(arguments[2])
 
-        backends = [StubScanServer(answer) for _ in range(clients.MAX_PIPELINED // IN_FLIGHT_PER_SERVER + 1)]
+        backends = [StubScanServer(respond) for _ in range(clients.MAX_PIPELINED // IN_FLIGHT_PER_SERVER + 1)]
         async with running_gateway(*backends, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             client = await RespClient.connect(address)
             names = [f"a{number}" for number in range(300)]
@@ -390,11 +392,11 @@
 
 def test_internal_error_on_a_connection_still_answers_every_command(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(query_command("a1"))
-            await backend.command_received.wait()
+            await scan_server.command_received.wait()
 
             def failing(arguments: list[bytes], reply: object) -> None:
                 raise RuntimeError("an internal fault")
@@ -429,20 +431,20 @@
     assert reader.buffer == b""
 
 
-PIECES = st.one_of(st.binary(max_size=20), st.sampled_from([b"*2\r\n", b"$3\r\nabc\r\n", b"$0\r\n\r\n"]))
+FRAGMENTS = st.one_of(st.binary(max_size=20), st.sampled_from([b"*2\r\n", b"$3\r\nabc\r\n", b"$0\r\n\r\n"]))
 
 
-@given(st.lists(PIECES))
-def test_arbitrary_bytes_are_commands_or_a_protocol_error(pieces: list[bytes]) -> None:
+@given(st.lists(FRAGMENTS))
+def test_arbitrary_bytes_are_commands_or_a_protocol_error(fragments: list[bytes]) -> None:
     reader = CommandReader()
     try:
-        for piece in pieces:
-            reader.feed(piece)
+        for fragment in fragments:
+            reader.feed(fragment)
             while arguments := reader.next():
                 assert arguments
     except ProtocolError:
         pass
-    assert len(reader.buffer) <= sum(map(len, pieces))
+    assert len(reader.buffer) <= sum(map(len, fragments))
 
 
 def test_client_may_wait_longer_than_the_deadline_of_its_class() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,14 +36,14 @@
 
 @contextlib.contextmanager
 def raw_client(address: Address) -> Iterator[socket.socket]:
-    """A client's blocking socket, whose calls do not let the gateway's loop run."""
+    """Yield a client's blocking socket; the gateway's event loop does not run during its calls."""
     with socket.create_connection(address) as client:
         client.settimeout(10)
         yield client
 
 
 async def received(client: socket.socket) -> bytes:
-    """All bytes up to the end of the connection; a reset raises ConnectionResetError."""
+    """Return all bytes up to the end of the connection; a reset raises ConnectionResetError."""
     data_received = bytearray()
     while data := await asyncio.to_thread(client.recv, 1 << 16):
         data_received += data
@@ -51,7 +51,7 @@
 
 
 def connection_of(gateway: GatewayServer, client: socket.socket) -> clients.ClientConnection:
-    """The gateway's side of a client's connection."""
+    """Return the gateway's side of a client's connection."""
     (connection,) = [
         connection
         for connection in gateway.clients.connections
@@ -60,27 +60,27 @@
     return connection
 
 
-async def fill_pipeline(gateway: GatewayServer, client: socket.socket, backend: StubScanServer) -> None:
+async def fill_pipeline(gateway: GatewayServer, client: socket.socket, scan_server: StubScanServer) -> None:
     """Send more commands than a connection may have in flight, so that the gateway stops reading from it."""
     for number in range(clients.MAX_PIPELINED + 4):
         client.sendall(submit_command(f"a{number}", wait_ms=LONG_TIMEOUT_MS))
-    await backend.wait_for_commands(5)
+    await scan_server.wait_for_commands(5)
     while len(gateway.exchanges.unanswered) < clients.MAX_PIPELINED:
         await asyncio.sleep(0.001)
 
 
-def test_request_that_crosses_a_close_does_not_reset_the_connection_and_is_not_consumed(
+def test_request_sent_while_its_connection_closes_is_not_consumed_and_causes_no_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The previous answer may not have reached the client yet, and a reset would discard it."""
+    """A reset would discard the previous answer if it has not reached the client yet."""
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (gateway, address):
             with raw_client(address) as client:
                 client.sendall(query_command("first"))
-                await backend.wait_for_commands(1)
+                await scan_server.wait_for_commands(1)
                 while not gateway.costs.served:
                     await asyncio.sleep(0.001)
                 has_unread = clients.has_unread
@@ -96,7 +96,7 @@
                 draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
-            assert [arguments[2] for arguments in backend.commands] == [b"first"]
+            assert [arguments[2] for arguments in scan_server.commands] == [b"first"]
 
     run_scenario(scenario())
 
@@ -123,10 +123,8 @@
 
 
 @pytest.mark.parametrize("is_new", [False, True])
-def test_command_received_in_parts_during_a_drain_is_answered(
-    is_new: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Its first part has been read: a close now would leave it half consumed."""
+def test_command_completed_during_a_drain_is_answered(is_new: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The gateway has consumed the beginning of the command, so it must not close the connection."""
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.05)
 
@@ -177,27 +175,27 @@
     run_scenario(scenario())
 
 
-def test_nothing_more_is_forwarded_for_a_client_that_disconnects_while_reading_is_paused(
+def test_client_that_disconnects_while_reading_is_paused_has_nothing_more_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It has the maximum of requests in flight, so that the loop is not notified of bytes or of an end."""
+    """With the maximum of requests in flight, the loop does not report received bytes or a closed socket."""
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 60.0)
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             with raw_client(address) as client:
-                await fill_pipeline(gateway, client, backend)
+                await fill_pipeline(gateway, client, scan_server)
                 client.shutdown(socket.SHUT_RDWR)
-            forwarded = list(zip(backend.commands, backend.writers, strict=True))
+            forwarded = list(zip(scan_server.commands, scan_server.writers, strict=True))
             for arguments, writer in forwarded:
-                # All later answers wait for that to a0: a write to the client would make the loop notice.
+                # Later ones wait for that to a0: a write to the client would let the loop detect the close.
                 if arguments[2] != b"a0":
                     writer.write(value_response(b"ok"))
             while len(gateway.policy.requests_by_id) > 1:
                 await asyncio.sleep(0.001)
-            assert len(backend.commands) == len(forwarded)
-            for writer in backend.writers:
+            assert len(scan_server.commands) == len(forwarded)
+            for writer in scan_server.writers:
                 writer.write(value_response(b"ok"))
             policy = gateway.policy
             while gateway.exchanges.answered_in_flight or policy.requests_by_id or policy.queue:
@@ -213,10 +211,10 @@
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             with raw_client(address) as client:
-                await fill_pipeline(gateway, client, backend)
+                await fill_pipeline(gateway, client, scan_server)
             while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
             assert gateway.costs.gone == clients.MAX_PIPELINED
@@ -227,19 +225,21 @@
 def test_disconnected_client_has_nothing_written_although_attempts_are_not_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It disconnects while its attempt connects, and the policy may not cancel attempts."""
+    """The client disconnects while its attempt connects, and the policy may not cancel attempts."""
     connect = backends.Pool.connect
-    has_left = asyncio.Event()
+    client_disconnected = asyncio.Event()
 
     async def connect_late(pool: backends.Pool, connection: backends.Connection) -> None:
-        await has_left.wait()
+        await client_disconnected.wait()
         await connect(pool, connection)
 
     monkeypatch.setattr(backends.Pool, "connect", connect_late)
 
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend, settings=replace(LONG_TIMEOUT_SETTINGS, may_cancel=False)) as (
+        scan_server = StubScanServer()
+        async with running_gateway(
+            scan_server, settings=replace(LONG_TIMEOUT_SETTINGS, may_cancel=False)
+        ) as (
             gateway,
             address,
         ):
@@ -250,10 +250,10 @@
             client.writer.close()
             while gateway.exchanges.unanswered:
                 await asyncio.sleep(0.001)
-            has_left.set()
+            client_disconnected.set()
             other = await RespClient.connect(address)
             assert await other.request(submit_command("b1", wait_ms=LONG_TIMEOUT_MS)) == b"ok"
-            assert [arguments[2] for arguments in backend.commands] == [b"b1"]
+            assert [arguments[2] for arguments in scan_server.commands] == [b"b1"]
             while gateway.exchanges.answered_in_flight or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
 
@@ -267,8 +267,8 @@
     """
 
     async def scenario() -> None:
-        fleet = [StubScanServer(lambda arguments: b"") for _ in range(2)]
-        async with running_gateway(*fleet, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
+        scan_servers = [StubScanServer(lambda arguments: b"") for _ in range(2)]
+        async with running_gateway(*scan_servers, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             post = gateway.driver.post
 
             def post_and_disconnect(event: object) -> None:
@@ -295,7 +295,7 @@
 def test_retry_that_connects_after_the_idempotency_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The policy decided on it within the window, in which servers still recognize the key."""
+    """The policy started the retry within the window, in which scan servers still recognize the key."""
     connect = backends.Pool.connect
     window_s = 2.0
     connect_numbers = iter(range(2))
@@ -313,19 +313,22 @@
     )
 
     async def scenario() -> None:
-        fleet = [StubScanServer(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
-        async with running_gateway(*fleet, settings=settings) as (gateway, address):
+        scan_servers = [StubScanServer(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
+        async with running_gateway(*scan_servers, settings=settings) as (gateway, address):
             client = await RespClient.connect(address)
             assert (
                 await client.request(submit_command("a1", "book", wait_ms=LONG_TIMEOUT_MS)) == "-ERR failed"
             )
-            assert gateway.costs.attempts == 2 and sum(len(backend.commands) for backend in fleet) == 1
+            assert (
+                gateway.costs.attempts == 2
+                and sum(len(scan_server.commands) for scan_server in scan_servers) == 1
+            )
 
     run_scenario(scenario())
 
 
 def test_evicted_connection_is_one_without_unread_bytes() -> None:
-    """The client that was idle longest has just sent a request, which the gateway has not read."""
+    """The client that was idle longest has just sent a request, which the gateway has not read yet."""
 
     async def scenario() -> None:
         async with running_gateway(StubScanServer()) as (gateway, address):
@@ -357,13 +360,13 @@
     run_scenario(scenario())
 
 
-def test_all_connections_disable_the_delay_of_small_writes() -> None:
+def test_all_connections_set_tcp_nodelay() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(query_command("a1"))
-            await backend.command_received.wait()
+            await scan_server.command_received.wait()
             (pool,) = gateway.backends.pools.values()
             connections = (*pool.connections, *gateway.clients.connections)
             transports = [connection.transport for connection in connections]
@@ -376,20 +379,22 @@
 
 
 def test_idle_clients_at_the_socket_limit_leave_descriptors_for_discovery_and_servers() -> None:
-    """They connect while discovery is silent; its list is read when it answers again, and its server used."""
+    """The clients connect while discovery is silent; its list is read later, and its server used."""
 
     async def scenario() -> None:
-        backend = StubScanServer()
+        scan_server = StubScanServer()
         is_back = asyncio.Event()
-        listed = watch_event(7, [endpoint_entry("s0", await backend.start())])
+        listed = watch_event(7, [endpoint_entry("s0", await scan_server.start())])
 
         async def answer_when_back(writer: asyncio.StreamWriter) -> None:
             await is_back.wait()
             writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(listed))
             await asyncio.Event().wait()
 
-        watch = StubDiscovery(answer_when_back)
-        config = replace(CONFIG, settings=LONG_TIMEOUT_SETTINGS, sockets=48, discovery=(await watch.start(),))
+        discovery = StubDiscovery(answer_when_back)
+        config = replace(
+            CONFIG, settings=LONG_TIMEOUT_SETTINGS, sockets=48, discovery=(await discovery.start(),)
+        )
         gateway = GatewayServer(config)
         await gateway.start()
         idle = [await RespClient.connect(gateway.address) for _ in range(3 * gateway.clients.max_sockets)]
@@ -400,7 +405,7 @@
         assert gateway.clients.sockets <= gateway.clients.max_sockets
         is_back.set()
         assert await requesting.read_reply() == b"ok"
-        assert len(watch.request_targets) == 1 and len(idle) > gateway.clients.max_sockets
+        assert len(discovery.request_targets) == 1 and len(idle) > gateway.clients.max_sockets
         gateway.close()
 
     run_scenario(scenario())
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -50,7 +50,7 @@
 
 @settings(derandomize=True)
 @given(TIMES, TIMES, st.lists(st.integers(0, SECOND_US), max_size=10))
-def test_remaining_time_never_grows(wait: int, unread: int, steps: list[int]) -> None:
+def test_remaining_time_never_increases(wait: int, unread: int, steps: list[int]) -> None:
     now, deadline = 0, Deadline.start(wait, unread, 0)
     remaining = deadline.remaining_us(now)
     for number, elapsed_us in enumerate(steps):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines on real sockets: the time that a backend receives, and the effect of lost time."""
+"""Deadlines over sockets: the remaining time that scan servers receive, and the time charged for delays."""
 
 import asyncio
 import json
@@ -37,12 +37,12 @@
 
 
 def received_wait_ms(arguments: list[bytes]) -> int:
-    """The remaining time in a command that a backend received, its field `d`."""
-    return int(dict(part.split(b"=") for part in arguments[3].split(b","))[b"d"])
+    """Return the remaining time in ms, the field `d`, of a command that a scan server received."""
+    return int(dict(field.split(b"=") for field in arguments[3].split(b","))[b"d"])
 
 
 class Recorder(StubScanServer):
-    """Answers at once and records the `d` of each command."""
+    """A scan server that answers at once and records the field `d` of each command in ms."""
 
     def __init__(self) -> None:
         super().__init__(self.record)
@@ -64,26 +64,26 @@
     monkeypatch.setattr(backends.Pool, "connect", connect_slowly)
 
 
-def test_backend_receives_the_time_that_remains_when_the_command_is_written(slow_handshakes: None) -> None:
+def test_scan_server_receives_the_time_remaining_when_its_command_is_written(slow_handshakes: None) -> None:
     """The time of the handshake must not be included in `d`."""
 
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (_, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert await client.request(submit_command("a1", wait_ms=3000)) == b"ok"
-            assert 0 < backend.received_ms[0] <= 3000 - MARGIN_MS - 195  # a timer may be slightly early
+            assert 0 < scan_server.received_ms[0] <= 3000 - MARGIN_MS - 195  # a timer may be slightly early
 
     run_scenario(scenario())
 
 
 def test_attempt_without_remaining_time_is_not_written() -> None:
-    """The connection was established too late. The backend is not to blame, and the next attempt uses it."""
+    """The connection was established too late, which is no failure of it: the next attempt uses it."""
 
     async def scenario() -> None:
-        backend, ended = StubScanServer(), []
+        scan_server, ended = StubScanServer(), []
         pool = Backends(30 * SECOND_US, 200_000, 5)
-        pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
+        pool.update({"s": ServerState.SERVING}, {"s": await scan_server.start()}, is_full=True)
 
         def attempt(name: str) -> Attempt:
             payload = query_command(name)
@@ -100,14 +100,16 @@
         first.end_us = now_us() + 500  # under a millisecond, the resolution of `d`
         while not ended:
             await asyncio.sleep(0.001)
-        assert ended == [(first, AttemptResult.NOT_SENT)] and not first.is_written and not backend.commands
+        assert (
+            ended == [(first, AttemptResult.NOT_SENT)] and not first.is_written and not scan_server.commands
+        )
         await asyncio.sleep(backends.REUSE_DELAY_US / 1e6)
         second = attempt("a2")
         pool.send(second, 5 * SECOND_US)
         while len(ended) < 2:
             await asyncio.sleep(0.001)
-        assert ended[1] == (second, AttemptResult.SUCCESS) and backend.opened_connections == 1
-        assert [arguments[2] for arguments in backend.commands] == [b"a2"]
+        assert ended[1] == (second, AttemptResult.SUCCESS) and scan_server.opened_connections == 1
+        assert [arguments[2] for arguments in scan_server.commands] == [b"a2"]
         pool.close()
 
     run_scenario(scenario())
@@ -117,32 +119,32 @@
     """The event loop is blocked for 0.5 s while the command arrives; half of the lateness is charged."""
 
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (_, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (_, address):
             await (await RespClient.connect(address)).request(query_command("a0"))
             with socket.create_connection(address) as client:
                 await asyncio.sleep(0.05)  # the gateway accepts the connection
                 client.sendall(submit_command("a1", wait_ms=3000))
                 time.sleep(0.5)
-                while len(backend.received_ms) < 2:
+                while len(scan_server.received_ms) < 2:
                     await asyncio.sleep(0.001)
-            # The sweep is due every 0.2 s, so at least 0.3 s of lateness are measured, and half is charged.
-            assert 0 < backend.received_ms[1] <= 3000 - MARGIN_MS - 145
+            # The sweep runs every 0.2 s, so it is at least 0.3 s late here; half of this is charged.
+            assert 0 < scan_server.received_ms[1] <= 3000 - MARGIN_MS - 145
 
     run_scenario(scenario())
 
 
 def test_command_unread_past_its_deadline_is_rejected_at_once() -> None:
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (_, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert await client.request(query_command("a0")) == b"ok"
             client.send(query_command("a1", wait_ms=60))
             await asyncio.sleep(0)
             time.sleep(0.6)
             assert str(await client.read_reply()).startswith("-BUSY")
-            assert len(backend.received_ms) == 1
+            assert len(scan_server.received_ms) == 1
 
     run_scenario(scenario())
 
@@ -151,7 +153,7 @@
     async def scenario() -> None:
         first = asyncio.Event()
 
-        def answer(arguments: list[bytes]) -> bytes | None:
+        def respond(arguments: list[bytes]) -> bytes | None:
             received_ms[arguments[2]] = received_wait_ms(arguments)
             if arguments[2] == b"a0":
                 first.set()
@@ -159,7 +161,7 @@
             return value_response(arguments[2])
 
         received_ms: dict[bytes, int] = {}
-        scan_servers = [StubScanServer(answer) for _ in range(8)]
+        scan_servers = [StubScanServer(respond) for _ in range(8)]
         async with running_gateway(*scan_servers) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(b"".join(submit_command(f"a{number}", wait_ms=4000) for number in range(50)))
@@ -167,8 +169,8 @@
             await asyncio.sleep(0.3)
             commands = [
                 (arguments[2], writer)
-                for backend in scan_servers
-                for arguments, writer in zip(backend.commands, backend.writers, strict=True)
+                for scan_server in scan_servers
+                for arguments, writer in zip(scan_server.commands, scan_server.writers, strict=True)
             ]
             dict(commands)[b"a0"].write(value_response(b"a0"))
             assert [await client.read_reply() for _ in range(50)] == [b"a%d" % number for number in range(50)]
@@ -180,33 +182,34 @@
 
 
 def test_idle_time_between_commands_is_not_charged() -> None:
-    """The connection is not read for a while, as too many requests are open, and is then idle."""
+    """Reading stops while too many requests are open, and the connection is then idle for 2.5 s."""
 
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (_, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             client.send(b"".join(query_command(f"a{number}") for number in range(20)))
             for _ in range(20):
                 await client.read_reply()
             await asyncio.sleep(2.5)
             assert await client.request(submit_command("b1", wait_ms=3000)) == b"ok"
-            assert backend.received_ms[-1] >= 3000 - MARGIN_MS - 1000  # half of the idle time is not charged
+            # If the idle time were charged, half of it would be missing.
+            assert scan_server.received_ms[-1] >= 3000 - MARGIN_MS - 1000
 
     run_scenario(scenario())
 
 
-def test_shutdown_limits_requests_to_the_shorter_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shutdown_limits_requests_to_the_drain_time_if_it_is_shorter(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "DRAIN_EXTRA_US", -5_300_000)  # 6 s less 5.3 s: 0.7 s remain
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             short, long = await RespClient.connect(address), await RespClient.connect(address)
             long.send(submit_command("a1", wait_ms=6000))
             short.send(submit_command("a2", wait_ms=500))
-            await backend.wait_for_commands(2)
+            await scan_server.wait_for_commands(2)
             began = time.monotonic()
             draining = asyncio.create_task(gateway.drain())
             assert str(await short.read_reply()) == "-ERR failed"
@@ -216,7 +219,7 @@
             assert str(await long.read_reply()) == "-ERR failed"  # an attempt may have run
             assert 0.6 < time.monotonic() - began < 5
             assert str(await new.read_reply()).startswith("-")
-            assert max(map(received_wait_ms, backend.commands[2:]), default=0) <= 700
+            assert max(map(received_wait_ms, scan_server.commands[2:]), default=0) <= 700
             for client in (short, long, new):
                 client.writer.close()
             await draining
@@ -239,8 +242,8 @@
     caplog.set_level(logging.INFO)
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             assert await client.request(submit_command("a1", wait_ms=325)) == "-ERR failed"
             figures = json.loads(gateway.cost_line().partition(" ")[2])
@@ -251,24 +254,24 @@
     assert "waiting " in line
 
 
-def test_step_of_the_wall_clock_has_no_effect(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_step_of_the_wall_clock_does_not_change_the_remaining_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (_, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             for number, step in enumerate((-(10**9), 10**9)):
                 monkeypatch.setattr(time, "time", lambda step=step: 1e9 + step)
                 monkeypatch.setattr(time, "time_ns", lambda step=step: 10**18 + step * 10**9)
                 assert await client.request(submit_command(f"a{number}", wait_ms=3000)) == b"ok"
-                assert 1000 < backend.received_ms[-1] <= 3000 - MARGIN_MS
+                assert 1000 < scan_server.received_ms[-1] <= 3000 - MARGIN_MS
 
     run_scenario(scenario())
 
 
 def test_request_is_not_sent_if_its_client_disconnects_during_the_handshake(slow_handshakes: None) -> None:
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(submit_command("a1"))
             while not gateway.costs.handshakes:
@@ -282,27 +285,28 @@
                 await asyncio.sleep(0.001)
             other = await RespClient.connect(address)  # the first connection is established by then
             assert await other.request(submit_command("b1")) == b"ok"
-            assert [arguments[2] for arguments in backend.commands] == [b"b1"]
+            assert [arguments[2] for arguments in scan_server.commands] == [b"b1"]
 
     run_scenario(scenario())
 
 
-def test_shutdown_during_a_handshake_still_answers(
+def test_request_connecting_during_a_shutdown_is_answered(
     slow_handshakes: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "DRAIN_EXTRA_US", -4_000_000)  # 6 s less 4 s: 2 s remain
 
     async def scenario() -> None:
-        backend = Recorder()
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = Recorder()
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(submit_command("a1", wait_ms=6000))
             while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             draining = asyncio.create_task(gateway.drain())
             assert await client.read_reply() == b"ok"
-            assert backend.received_ms[0] <= 2000 - 150  # the handshake started somewhat before the shutdown
+            # The handshake of 200 ms started up to 50 ms before the shutdown.
+            assert scan_server.received_ms[0] <= 2000 - 150
             assert await client.closed_without_reply()
             await draining
 
@@ -311,25 +315,25 @@
 
 def test_value_that_ends_after_the_deadline_counts_as_failed() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: value_response(b"x" * 100)[:50])
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer(lambda arguments: value_response(b"x" * 100)[:50])
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             client.send(submit_command("a1", wait_ms=400))
             assert await client.read_reply() == "-ERR failed"
-            await backend.connection_closed.wait()  # the connection is closed, so the rest cannot arrive
-            backend.respond = lambda arguments: value_response(arguments[2])
+            await scan_server.connection_closed.wait()  # the connection is closed, so the rest cannot arrive
+            scan_server.respond = lambda arguments: value_response(arguments[2])
             # The late value of the first request must not be taken for this answer.
             assert await client.request(submit_command("a2")) == b"a2"
-            assert backend.opened_connections == 2
+            assert scan_server.opened_connections == 2
 
     run_scenario(scenario())
 
 
 def test_attempt_cancelled_while_its_answer_arrives_ends_once() -> None:
     async def scenario() -> None:
-        backend, ended = StubScanServer(lambda arguments: None), []
+        scan_server, ended = StubScanServer(lambda arguments: None), []
         pool = Backends(30 * SECOND_US, 200_000, 5)
-        pool.update({"s": ServerState.SERVING}, {"s": await backend.start()}, is_full=True)
+        pool.update({"s": ServerState.SERVING}, {"s": await scan_server.start()}, is_full=True)
         first = Attempt(
             "a1",
             0,
@@ -338,8 +342,8 @@
             lambda attempt, result, *_: ended.append(result),
         )
         pool.send(first, 5 * SECOND_US)
-        await backend.command_received.wait()
-        backend.writers[0].write(value_response(b"ok"))  # it is in the socket's buffer now
+        await scan_server.command_received.wait()
+        scan_server.writers[0].write(value_response(b"ok"))  # it is in the socket's buffer now
         first.cancel()
         await asyncio.sleep(0.01)
         assert ended == [AttemptResult.CANCELLED] and not pool.pools["s"].idle and not pool.connection_count()
@@ -385,22 +389,22 @@
 def test_requests_are_answered_once_after_a_pause_of_the_process(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """All timers are due at once: the policy must handle them before the backstop does.
+    """All timers are due at once, and the policy must handle its own before the backstop fails the requests.
 
     A request with remaining time continues.
     """
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(*[backend], sockets=256) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(*[scan_server], sockets=256) as (gateway, address):
             clients = [await RespClient.connect(address) for _ in range(2)]
             clients[0].send(submit_command("a0", wait_ms=700))
             clients[1].send(submit_command("a1", wait_ms=6000))
-            await backend.wait_for_commands(2)
+            await scan_server.wait_for_commands(2)
             time.sleep(1.0)
             assert await clients[0].read_reply() == "-ERR failed"
             assert list(gateway.exchanges.unanswered) == ["a1"]
-            backend.writers[[arguments[2] for arguments in backend.commands].index(b"a1")].write(
+            scan_server.writers[[arguments[2] for arguments in scan_server.commands].index(b"a1")].write(
                 value_response(b"late")
             )
             assert await clients[1].read_reply() == b"late"
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The watch on discovery and the datagrams between gateways."""
+"""Tests of the watch on discovery and of the datagrams between gateways."""
 
 import asyncio
 import json
@@ -34,18 +34,18 @@
 
 
 class MaxJitter(random.Random):
-    """Draws the maximum of each range."""
+    """A random number generator that returns the maximum of each range."""
 
     def uniform(self, low: float, high: float) -> float:
         return high
 
 
-async def receive_updates(watch: StubDiscovery, count: int, version: int = 0) -> list[EndpointListUpdate]:
-    """The first `count` updates of a watch."""
+async def receive_updates(discovery: StubDiscovery, count: int, version: int = 0) -> list[EndpointListUpdate]:
+    """Return the first `count` updates of a watch on the stub."""
     received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
     tasks = []
     client = DiscoveryClient(
-        (await watch.start(),),
+        (await discovery.start(),),
         EndpointListCodec(CONFIG),
         version,
         received.put_nowait,
@@ -59,18 +59,20 @@
         tasks[0].cancel()
 
 
-def answer_script(*pieces: bytes, stay: bool = True) -> object:
+def response_script(*segments: bytes, stay: bool = True) -> object:
+    """Return a script that writes the segments separately and, with `stay`, keeps the connection open."""
+
     async def play(writer: asyncio.StreamWriter) -> None:
-        for piece in pieces:
-            writer.write(piece)
-            await asyncio.sleep(0.001)  # the pieces must arrive separately
+        for segment in segments:
+            writer.write(segment)
+            await asyncio.sleep(0.001)  # the segments must arrive separately
         if stay:
             await asyncio.Event().wait()
 
     return play
 
 
-def test_updates_are_read_from_pieces_with_empty_lines_and_unknown_states() -> None:
+def test_updates_are_read_from_split_data_with_empty_lines_and_unknown_states() -> None:
     async def scenario() -> None:
         others = [
             endpoint_entry("s2", ADDRESS, "RESTING"),
@@ -81,8 +83,8 @@
         removal = watch_event(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
         stream = CHUNKED_RESPONSE_HEAD + http_chunk(b"\n") + http_chunk(line[:30])
         stream += http_chunk(line[30:] + b"\n" + removal[:9]) + http_chunk(removal[9:])
-        pieces = [stream[start : start + 50] for start in range(0, len(stream), 50)]
-        first, second = await receive_updates(StubDiscovery(answer_script(*pieces)), 2)
+        segments = [stream[start : start + 50] for start in range(0, len(stream), 50)]
+        first, second = await receive_updates(StubDiscovery(response_script(*segments)), 2)
         states = {server.name: server.state for server in first.event.servers}
         assert (first.event.kind, first.event.version) == (EndpointUpdateKind.FULL, 5)
         draining = ServerState.DRAINING
@@ -108,8 +110,8 @@
             + http_chunk(complete[70:] + b"\n")
             + http_chunk(change)
         )
-        pieces = [stream[start : start + 90] for start in range(0, len(stream), 90)]
-        first, second = await receive_updates(StubDiscovery(answer_script(*pieces)), 2)
+        segments = [stream[start : start + 90] for start in range(0, len(stream), 90)]
+        first, second = await receive_updates(StubDiscovery(response_script(*segments)), 2)
         assert [server.name for server in first.event.servers] == ["s1", "s2"]
         assert (second.event.kind, second.event.version) == (EndpointUpdateKind.CHANGES, 6)
         assert second.event.servers[0].state is ServerState.DRAINING
@@ -122,8 +124,8 @@
         body = indented(watch_event(5, [endpoint_entry("s1", ADDRESS)])).strip()
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         old, new = (
-            StubDiscovery(answer_script(CHUNKED_RESPONSE_HEAD)),
-            StubDiscovery(answer_script(answer, stay=False)),
+            StubDiscovery(response_script(CHUNKED_RESPONSE_HEAD)),
+            StubDiscovery(response_script(answer, stay=False)),
         )
         harness = DiscoveryHarness(await old.start())
         harness.discovery.change_addresses((await new.start(),))
@@ -142,8 +144,8 @@
             + indented(watch_event(5, [endpoint_entry("s1", ADDRESS)])).strip()
         )
         old, new = (
-            StubDiscovery(answer_script(CHUNKED_RESPONSE_HEAD, stay=False)),
-            StubDiscovery(answer_script(answer, stay=False)),
+            StubDiscovery(response_script(CHUNKED_RESPONSE_HEAD, stay=False)),
+            StubDiscovery(response_script(answer, stay=False)),
         )
         harness = DiscoveryHarness(await old.start())
         harness.discovery.change_addresses((await new.start(),))
@@ -167,8 +169,10 @@
                 writer.write(http_chunk(b"\n"))
                 await asyncio.sleep(0.02)
 
-        watch = StubDiscovery(stuck, answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, []))))
-        assert (await receive_updates(watch, 1))[0].event.version == 5
+        discovery = StubDiscovery(
+            stuck, response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [])))
+        )
+        assert (await receive_updates(discovery, 1))[0].event.version == 5
 
     run_scenario(scenario())
 
@@ -196,18 +200,18 @@
 
 def test_watch_that_ends_is_reopened_after_the_last_received_version() -> None:
     async def scenario() -> None:
-        watch = StubDiscovery(
-            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [])), stay=False),
-            answer_script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
+        discovery = StubDiscovery(
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [])), stay=False),
+            response_script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
             # This response ends within a line, which is discarded.
-            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(6, [])[:20]), stay=False),
-            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(b"{not json\n")),
-            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [], reset=False))),
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(6, [])[:20]), stay=False),
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(b"{not json\n")),
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [], reset=False))),
         )
         started_s = time.monotonic()
-        updates = await receive_updates(watch, 2, version=3)
+        updates = await receive_updates(discovery, 2, version=3)
         assert [update.event.version for update in updates] == [5, 9]
-        requested_versions = [target.partition("after=")[2] for target in watch.request_targets]
+        requested_versions = [target.partition("after=")[2] for target in discovery.request_targets]
         assert requested_versions == ["3", "5", "5", "5", "5"]
         assert time.monotonic() - started_s > 4 * discovery_client.MIN_BACKOFF_S  # no busy loop
 
@@ -218,12 +222,12 @@
     monkeypatch.setattr(watch_connection, "SILENT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        watch = StubDiscovery(
-            answer_script(CHUNKED_RESPONSE_HEAD),
-            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(4, []))),
+        discovery = StubDiscovery(
+            response_script(CHUNKED_RESPONSE_HEAD),
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(4, []))),
         )
-        assert (await receive_updates(watch, 1))[0].event.version == 4
-        assert len(watch.request_targets) == 2
+        assert (await receive_updates(discovery, 1))[0].event.version == 4
+        assert len(discovery.request_targets) == 2
 
     run_scenario(scenario())
 
@@ -244,11 +248,11 @@
             writer.write(http_chunk(watch_event(5, [], reset=False)))
             await asyncio.Event().wait()
 
-        watch = StubDiscovery(answer_late)
+        discovery = StubDiscovery(answer_late)
         async with asyncio.timeout(10):
-            updates = await receive_updates(watch, 2)
+            updates = await receive_updates(discovery, 2)
         assert [update.event.version for update in updates] == [4, 5]
-        assert len(watch.request_targets) == 1  # it was answered late and continues
+        assert len(discovery.request_targets) == 1  # it was answered late and continues
 
     run_scenario(scenario())
 
@@ -266,12 +270,13 @@
             writer.write(http_chunk(watch_event(9, [], reset=False)))
             await asyncio.Event().wait()
 
-        watch = StubDiscovery(
-            skip_an_update, answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(6, [], reset=False)))
+        discovery = StubDiscovery(
+            skip_an_update,
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(6, [], reset=False))),
         )
-        updates = await receive_updates(watch, 2)
+        updates = await receive_updates(discovery, 2)
         assert [update.event.version for update in updates] == [4, 6]
-        assert watch.request_targets[1].endswith("after=4")
+        assert discovery.request_targets[1].endswith("after=4")
 
     run_scenario(scenario())
 
@@ -297,7 +302,7 @@
     async def scenario() -> None:
         known = {"generation": 3, "reset": True, "instances": [endpoint_entry("s1", ADDRESS)]}
         gateway_server = GatewayServer(
-            replace(CONFIG, known=known, discovery=(await StubDiscovery(answer_script()).start(),))
+            replace(CONFIG, known=known, discovery=(await StubDiscovery(response_script()).start(),))
         )
         received: list[Event] = []
         gateway_server.policy.handle = lambda now, event: received.append(event) or []
@@ -336,7 +341,7 @@
 
 
 class DiscoveryHarness:
-    """A discovery client whose addresses a test changes, with the updates that it reports."""
+    """A discovery client with changeable addresses and a queue of the updates that it reports."""
 
     def __init__(self, *addresses: tuple[str, int]) -> None:
         self.received: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
@@ -352,14 +357,15 @@
         self.discovery.start()
 
     async def names(self) -> tuple[EndpointUpdateKind, list[str]]:
+        """Return the kind of the next update and the names of its servers."""
         event = (await self.received.get()).event
         return event.kind, [server.name for server in event.servers]
 
 
 def complete_list_script(*names: str, version: int = 4) -> object:
-    """Answers the request for the complete list, without a final line end."""
+    """Return a script that sends the complete list without a final line end."""
     body = watch_event(version, [endpoint_entry(name, ADDRESS) for name in names]).strip()
-    return answer_script(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, stay=False)
+    return response_script(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, stay=False)
 
 
 def test_new_address_replaces_the_old_one_with_its_complete_list() -> None:
@@ -376,7 +382,7 @@
         old = StubDiscovery(old_watch)
         new = StubDiscovery(
             complete_list_script("s2", version=2),
-            answer_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(3, [], reset=False))),
+            response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(3, [], reset=False))),
         )
         harness = DiscoveryHarness(await old.start())
         assert await harness.names() == (EndpointUpdateKind.FULL, ["s1"])
@@ -406,8 +412,8 @@
             await speak.wait()
             await complete_list_script("s3")(writer)
 
-        never = StubDiscovery(answer_script())
-        last = StubDiscovery(slow, answer_script(CHUNKED_RESPONSE_HEAD))
+        never = StubDiscovery(response_script())
+        last = StubDiscovery(slow, response_script(CHUNKED_RESPONSE_HEAD))
         harness = DiscoveryHarness(await StubDiscovery(old_watch).start())
         assert (await harness.names())[1] == ["s1"]
         harness.discovery.change_addresses((await never.start(),))
@@ -423,18 +429,20 @@
     run_scenario(scenario())
 
 
-def watch_script(*pieces: bytes) -> object:
-    return answer_script(CHUNKED_RESPONSE_HEAD, *(http_chunk(piece) for piece in pieces))
+def watch_script(*segments: bytes) -> object:
+    """Return a script that sends each of the segments as a chunk of a response."""
+    return response_script(CHUNKED_RESPONSE_HEAD, *(http_chunk(segment) for segment in segments))
 
 
 async def versions(harness: DiscoveryHarness, count: int) -> list[int]:
+    """Return the versions of the next `count` updates."""
     return [(await harness.received.get()).event.version for _ in range(count)]
 
 
 def test_the_next_address_is_watched_after_a_failure() -> None:
     async def scenario() -> None:
         ends = StubDiscovery(
-            answer_script(
+            response_script(
                 CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [endpoint_entry("s1", ADDRESS)])),
                 stay=False,
             )
@@ -451,7 +459,7 @@
 def test_outdated_changes_of_a_lagging_address_are_ignored() -> None:
     async def scenario() -> None:
         ends = StubDiscovery(
-            answer_script(
+            response_script(
                 CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])),
                 stay=False,
             )
@@ -477,11 +485,11 @@
 
     async def scenario() -> None:
         ends = StubDiscovery(
-            answer_script(
+            response_script(
                 CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])),
                 stay=False,
             ),
-            answer_script(CHUNKED_RESPONSE_HEAD, stay=False),
+            response_script(CHUNKED_RESPONSE_HEAD, stay=False),
         )
         older = StubDiscovery(watch_script(watch_event(4, [endpoint_entry("s2", ADDRESS)])))
         harness = DiscoveryHarness(await ends.start(), await older.start())
@@ -498,7 +506,7 @@
 def test_an_older_list_of_the_same_address_replaces_the_list_in_use() -> None:
     async def scenario() -> None:
         only = StubDiscovery(
-            answer_script(
+            response_script(
                 CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(9, [endpoint_entry("s1", ADDRESS)])),
                 stay=False,
             ),
@@ -521,7 +529,9 @@
 
     async def scenario() -> None:
         harness = DiscoveryHarness(
-            await StubDiscovery(answer_script(), watch_script(watch_event(5, [])), answer_script()).start()
+            await StubDiscovery(
+                response_script(), watch_script(watch_event(5, [])), response_script()
+            ).start()
         )
         assert harness.discovery.age_s() < 0
         assert await versions(harness, 1) == [5]
@@ -536,7 +546,7 @@
 
 
 @pytest.mark.parametrize(
-    "pieces",
+    "segments",
     [
         [b"nonsense\r\n\r\n"],
         [b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 100_000],  # a head without an end
@@ -548,14 +558,16 @@
     ],
 )
 def test_malformed_or_stuck_answers_end_and_the_next_address_is_used(
-    pieces: list[bytes], monkeypatch: pytest.MonkeyPatch
+    segments: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("SILENT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "OBJECT_TIMEOUT_S"):
         monkeypatch.setattr(watch_connection, name, 0.3)
 
     async def scenario() -> None:
         good = StubDiscovery(watch_script(watch_event(5, [endpoint_entry("s1", ADDRESS)])))
-        harness = DiscoveryHarness(await StubDiscovery(answer_script(*pieces)).start(), await good.start())
+        harness = DiscoveryHarness(
+            await StubDiscovery(response_script(*segments)).start(), await good.start()
+        )
         assert await versions(harness, 1) == [5]
         harness.discovery.watcher.close()
 
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects are read from a stream of bytes, whatever their indentation and the sizes of the chunks."""
+"""Tests of reading JSON objects from a stream of bytes, with any indentation and any sizes of chunks."""
 
 import json
 
@@ -35,9 +35,9 @@
         JsonObjectReader(1 << 20).feed(line)
 
 
-@pytest.mark.parametrize("piece", [b"{", b'{"a":\n', b"x"])
-def test_an_object_above_the_maximum_size_is_rejected(piece: bytes) -> None:
+@pytest.mark.parametrize("data", [b"{", b'{"a":\n', b"x"])
+def test_an_object_above_the_maximum_size_is_rejected(data: bytes) -> None:
     reader = JsonObjectReader(1000)
     with pytest.raises(MalformedJsonError):
         for _ in range(1001):
-            reader.feed(piece)
+            reader.feed(data)
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The page for on-call: each log line and each field that it explains is one of the code's."""
+"""Tests that docs/operations.md explains only log lines of the code, and every counter of `costs`."""
 
 import re
 from pathlib import Path
@@ -14,16 +14,16 @@
 
 
 def first_cells(text: str) -> list[str]:
-    """The code in the first cell of each row of the tables."""
+    """Return the texts marked as code in the first cell of each row of the tables."""
     return [
         code for row in re.findall(r"^\| (`.*?`) \|", text, re.MULTILINE) for code in row.split("`")[1::2]
     ]
 
 
 @pytest.mark.parametrize("line", first_cells(LINES))
-def test_a_log_line_that_the_page_explains_is_written_somewhere(line: str) -> None:
+def test_log_line_on_the_operations_page_occurs_in_the_source(line: str) -> None:
     assert line in SOURCES
 
 
-def test_the_page_explains_every_counter_of_the_costs_line() -> None:
+def test_operations_page_explains_every_counter_of_the_costs_line() -> None:
     assert set(COUNTERS) <= set(first_cells(FIELDS))
--- a/tests/test_process_lifetime.py
+++ b/tests/test_process_lifetime.py
@@ -1,4 +1,4 @@
-"""A child process ends with its parent, even if the parent is killed before the child calls prctl."""
+"""Tests that a child process ends with its parent, even if that is killed before the child calls prctl."""
 
 import os
 import select
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -126,10 +126,10 @@
 
 
 async def start(
-    tmp_path: Path, backend: StubScanServer, **env: str
+    tmp_path: Path, scan_server: StubScanServer, **env: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     listen, silent = refusing_address(), refusing_address()
-    known = json.loads(watch_event(4, [endpoint_entry("s1", await backend.start())]))
+    known = json.loads(watch_event(4, [endpoint_entry("s1", await scan_server.start())]))
     values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -192,8 +192,8 @@
         process.send_signal(signal.SIGHUP)
         while b"stays as it was" not in (line := await process.stderr.readline()):
             assert line
-        backend = StubScanServer(lambda arguments: value_response(b"new"))
-        listed = json.loads(watch_event(1, [endpoint_entry("s2", await backend.start())]))
+        scan_server = StubScanServer(lambda arguments: value_response(b"new"))
+        listed = json.loads(watch_event(1, [endpoint_entry("s2", await scan_server.start())]))
         body = json.dumps(listed).encode()
 
         async def complete_list(writer: asyncio.StreamWriter) -> None:
@@ -225,8 +225,8 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_signal_starts_a_graceful_shutdown_with_exit_code_0(tmp_path: Path, number: int) -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
-        process, address = await start(tmp_path, backend)
+        scan_server = StubScanServer()
+        process, address = await start(tmp_path, scan_server)
         client = await RespClient.connect(address)
         request = encode_command("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
         assert await client.request(request) == b"ok"
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Property tests: no legal sequence of events, however unusual, breaks a rule of the policy."""
+"""Property tests: no valid sequence of events, however unusual, breaks an invariant of the policy."""
 
 from dataclasses import replace
 
@@ -50,12 +50,12 @@
 )
 NEVER_RAN = (AttemptResult.AT_CAPACITY, AttemptResult.CONNECT_FAILED)
 FAILURES = (*NEVER_RAN, AttemptResult.ERROR, AttemptResult.RESET)
-# The kind, number and wait of a step; see `play`.
+# The kind, number and wait of a step; see `run_steps`.
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 400))
 
 
 class CheckingHarness(GatewayHarness):
-    """A gateway with its surroundings that checks each action against the rules."""
+    """A harness that checks each action of its gateway against the invariants."""
 
     def __init__(self, policy_settings: Settings) -> None:
         self.requests: dict[str, tuple[RequestArrived, int]] = {}  # with the time of arrival, by id
@@ -63,8 +63,8 @@
         # By request id: the servers on which it may have run, with the time at which it was sent there.
         self.possible_runs: dict[str, list[tuple[str, int]]] = {}
         self.states = {server.name: server for server in servers(4)}
-        # The units left under the ceiling of plan 2, which has only one customer.
-        self.ceiling_level, self.ceiling_refilled_at = 10.0, 100 * SECOND_US
+        # The units available under the ceiling of plan 2, which has only one customer.
+        self.ceiling_level, self.ceiling_refilled_us = 10.0, 100 * SECOND_US
         super().__init__(policy_settings)
 
     def handle(self, event: Event) -> list[Action]:
@@ -100,19 +100,19 @@
             assert self.now_us < runs[0][1] + request_class.idempotency_window_us
         if not runs and self.attempt_counts[action.id] == 1 and request.plan_index == 2:
             self.ceiling_level = (
-                min(10.0, self.ceiling_level + 12.0 * (self.now_us - self.ceiling_refilled_at) / SECOND_US)
+                min(10.0, self.ceiling_level + 12.0 * (self.now_us - self.ceiling_refilled_us) / SECOND_US)
                 - request.units
             )
-            self.ceiling_refilled_at = self.now_us
+            self.ceiling_refilled_us = self.now_us
             assert self.ceiling_level >= -1.0
         runs.append((action.server, self.now_us))
 
     def check_final_answer(self, action: RejectRequest | FailRequest) -> None:
-        request, arrived_at = self.requests[action.id]
+        request, arrived_us = self.requests[action.id]
         request_class = CLASSES[request.class_index]
         assert action.id not in self.finished_ids
         self.finished_ids.add(action.id)
-        assert self.now_us <= arrived_at + request.remaining_us + 8 * MILLISECOND_US
+        assert self.now_us <= arrived_us + request.remaining_us + 8 * MILLISECOND_US
         if isinstance(action, RejectRequest) and self.possible_runs.get(action.id):
             is_recognised_everywhere = (
                 request_class.effect is Effect.IDEMPOTENT_BY_KEY
@@ -130,15 +130,15 @@
             self.finished_ids.add(key[0])
         self.handle(AttemptEnded(key[0], request_ended, key[1], server, result, self.now_us - sent))
 
-    def pass_time(self, time_us: int) -> None:
-        """Let time pass in steps of a millisecond, ending attempts that time out."""
-        end = self.now_us + time_us
-        while self.now_us < end:
-            self.advance(min(MILLISECOND_US, end - self.now_us))
+    def advance_with_timeouts(self, duration_us: int) -> None:
+        """Advance the clock in steps of a millisecond, ending attempts that time out."""
+        end_us = self.now_us + duration_us
+        while self.now_us < end_us:
+            self.advance(min(MILLISECOND_US, end_us - self.now_us))
             for key, (_, sent, timeout) in list(self.in_flight.items()):
-                request, arrived_at = self.requests[key[0]]
+                request, arrived_us = self.requests[key[0]]
                 if (
-                    self.now_us >= min(sent + timeout, arrived_at + request.remaining_us)
+                    self.now_us >= min(sent + timeout, arrived_us + request.remaining_us)
                     and key in self.in_flight
                 ):
                     self.end_attempt(key, AttemptResult.TIMEOUT)
@@ -159,8 +159,8 @@
         self.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (self.states[name],)))
 
 
-def play(may_hedge: bool, steps: list[tuple[int, int, int]]) -> CheckingHarness:
-    """Run a harness through steps, each an event of some kind, a number for its details, and a wait."""
+def run_steps(may_hedge: bool, steps: list[tuple[int, int, int]]) -> CheckingHarness:
+    """Return a harness after the steps: each a kind of event, a number for details and a wait in 0.25 ms."""
     harness = CheckingHarness(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=may_hedge))
     for step_index, (kind, number, wait) in enumerate(steps):
         if kind <= 4:
@@ -178,14 +178,16 @@
             harness.change_server(number)
         elif number % 20 == 0:
             harness.restart()
-        harness.pass_time(wait * 250)
-    harness.pass_time(4 * SECOND_US)
+        harness.advance_with_timeouts(wait * 250)
+    harness.advance_with_timeouts(4 * SECOND_US)
     return harness
 
 
 @settings(derandomize=True, max_examples=60, deadline=None, database=None)
 @given(st.booleans(), st.lists(STEP, min_size=5, max_size=50))
-def test_rules_hold_for_any_sequence_of_events(may_hedge: bool, steps: list[tuple[int, int, int]]) -> None:
-    harness = play(may_hedge, steps)
+def test_invariants_hold_for_any_sequence_of_events(
+    may_hedge: bool, steps: list[tuple[int, int, int]]
+) -> None:
+    harness = run_steps(may_hedge, steps)
     assert set(harness.requests) == harness.finished_ids
     assert not harness.engine.requests_by_id and not harness.engine.queue
--- a/tests/test_recovery_page.py
+++ b/tests/test_recovery_page.py
@@ -1,4 +1,4 @@
-"""The page on coming back: its bounds on age are those of the code."""
+"""Tests that the age limits on docs/recovery.md equal the constants in the code."""
 
 import importlib
 import re
@@ -6,14 +6,16 @@
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "recovery.md"
 ROW = re.compile(r"^\| [^|]+ \| `(?P<name>[a-z_.]+\.[A-Z_]+)` \| (?P<seconds>[0-9.]+) \|", re.MULTILINE)
-UNITS = {"_US": 1e6, "_S": 1.0}
+UNITS_PER_SECOND = {"_US": 1e6, "_S": 1.0}
 
 
-def test_the_bounds_of_the_page_are_those_of_the_code() -> None:
+def test_age_limits_on_the_recovery_page_equal_the_constants() -> None:
     rows = ROW.findall(PAGE.read_text())
     assert len(rows) == 13
     for name, seconds in rows:
         module, _, constant = name.rpartition(".")
         value = getattr(importlib.import_module(module), constant)
-        unit = next(scale for suffix, scale in UNITS.items() if constant.endswith(suffix))
-        assert value / unit == float(seconds), name
+        units_per_second = next(
+            scale for suffix, scale in UNITS_PER_SECOND.items() if constant.endswith(suffix)
+        )
+        assert value / units_per_second == float(seconds), name
--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -45,12 +45,12 @@
     """Start stub scan servers, register them, and yield both by name."""
     servers = {}
     for number, name in enumerate(names):
-        backend = StubScanServer()
-        host, port = await backend.start()
+        scan_server = StubScanServer()
+        host, port = await scan_server.start()
         settings = InstanceSettings(address=f"{host}:{port}", zone="a", machine_type="m2")
         registration = Registration(f"{registry[0]}:{registry[1]}", name, settings, random.Random(number))
         await registration.start()
-        servers[name] = backend, registration
+        servers[name] = scan_server, registration
     try:
         yield servers
     finally:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -737,7 +737,7 @@
         assert gateway.overload.exact_limit == pytest.approx(16 * 1.2)  # the maximum step of one second
 
 
-def test_occasional_broken_answers_do_not_eject_a_server() -> None:
+def test_occasional_malformed_answers_do_not_eject_a_server() -> None:
     gateway = GatewayHarness(endpoints=servers(1)).engine
     server = gateway.servers_by_name["s0"]
     for _ in range(40):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The gateway over loopback sockets: a request from client to backend and back."""
+"""The gateway over loopback sockets: requests from clients to scan servers, and their answers."""
 
 import asyncio
 import logging
@@ -38,23 +38,23 @@
 def test_value_is_forwarded_byte_for_byte() -> None:
     async def scenario() -> None:
         body = bytes(range(256)) * 256  # 64 KiB, including line ends and null bytes
-        backend = StubScanServer(lambda arguments: value_response(body))
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer(lambda arguments: value_response(body))
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert await client.request(submit_command("a1", body=body)) == body
-            assert backend.commands[0][4] == body
+            assert scan_server.commands[0][4] == body
 
     run_scenario(scenario())
 
 
 def test_only_the_wait_time_of_a_command_is_rewritten() -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             fields = "c=settle,r=1,kd=7,d=3000,t=team,k=5c0f,new=1,units=2,spread=2,first=1"
             assert await client.request(encode_command("SVC.SUBMIT", CUSTOMER, "a1", fields, "B")) == b"ok"
-            name, customer, request_id, sent, body = backend.commands[0]
+            name, customer, request_id, sent, body = scan_server.commands[0]
             assert (name, customer, request_id, body) == (b"SVC.SUBMIT", CUSTOMER.encode(), b"a1", b"B")
             head, _, tail = fields.partition("d=3000")
             assert sent.startswith(head.encode()) and sent.endswith(tail.encode())
@@ -63,13 +63,13 @@
     run_scenario(scenario())
 
 
-def test_backends_busy_answer_is_not_forwarded() -> None:
+def test_busy_answer_of_a_scan_server_is_not_forwarded() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: b"-BUSY 123456\r\n")
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer(lambda arguments: b"-BUSY 123456\r\n")
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert await client.request(submit_command("a1")) == "-BUSY 750"
-            assert len(backend.commands) == SETTINGS.max_attempts  # BUSY: none of them ran
+            assert len(scan_server.commands) == SETTINGS.max_attempts  # BUSY: none of them ran
 
     run_scenario(scenario())
 
@@ -80,21 +80,21 @@
 @pytest.mark.parametrize("answer", ANSWERS_OF_UNKNOWN_EFFECT)
 def test_unsafe_request_that_may_have_run_is_sent_once(answer: bytes) -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: answer)
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer(lambda arguments: answer)
+        async with running_gateway(scan_server) as (_, address):
             client = await RespClient.connect(address)
             assert await client.request(submit_command("a1")) == "-ERR failed"
-            assert len(backend.commands) == 1
+            assert len(scan_server.commands) == 1
 
     run_scenario(scenario())
 
 
 def test_unsafe_request_is_retried_after_refused_connections() -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
+        scan_server = StubScanServer()
         refusing = [refusing_address() for _ in range(6)]
         async with running_gateway(
-            backend, addresses=refusing, settings=replace(SETTINGS, max_attempts=9)
+            scan_server, addresses=refusing, settings=replace(SETTINGS, max_attempts=9)
         ) as (
             _,
             address,
@@ -107,18 +107,18 @@
 
 def test_request_is_answered_once_before_its_client_times_out() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(submit_command("a1", wait_ms=300))
-            await backend.wait_for_commands(1)
+            await scan_server.wait_for_commands(1)
             loop = asyncio.get_running_loop()
             open_at_end: asyncio.Future[list[str]] = loop.create_future()
             # The gateway's timers and this one fire in the order of their due times, even if all are late.
             loop.call_later(0.3, lambda: open_at_end.set_result(list(gateway.exchanges.unanswered)))
             assert await client.read_reply() == "-ERR failed"
             assert await open_at_end == []
-            await backend.connection_closed.wait()  # the attempt ended with its connection
+            await scan_server.connection_closed.wait()  # the attempt ended with its connection
             assert await client.request(encode_command("PING")) == b"PONG"  # no second answer came in between
             assert (
                 not gateway.exchanges.unanswered
@@ -131,13 +131,13 @@
 
 def test_attempt_ends_when_its_client_disconnects() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             client.send(query_command("a1"))
-            await backend.command_received.wait()
+            await scan_server.command_received.wait()
             client.writer.close()
-            await backend.connection_closed.wait()
+            await scan_server.connection_closed.wait()
             assert not gateway.exchanges.unanswered and not gateway.policy.requests_by_id
 
     run_scenario(scenario())
@@ -145,13 +145,13 @@
 
 def test_second_request_with_an_id_in_use_is_an_error_and_the_first_continues() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (_, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (_, address):
             client, other = await RespClient.connect(address), await RespClient.connect(address)
             client.send(query_command("a1"))
-            await backend.command_received.wait()
+            await scan_server.command_received.wait()
             assert await other.request(query_command("a1")) == "-ERR this id is in use"
-            backend.writers[0].write(value_response(b"late"))
+            scan_server.writers[0].write(value_response(b"late"))
             assert await client.read_reply() == b"late"
 
     run_scenario(scenario())
@@ -192,8 +192,8 @@
 
 def test_attempt_for_an_answered_request_is_not_sent() -> None:
     async def scenario() -> None:
-        backend = StubScanServer()
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (gateway, address):
             client = await RespClient.connect(address)
             assert await client.request(query_command("a1")) == b"ok"
             events: list[Event] = []
@@ -204,7 +204,7 @@
             assert [event.result for event in events if isinstance(event, AttemptEnded)] == [
                 AttemptResult.NOT_SENT
             ]
-            assert len(backend.commands) == 1
+            assert len(scan_server.commands) == 1
 
     run_scenario(scenario())
 
@@ -244,12 +244,14 @@
 
 def test_shutdown_serves_new_requests_and_answers_all() -> None:
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None if arguments[2] == b"slow" else value_response(b"ok"))
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(
+            lambda arguments: None if arguments[2] == b"slow" else value_response(b"ok")
+        )
+        async with running_gateway(scan_server) as (gateway, address):
             idle, busy = await RespClient.connect(address), await RespClient.connect(address)
             assert await idle.request(encode_command("PING")) == b"PONG"
             busy.send(query_command("slow"))
-            await backend.command_received.wait()
+            await scan_server.command_received.wait()
             draining = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0)
             late = await RespClient.connect(address)
@@ -258,7 +260,7 @@
             # Both connections are closed between requests.
             assert await idle.closed_without_reply() and await late.closed_without_reply()
             assert not draining.done()
-            backend.writers[0].write(value_response(b"at last"))
+            scan_server.writers[0].write(value_response(b"at last"))
             assert await busy.read_reply() == b"at last"
             assert await busy.closed_without_reply()
             await draining
@@ -271,23 +273,23 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.1)
 
     async def scenario() -> None:
-        backend = StubScanServer(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
             busy = await RespClient.connect(address)
             busy.send(submit_command("a1"))
-            await backend.command_received.wait()
+            await scan_server.command_received.wait()
             draining = asyncio.create_task(gateway.drain())
             while not gateway.clients.is_draining:
                 await asyncio.sleep(0)
             client = await RespClient.connect(address)
-            backend.command_received.clear()
+            scan_server.command_received.clear()
             client.send(submit_command("a2"))
-            await backend.command_received.wait()
-            backend.writers[0].write(value_response(b"first"))
+            await scan_server.command_received.wait()
+            scan_server.writers[0].write(value_response(b"first"))
             assert await busy.read_reply() == b"first"
             await asyncio.sleep(0.3)  # longer than the grace: open requests are still awaited
             assert not draining.done()
-            backend.writers[1].write(value_response(b"at last"))
+            scan_server.writers[1].write(value_response(b"at last"))
             assert await client.read_reply() == b"at last"
             await draining
 
@@ -315,7 +317,7 @@
 
 
 def test_counters_agree_with_the_sockets_after_all_kinds_of_outcomes() -> None:
-    """Requests in flight, open requests and sockets must not leak: a backend would seem busy for ever."""
+    """Requests in flight, open requests and sockets must not leak: a scan server would seem busy for ever."""
 
     async def scenario() -> None:
         rng = random.Random(5)
--- a/tests/test_withdrawn_names.py
+++ b/tests/test_withdrawn_names.py
@@ -1,8 +1,7 @@
-"""Withdrawn names of programs and packages stand nowhere but where the past is told or read.
+"""Tests that withdrawn names of programs and packages occur only in records of, or code for, older revisions.
 
-A file that is not renamed yet has a line in NOT_YET_RENAMED with the number of places it has;
-more or fewer of them fail. The message of the failure holds the line that the file would need: by it, the
-table can be brought up to date while files are renamed.
+A file that is not renamed yet has a line in NOT_YET_RENAMED with its exact number of withdrawn names. The
+message of a failure contains the lines to which the table should be changed.
 """
 
 import re
@@ -14,10 +13,10 @@
 
 ROOT = Path(__file__).parent.parent
 WITHDRAWN = frozenset({"fennelwinch", "molereach", "roster", "steward", "rig"})
-# One part of a name such as `start_steward`, `RigError` or `RIG_HOST`; in prose, a word.
-PART = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
+# Matches a word of prose, or of an identifier such as `start_steward`, `RigError` or `RIG_HOST`.
+WORD = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
 
-# Folders and files in which the names stay: path -> reason. A folder ends with a slash.
+# Folders and files in which the names may occur: path -> reason. The path of a folder ends with a slash.
 EXCEPTIONS = {
     "README.md": "names the former key of the configuration",
     "docs/fidelity.jsonl": "measured records stay as they were written",
@@ -34,7 +33,7 @@
     "thistletrail/simulation/experiment.py": "finds the packages of older revisions",
 }
 
-# Files that still have withdrawn names: path -> places.
+# Files that still contain withdrawn names: path -> number of occurrences.
 NOT_YET_RENAMED = {
     # Issue on the data path, simulation, fault injection, benchmarks and tests; keys of plans stay.
     "docs/ROADMAP.md": 1,
@@ -55,33 +54,34 @@
 
 
 def tracked_files() -> list[str]:
-    """Return the paths of all files that git tracks and that are there, relative to the root."""
+    """Return the paths, relative to the root, of all existing files that git tracks."""
     listed = subprocess.run(["git", "ls-files", "-z"], cwd=ROOT, capture_output=True, text=True, check=True)
     return [path for path in listed.stdout.split("\0") if path and (ROOT / path).is_file()]
 
 
 def is_exception(path: str) -> bool:
-    """Return whether withdrawn names may stand in a file for good."""
-    return any(path == kept or (kept.endswith("/") and path.startswith(kept)) for kept in EXCEPTIONS)
+    """Return whether withdrawn names may occur in a file permanently."""
+    return any(
+        path == exception or (exception.endswith("/") and path.startswith(exception))
+        for exception in EXCEPTIONS
+    )
 
 
-def places(text: str) -> int:
-    """Return how often a withdrawn name, or its plural, stands in a text as a word or as part of a name."""
-    parts = (part.group().lower() for part in PART.finditer(text))
-    return sum(part in WITHDRAWN or part.removesuffix("s") in WITHDRAWN for part in parts)
+def count_withdrawn_names(text: str) -> int:
+    """Return how often withdrawn names, or their plurals, occur as words of prose or of identifiers."""
+    words = (word.group().lower() for word in WORD.finditer(text))
+    return sum(word in WITHDRAWN or word.removesuffix("s") in WITHDRAWN for word in words)
 
 
-def files_with_places() -> Iterator[tuple[str, int]]:
-    """Yield each file that has withdrawn names and is no exception, with the number of places.
-
-    The path of the file counts as well.
-    """
+def files_with_withdrawn_names() -> Iterator[tuple[str, int]]:
+    """Yield each file with withdrawn names in its path or content, and their number, except EXCEPTIONS."""
     for path in tracked_files():
         if is_exception(path):
             continue
-        found = places(path) + places((ROOT / path).read_text(encoding="utf-8", errors="replace"))
-        if found:
-            yield path, found
+        content = (ROOT / path).read_text(encoding="utf-8", errors="replace")
+        count = count_withdrawn_names(path) + count_withdrawn_names(content)
+        if count:
+            yield path, count
 
 
 @pytest.mark.parametrize(
@@ -93,15 +93,15 @@
         ("right, trigger, rigid, original, rigging, stewardess", 0),
     ],
 )
-def test_names_are_found_as_words_and_as_parts_of_names(text: str, expected: int) -> None:
-    assert places(text) == expected
+def test_withdrawn_names_are_counted_as_words_and_within_identifiers(text: str, expected: int) -> None:
+    assert count_withdrawn_names(text) == expected
 
 
-def test_withdrawn_names_stand_nowhere_else() -> None:
-    counts = dict(files_with_places())
-    beyond = [
+def test_withdrawn_names_occur_only_where_the_table_allows_them() -> None:
+    counts = dict(files_with_withdrawn_names())
+    wrong_lines = [
         f'    "{path}": {counts.get(path, 0)},  # in place of {NOT_YET_RENAMED.get(path, "no line")}'
         for path in sorted({*counts, *NOT_YET_RENAMED})
         if counts.get(path, 0) != NOT_YET_RENAMED.get(path, 0)
     ]
-    assert not beyond, "not the places that the table says; as lines of it:\n" + "\n".join(beyond)
+    assert not wrong_lines, "NOT_YET_RENAMED is not exact; its lines should be:\n" + "\n".join(wrong_lines)
