--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -139,7 +139,9 @@
     run_scenario(scenario())
 
 
-def test_full_gateway_evicts_the_least_active_connections_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_gateway_at_its_connection_limit_evicts_inactive_connections_first(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """First a client without a complete command, then one that only sent PING, then the longest idle one.
 
     A client that has sent requests keeps its minimum idle time.
--- a/tests/test_cost_counters.py
+++ b/tests/test_cost_counters.py
@@ -17,7 +17,7 @@
     running_gateway,
     value_response,
 )
-from tests.test_program import config, start, write
+from tests.test_program import config_values, start_process, write_config
 from thistletrail.gateway import backends
 from thistletrail.gateway import cost_counters as costs
 from thistletrail.gateway.config import load
@@ -195,15 +195,15 @@
 
 
 def test_time_stages_must_be_a_boolean(tmp_path: Path) -> None:
-    assert not load(write(tmp_path, config())).time_stages
-    assert load(write(tmp_path, config(time_stages=True))).time_stages
+    assert not load(write_config(tmp_path, config_values())).time_stages
+    assert load(write_config(tmp_path, config_values(time_stages=True))).time_stages
     with pytest.raises(ConfigError, match="time_stages"):
-        load(write(tmp_path, config(time_stages=1)))
+        load(write_config(tmp_path, config_values(time_stages=1)))
 
 
 def test_signal_and_shutdown_each_log_one_cost_line(tmp_path: Path) -> None:
     async def scenario() -> None:
-        process, address = await start(tmp_path, StubScanServer())
+        process, address = await start_process(tmp_path, StubScanServer())
         client = await RespClient.connect(address)
         assert await client.request(query_command("a1", 1500)) == b"ok"
         lines = []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: its configuration, signals, log and exit code."""
+"""Tests of the gateway as a process: its configuration, signals, log and exit code."""
 
 import asyncio
 import json
@@ -62,7 +62,8 @@
 }
 
 
-def config(**changes: object) -> dict[str, object]:
+def config_values(**changes: object) -> dict[str, object]:
+    """Return a valid configuration with `changes`; None removes a key."""
     known = json.loads(watch_event(4, []))
     values = {
         "name": "n0",
@@ -76,14 +77,17 @@
     return {key: value for key, value in {**values, **changes}.items() if value is not None}
 
 
-def write(path: Path, values: object) -> dict[str, str]:
-    file = path / "config.json"
+def write_config(folder: Path, values: object) -> dict[str, str]:
+    """Write a configuration, or text as it is; return the environment variable with its path."""
+    file = folder / "config.json"
     file.write_text(values if isinstance(values, str) else json.dumps(values))
     return {"PROXY_CONFIG": str(file)}
 
 
 def test_configuration_is_read_from_file_and_environment(tmp_path: Path) -> None:
-    loaded = load({**write(tmp_path, config()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"})
+    loaded = load(
+        {**write_config(tmp_path, config_values()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"}
+    )
     assert (loaded.name, loaded.listen, loaded.discovery) == ("n9", (HOST, 6379), ((HOST, 8),))
     assert loaded.settings.seed == 0x8C1F30D27A5BE964 and loaded.settings.gateway_count == 2
     assert loaded.class_numbers == {"read": 0, "settle": 1} and loaded.zone_numbers == {"a": 0, "b": 1}
@@ -98,20 +102,20 @@
         "{",
         "[]",
         {},
-        config(settings={}),
-        config(seed="xyz"),
-        config(listen="nowhere"),
-        config(discovery=None),
-        config(settings={**SETTINGS, "me": 2}),
-        config(settings={**SETTINGS, "plans": []}),
-        config(settings={**SETTINGS, "categories": [{"name": "read", "idempotency": "what"}]}),
-        config(peers=["x:y"]),
+        config_values(settings={}),
+        config_values(seed="xyz"),
+        config_values(listen="nowhere"),
+        config_values(discovery=None),
+        config_values(settings={**SETTINGS, "me": 2}),
+        config_values(settings={**SETTINGS, "plans": []}),
+        config_values(settings={**SETTINGS, "categories": [{"name": "read", "idempotency": "what"}]}),
+        config_values(peers=["x:y"]),
         None,
     ],
 )
 def test_unusable_configuration_is_reported_in_one_line(tmp_path: Path, values: object) -> None:
     env = {key: text for key, text in os.environ.items() if not key.startswith("PROXY_")}
-    env |= write(tmp_path, values) if values is not None else {}
+    env |= write_config(tmp_path, values) if values is not None else {}
     completed = subprocess.run(
         [sys.executable, "-m", "thistletrail.gateway"],
         cwd=ROOT,
@@ -125,18 +129,19 @@
     assert completed.stderr.startswith("gateway: ") and completed.stderr.count("\n") == 1
 
 
-async def start(
+async def start_process(
     tmp_path: Path, scan_server: StubScanServer, **env: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
+    """Start a gateway process with one scan server; return it with its address when it serves."""
     listen, silent = refusing_address(), refusing_address()
     known = json.loads(watch_event(4, [endpoint_entry("s1", await scan_server.start())]))
-    values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known)
+    values = config_values(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "thistletrail.gateway",
         cwd=ROOT,
-        env={**os.environ, **write(tmp_path, values), **env},
+        env={**os.environ, **write_config(tmp_path, values), **env},
         stderr=asyncio.subprocess.PIPE,
     )
     while b"serves at" not in await process.stderr.readline():
@@ -145,7 +150,7 @@
 
 
 def test_reload_requested_while_the_configuration_is_read_takes_effect(tmp_path: Path) -> None:
-    """The file is a pipe, so that the start blocks until the test writes to it."""
+    """The configuration file is a pipe, so that the start blocks until the test writes to it."""
 
     async def scenario() -> None:
         fifo, new_discovery = tmp_path / "config.json", StubDiscovery(lambda writer: asyncio.sleep(60))
@@ -159,7 +164,7 @@
             env={**os.environ, "PROXY_CONFIG": str(fifo)},
             stderr=asyncio.subprocess.PIPE,
         )
-        old = config(listen=f"{HOST}:{free[1]}", discovery=f"{HOST}:{refusing_address()[1]}")
+        old = config_values(listen=f"{HOST}:{free[1]}", discovery=f"{HOST}:{refusing_address()[1]}")
         while True:  # until the gateway has opened the pipe
             try:
                 end = os.open(fifo, os.O_WRONLY | os.O_NONBLOCK)
@@ -182,10 +187,10 @@
 
 
 def test_reload_takes_the_address_of_discovery_from_the_file(tmp_path: Path) -> None:
-    """PROXY_DISCOVERY is as old as the process and is not used; an unusable file has no effect."""
+    """The reload ignores PROXY_DISCOVERY, set when the process started; an unusable file has no effect."""
 
     async def scenario() -> None:
-        process, address = await start(tmp_path, StubScanServer(), PROXY_DISCOVERY=f"{HOST}:9")
+        process, address = await start_process(tmp_path, StubScanServer(), PROXY_DISCOVERY=f"{HOST}:9")
         file = tmp_path / "config.json"
         good = json.loads(file.read_text())
         file.write_text("{ not json")
@@ -226,7 +231,7 @@
 def test_signal_starts_a_graceful_shutdown_with_exit_code_0(tmp_path: Path, number: int) -> None:
     async def scenario() -> None:
         scan_server = StubScanServer()
-        process, address = await start(tmp_path, scan_server)
+        process, address = await start_process(tmp_path, scan_server)
         client = await RespClient.connect(address)
         request = encode_command("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
         assert await client.request(request) == b"ok"
@@ -244,13 +249,13 @@
 def test_address_in_use_is_reported_without_a_traceback(tmp_path: Path) -> None:
     async def scenario() -> None:
         taken = await StubScanServer().start()
-        values = config(listen=f"{HOST}:{taken[1]}")
+        values = config_values(listen=f"{HOST}:{taken[1]}")
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "thistletrail.gateway",
             cwd=ROOT,
-            env={**os.environ, **write(tmp_path, values)},
+            env={**os.environ, **write_config(tmp_path, values)},
             stderr=asyncio.subprocess.PIPE,
         )
         _, errors = await process.communicate()
@@ -277,7 +282,7 @@
 
 
 def paths_within(values: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
-    """The paths of all values within a configuration."""
+    """Return the paths of all values within a configuration."""
     inner = (
         values.items() if isinstance(values, dict) else enumerate(values) if isinstance(values, list) else ()
     )
@@ -310,20 +315,20 @@
 ]
 
 
-@given(st.sampled_from(paths_within(config())), st.sampled_from(INVALID_VALUES))
+@given(st.sampled_from(paths_within(config_values())), st.sampled_from(INVALID_VALUES))
 @example(("limits", "sockets"), 1e400)
 @example(("settings", "categories", 0, "deadline-us"), -1)
 def test_invalid_value_anywhere_is_read_or_reported_in_one_line(
     path: tuple[str | int, ...], invalid: object
 ) -> None:
     """A configuration that is accepted must also be usable by the policy."""
-    values = json.loads(json.dumps(config()))
+    values = json.loads(json.dumps(config_values()))
     inner = values
     for key in path[:-1]:
         inner = inner[key]
     inner[path[-1]] = invalid
     with tempfile.TemporaryDirectory() as folder:
-        env = write(Path(folder), values)
+        env = write_config(Path(folder), values)
         try:
             loaded = load(env)
         except ConfigError as error:
@@ -339,12 +344,12 @@
 
 def test_deeply_nested_configuration_is_reported(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="cannot read"):
-        load(write(tmp_path, "[" * 100_000))
+        load(write_config(tmp_path, "[" * 100_000))
 
 
 @pytest.mark.parametrize("out_of_range", [-1, float("nan"), 1e400, 1e16])
 def test_setting_out_of_range_is_reported_with_its_path(out_of_range: float, tmp_path: Path) -> None:
-    values = json.loads(json.dumps(config()))
+    values = json.loads(json.dumps(config_values()))
     values["settings"]["plans"][0]["units-per-s"] = out_of_range
     with pytest.raises(ConfigError, match=r"plans\.0\.units-per-s is out of range"):
-        load(write(tmp_path, values))
+        load(write_config(tmp_path, values))
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP2: the fast paths read what the incremental readers read."""
+"""Tests that the fast paths of the RESP2 readers give the same results as the incremental reading."""
 
 import pytest
 from hypothesis import given, settings
@@ -12,7 +12,7 @@
     min_size=1,
     max_size=12,
 )
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         b"*1\r\n",
         b"*2\r\n",
@@ -32,7 +32,7 @@
 
 
 def outcome(reader: Reader, method: str) -> tuple[object, bytes]:
-    """The result of one method, or the text of its error, and the bytes that it leaves."""
+    """Return the result of a method, or the text of its error, and the bytes that it has not consumed."""
     try:
         result = getattr(reader, method)()
     except ProtocolError as error:
@@ -41,7 +41,7 @@
 
 
 def assert_same_outcome(reader_class: type[Reader], data: bytes) -> None:
-    """Where the fast path reads anything, the incremental one reads the same and leaves the same bytes."""
+    """Assert that the fast path reads nothing, or reads and leaves the same as the incremental reading."""
     fast = reader_class()
     incremental = reader_class()
     fast.feed(data)
@@ -66,7 +66,7 @@
 
 
 @settings(derandomize=True)
-@given(st.lists(PIECES, max_size=8).map(b"".join))
+@given(st.lists(FRAGMENTS, max_size=8).map(b"".join))
 def test_fast_path_reads_malformed_commands_as_the_incremental_reader_does(data: bytes) -> None:
     assert_same_outcome(CommandReader, data)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -70,7 +70,7 @@
 
 
 def next_n(n_past: int, na_past: float, occupancy: float, overhead: float, seconds: float = 1.0) -> int:
-    """Return the next N rounded down, as without the remainder that a gateway carries over."""
+    """Return the next N, rounded down, without the remainder that a gateway carries over."""
     return max(
         1, math.floor(next_limit(n_past, na_past, occupancy, overhead, UTILIZATION_TARGETS, seconds) + 1e-9)
     )
@@ -91,7 +91,7 @@
         (1, 0, 0.99, 0.10, 1),  # at least 1
     ],
 )
-def test_next_limit_matches_hand_calculation(
+def test_next_limit_equals_calculated_examples(
     n_past: int, na_past: float, occupancy: float, overhead: float, expected: int
 ) -> None:
     assert next_n(n_past, na_past, occupancy, overhead) == expected
@@ -110,7 +110,7 @@
 
 def test_overload_control_engages_spreads_attempts_and_is_disengaged() -> None:
     harness = loaded_harness(0.9)
-    # 8 for each of 4 servers that are not cold, divided between two gateways
+    # 8 for each of 4 warm servers, divided between two gateways
     assert harness.engine.overload.admission_limit == 16
     for n in range(150):
         harness.send_request(f"r{n}", customer=f"c{n}")
@@ -313,7 +313,7 @@
     assert not harness.engine.customers.by_key
 
 
-def test_request_without_time_left_uses_no_quota() -> None:
+def test_request_without_remaining_time_uses_no_quota() -> None:
     harness = GatewayHarness()
     for n in range(30):
         harness.send_request(f"r{n}", remaining_us=100 * MILLISECOND_US)
@@ -407,7 +407,7 @@
     harness.advance(520 * MILLISECOND_US)
     customer.ceiling_bucket.level, harness.engine.servers.available = -9.0, available
     harness.advance(100 * MILLISECOND_US)
-    assert len(harness.in_flight) == 1  # the owner may have granted the units elsewhere by now
+    assert len(harness.in_flight) == 1  # the owner may have granted the units to another gateway by now
 
 
 def test_only_the_quota_owner_holds_ceiling_grants() -> None:
@@ -417,14 +417,14 @@
     assert next(iter(harness.engine.customers.by_key.values())).ceiling_grant_bucket.level == 0.0
 
 
-def test_request_without_time_left_is_rejected_at_once() -> None:
+def test_request_without_remaining_time_is_rejected_at_once() -> None:
     harness = GatewayHarness(endpoints=())
     assert actions_of_type(RejectRequest, harness.send_request("a", remaining_us=0))
 
 
 @pytest.mark.parametrize("remaining_ms", [5, 30, 60, 90, 130, 200, 260])
 def test_request_waiting_for_the_quota_owner_is_answered_in_time(remaining_ms: int) -> None:
-    """Clients have little time left, and the quota owner never answers."""
+    """The requests have little remaining time, and the quota owner never answers."""
     fleet = GatewayFleet(
         20, with_class(replace(UNSAFE, latency_objective_us=2 * SECOND_US), plans=(replace(PLAN, burst=2.0),))
     )
@@ -492,7 +492,7 @@
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_draining_or_gone_server_gets_no_attempts(state: ServerState) -> None:
+def test_draining_or_removed_server_gets_no_attempts(state: ServerState) -> None:
     harness = GatewayHarness(endpoints=servers(2))
     harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, servers(1, state=state)))
     for n in range(8):
@@ -508,7 +508,7 @@
     assert {action.server for _, action in harness.action_log if isinstance(action, StartAttempt)} == {"s0"}
 
 
-def test_cold_server_gets_few_attempts() -> None:
+def test_cold_server_gets_at_most_half_the_attempts_of_any_other() -> None:
     harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)))
     for n in range(120):
         if n == 60:
@@ -585,10 +585,10 @@
     assert not actions_of_type(StartAttempt, harness.send_request("c"))
 
 
-# --- health of servers, and retries ---
+# --- server health and retries ---
 
 
-def test_failing_server_is_ejected_and_tried_half_open() -> None:
+def test_failing_server_is_ejected_and_gets_half_open_attempts() -> None:
     harness = GatewayHarness(replace(SETTINGS, plans=(Plan(),)), servers(3))
     failing_server, sends, half_open_attempts = "s0", 0, 0
     for n in range(400):
@@ -655,7 +655,7 @@
     assert actions_of_type(RejectRequest, harness.complete_attempt("a", AttemptResult.RESET)) == []
 
 
-# --- size of the modules, and expiry ---
+# --- size of the policy modules, and eviction ---
 
 
 def test_policy_modules_are_listed_and_stay_small() -> None:
@@ -730,7 +730,7 @@
         assert gateway.overload.control_period_us == SECOND_US // scale
         gateway.overload.utilization_samples = [0.9]
         gateway.overload.update_limit(100)
-        # 8 for each of 4 servers that are not cold, divided between two gateways
+        # 8 for each of 4 warm servers, divided between two gateways
         assert gateway.overload.admission_limit == 16
         gateway.overload.utilization_samples = [0.1]
         gateway.overload.update_limit(16)
@@ -795,13 +795,13 @@
     assert spending == 11 - 2 * 1.0  # two requests for one unit, each with a chance of 1
 
 
-def test_gone_servers_and_refilled_customers_are_evicted() -> None:
+def test_removed_servers_and_refilled_customers_are_evicted() -> None:
     harness = GatewayHarness(endpoints=servers(2))
     for number in range(200):
-        gone = Server(f"x{number}", 0, 0, 0, ServerState.SERVING)
-        harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, number, (gone,)))
+        removed = Server(f"x{number}", 0, 0, 0, ServerState.SERVING)
+        harness.handle(EndpointUpdate(EndpointUpdateKind.CHANGES, number, (removed,)))
         harness.handle(
-            EndpointUpdate(EndpointUpdateKind.CHANGES, number, (replace(gone, state=ServerState.GONE),))
+            EndpointUpdate(EndpointUpdateKind.CHANGES, number, (replace(removed, state=ServerState.GONE),))
         )
         harness.send_request(f"a{number}", customer=f"once{number}")
         harness.complete_attempt(f"a{number}")
@@ -840,7 +840,7 @@
     assert sum(map(len, sent)) == 20
 
 
-def test_customer_under_another_set_of_gateways_gets_no_fresh_burst() -> None:
+def test_customer_under_another_set_of_gateways_gets_no_second_burst() -> None:
     harness = GatewayHarness(replace(SETTINGS, gateway_count=2, may_message_peers=False))
     sent = [
         len(actions_of_type(StartAttempt, harness.send_request(f"a{number}", set_size=1 + number % 2)))
@@ -937,10 +937,10 @@
         for request_id, attempt in list(harness.in_flight):
             harness.complete_attempt(request_id, attempt=attempt)
     assert waited < 15  # all in the first half second, and a few later
-    assert waited > 5  # it is still tried again
+    assert waited > 5  # requests to the owner continue
 
 
-def test_costly_overrun_keeps_a_reserve_in_the_bucket() -> None:
+def test_cost_of_exceeding_the_quota_keeps_a_reserve_in_the_bucket() -> None:
     free, costly = (replace(PLAN, over_quota_cost=cost) for cost in (0.0, 1.0))
     chances = {}
     for plan in (free, costly):
@@ -954,7 +954,7 @@
 
 
 def limited_harness(exact_limit: float, queued: int) -> GatewayHarness:
-    """Return a harness with `queued` requests behind a limit N of `exact_limit` a second."""
+    """Return a harness with `queued` requests that wait under a limit N of `exact_limit` a second."""
     harness = loaded_harness(0.9)
     harness.engine.overload.set_limit(exact_limit)
     harness.engine.overload.accepted_in_period = 99
@@ -1041,7 +1041,7 @@
     assert log_lines and "not begun" in log_lines[0]
 
 
-# --- retries that clients do not mark ---
+# --- detection of unmarked retries ---
 
 
 def send_first_attempts(harness: GatewayHarness, count: int, remaining_us: int) -> None:
--- a/tests/test_settings_digest.py
+++ b/tests/test_settings_digest.py
@@ -84,7 +84,7 @@
 
 
 def another_value(value: object) -> object:
-    """Another value of the same type."""
+    """Return a different value of the same type."""
     match value:
         case bool():
             return not value
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""Snapshots: which parts are restored up to which age, and that unusable ones are rejected."""
+"""Tests of snapshots: the maximum age of each part for its use, and the rejection of unusable ones."""
 
 import asyncio
 import os
@@ -24,8 +24,7 @@
     run_scenario,
     running_gateway,
 )
-from tests.test_program import config as config_values
-from tests.test_program import write as write_config
+from tests.test_program import config_values, write_config
 from thistletrail.gateway import snapshot_file, snapshot_store
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.errors import ConfigError, RejectedSnapshotError
@@ -106,14 +105,14 @@
         rejection_reason(good[:position] + bytes([good[position] ^ 0x41]) + good[position + 1 :])
 
 
-# --- the policy's part ---
+# --- restoring by the policy ---
 
 PLAN = Plan(rate=10.0, burst=20.0, over_quota_cost=1.0, ceiling_rate=20.0, ceiling_burst=40.0)
 SETTINGS_WITH_CEILING = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
 
 
 def restored_harness(age_us: int, **changes: object) -> GatewayHarness:
-    """A gateway that has restored a snapshot of that age."""
+    """Return a harness whose gateway has restored a snapshot of that age."""
     harness = GatewayHarness(SETTINGS_WITH_CEILING)
     harness.handle(SnapshotFound(replace(snapshot().policy, **changes), age_us))
     return harness
@@ -212,7 +211,7 @@
     assert log_line.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 ejected servers, N 7.5 a second"
 
 
-# --- the gateway's part ---
+# --- storing and restoring by the gateway ---
 
 
 def store_in(folder: Path, **changes: object) -> SnapshotStore:
@@ -300,10 +299,10 @@
     store.write(snapshot(written_at_ms=1))
     before = (tmp_path / "door").read_bytes()
 
-    def full(file: int) -> None:
+    def fsync_on_full_disk(file: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", fsync_on_full_disk)
     store.write(snapshot(written_at_ms=2))
     store.write(snapshot(written_at_ms=3))
     assert (tmp_path / "door").read_bytes() == before
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -60,7 +60,7 @@
 
 
 def gateway_config(folder: Path) -> Config:
-    """The configuration under which the snapshot was made, with a copy of the state folder."""
+    """Return the configuration under which the snapshot was made, with a copy of the state folder."""
     shutil.copytree(DATA / "gateway" / "state", folder / "state")
     config = load({"PROXY_CONFIG": str(DATA / "gateway" / "config.json")})
     return dataclasses.replace(config, state_dir=str(folder / "state"))
@@ -147,7 +147,7 @@
         assert server.avoid_until_us == harness.now_us + ejected.half_open_after_us
         assert (server.backoff_us, server.latency_ratio) == (ejected.backoff_us, ejected.latency_ratio)
     assert gateway.incarnations.has_restarted
-    # A snapshot that is made at once has the same state, including N.
+    # A snapshot that is made immediately has the same state, including N.
     assert gateway.snapshot() == PolicySnapshot(CUSTOMERS, EJECTED_SERVERS, LIMIT_PER_SCALED_SECOND)
     gateway_store.close()
 
@@ -295,7 +295,7 @@
 def restore_leasing(
     folder: Path, monkeypatch: pytest.MonkeyPatch, boot: str
 ) -> tuple[LeasingJournal, LeasingStates]:
-    """Start the next term on a copy of the journal, on a machine with that boot id."""
+    """Begin the next term on a copy of the journal, on a machine with that boot id."""
     monkeypatch.setattr(leasing_journal, "boot_id", lambda: boot)
     monkeypatch.setattr(leasing_journal, "now_ms", lambda: LEASING_NOW_MS)
     monkeypatch.setattr(time, "time_ns", lambda: round(SNAPSHOT_UNIX_S) * 1_000_000_000)
