--- a/tests/test_health_gossip.py
+++ b/tests/test_health_gossip.py
@@ -121,7 +121,7 @@
     assert len(gossip.totals) < 12 and len(gossip.lasting_failures) < 12
 
 
-def test_servers_that_share_a_fingerprint_are_left_out() -> None:
+def test_servers_that_share_a_fingerprint_are_omitted() -> None:
     names = [f"s{number}" for number in range(70_000)]
     names_by_fingerprint = by_fingerprint(names)
     assert all(fingerprint(name) == number for number, name in names_by_fingerprint.items())
--- a/tests/test_leasing_service.py
+++ b/tests/test_leasing_service.py
@@ -108,7 +108,7 @@
 
 
 def write_grants(folder: Path, now: int, count: int = 6) -> list[int]:
-    """Journal `count` grants in a new folder; return the log's size after each."""
+    """Journal `count` grants in a new folder; return the size of the log in bytes after each."""
     begin_history(folder, CONFIG)
     journal = Journal(begin_term(folder))
     state = journal.open(CONFIG).budgets
@@ -175,7 +175,7 @@
         Journal(begin_term(third)).open(CONFIG)
 
 
-def test_grants_of_another_boot_are_kept_for_the_longest_lease(
+def test_grants_of_another_boot_are_retained_for_the_longest_lease(
     tmp_path: Path, fixed_now_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     write_grants(tmp_path, fixed_now_ms)
@@ -187,7 +187,8 @@
     journal.close()
 
 
-def held_by(journal: Journal) -> list[HolderGrant]:
+def issued_grants_of(journal: Journal) -> list[HolderGrant]:
+    """Open a journal and return its issued grants in the order of their fencing tokens."""
     return sorted(journal.open(CONFIG).budgets.issued_grants(), key=lambda issued: issued.grant.fence)
 
 
@@ -196,18 +197,18 @@
 ) -> None:
     write_grants(tmp_path, fixed_now_ms)
     journal = Journal(begin_term(tmp_path))
-    before = held_by(journal)
+    before = issued_grants_of(journal)
     assert len(before) == 6 and current_log_path(tmp_path).stat().st_size == 0
     with pytest.raises(FolderLockedError, match="another lease service"):
         begin_term(tmp_path)
     journal.close()
     again = Journal(begin_term(tmp_path))
-    assert held_by(again) == before
+    assert issued_grants_of(again) == before
     again.close()
     with pytest.raises(FolderLockedError, match="there is a history"):
         begin_history(tmp_path, CONFIG)
     after = Journal(begin_term(tmp_path))  # the failed call has begun a term without a journal
-    assert held_by(after) == before
+    assert issued_grants_of(after) == before
     after.close()
 
 
@@ -217,7 +218,9 @@
     for name in ("log", "snapshot", "lock"):
         (term_folder(tmp_path / "now", 2) / name).rename(tmp_path / "then" / name)
     journal = Journal(begin_term(tmp_path / "then"))
-    assert len(held_by(journal)) == 6 and [path.name for path in (tmp_path / "then").iterdir()] == ["term-1"]
+    assert len(issued_grants_of(journal)) == 6 and [path.name for path in (tmp_path / "then").iterdir()] == [
+        "term-1"
+    ]
     journal.close()
 
 
@@ -229,7 +232,7 @@
 ) -> None:
     write_grants(tmp_path, fixed_now_ms)
     old = Journal(begin_term(tmp_path))
-    before = held_by(old)
+    before = issued_grants_of(old)
     answered = HolderGrant("open", "7/1", IssuedGrant(10**18, 3, fixed_now_ms + 1500))
     old.append([answered])
     late = Term(tmp_path, old.term.number)  # as a standby does that polled without a heartbeat
@@ -237,7 +240,7 @@
         old.append([HolderGrant("open", "8/1", IssuedGrant(10**18 + 1, 3, fixed_now_ms + 1500))])
     assert not old.term.is_current() and late.is_current()
     new = Journal(late)
-    known = held_by(new)
+    known = issued_grants_of(new)
     # A grant that was written and never answered may be in the journal too.
     assert [grant for grant in known if grant.holder != "8/1"] == [*before, answered]
     with pytest.raises(FolderLockedError):
@@ -245,7 +248,7 @@
     old.close()
     new.close()
     last = Journal(begin_term(tmp_path))
-    assert held_by(last) == known
+    assert issued_grants_of(last) == known
     last.close()
 
 
@@ -257,7 +260,7 @@
         term = begin_term(tmp_path)
         term.close()
     journal = Journal(begin_term(tmp_path))
-    assert len(held_by(journal)) == 6 and [path.name for path in tmp_path.iterdir()] == ["term-6"]
+    assert len(issued_grants_of(journal)) == 6 and [path.name for path in tmp_path.iterdir()] == ["term-6"]
     journal.close()
 
 
@@ -346,7 +349,7 @@
     standbys: list[subprocess.Popen[bytes]] = field(default_factory=list)
     addresses: list[tuple[str, int]] = field(default_factory=list)
     holders: dict[int, Process] = field(default_factory=dict)
-    starts: int = 0
+    started_holders: int = 0
 
     def arguments(self, number: int) -> tuple[str, ...]:
         host, port = self.addresses[number]
@@ -388,32 +391,33 @@
             process.wait()
         self.standbys.clear()
 
-    def granted_after(self, after_ms: int, min_share: int = 50) -> bool:
+    def has_grants_after(self, after_ms: int, min_share: int = 50) -> bool:
         """Return whether holders have `min_share` by grants that were all adopted after `after_ms`."""
-        return self.held("open") >= min_share and all(
-            record["at"] > after_ms for record in self.last("open").values()
+        return self.usable_share("open") >= min_share and all(
+            record["at"] > after_ms for record in self.latest_grants("open").values()
         )
 
     async def start_holder(self, gateway: int, demand: int = 1000) -> None:
-        self.starts += 1
+        self.started_holders += 1
         settings = {
             "door": gateway,
-            "mark": self.starts,
+            "mark": self.started_holders,
             "doors": 16,
             "addresses": self.addresses,
             "secret": SECRET,
             "lease_ms": CONFIG.lease_ms,
             "budgets": {name: [limits.total, limits.burst] for name, limits in LIMITS.items()},
             "demands": {"rate/a": demand * 1000, "open": demand},
-            "history": str(self.folder / f"holder-{self.starts}.jsonl"),
+            "history": str(self.folder / f"holder-{self.started_holders}.jsonl"),
         }
-        path = self.folder / f"holder-{self.starts}.json"
+        path = self.folder / f"holder-{self.started_holders}.json"
         path.write_bytes(msgspec.json.encode(settings))
         self.holders[gateway], _ = await start_program(
             ("-m", "thistletrail.benchmarks.holders", str(path)), self.folder / "log"
         )
 
     def records(self) -> list[dict]:
+        """Return the records of all holders by time."""
         records = [
             msgspec.json.decode(line)
             for path in self.folder.glob("holder-*.jsonl")
@@ -421,16 +425,16 @@
         ]
         return sorted(records, key=lambda record: record["at"])
 
-    def held(self, budget: str, gateway: int | None = None) -> int:
-        """Return the sum of shares that holders may use now, by their records."""
+    def usable_share(self, budget: str, gateway: int | None = None) -> int:
+        """Return the sum of the shares that all holders, or only `gateway`, may use now by their records."""
         now = now_ms()
         return sum(
             record["part"]
-            for (holder_id, _), record in self.last(budget).items()
+            for (holder_id, _), record in self.latest_grants(budget).items()
             if record["until"] > now and gateway in (None, holder_id)
         )
 
-    def last(self, budget: str) -> dict[tuple[int, int], dict]:
+    def latest_grants(self, budget: str) -> dict[tuple[int, int], dict]:
         """Return each holder's latest record of a grant."""
         return {
             (record["door"], record["mark"]): record
@@ -438,14 +442,16 @@
             if record["kind"] == "held" and record["budget"] == budget
         }
 
-    async def wait_until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until the condition is true; raise TimeoutError after 30 s."""
         async with asyncio.timeout(30):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.05)
 
 
 @contextlib.asynccontextmanager
 async def running_fleet(folder: Path, holders: int) -> AsyncIterator[Fleet]:
+    """Start a lease service, two standbys and `holders` holders; kill them at the end."""
     hosts = [f"127.77.{os.getpid() % 256}.{number}" for number in (1, 2, 3)]
     fleet = Fleet(folder, addresses=[(host, free_port(host=host)) for host in hosts])
     (folder / "c.toml").write_text(
@@ -467,7 +473,7 @@
         fleet.kill_standbys()
 
 
-def max_held(records: list[dict], budget: str) -> int:
+def max_usable_share(records: list[dict], budget: str) -> int:
     """Return the largest sum of shares that all holders could use at any moment.
 
     Each grant counts until its holder adopts a later one, or its lease ends.
@@ -503,25 +509,27 @@
 
 def assert_within_total(fleet: Fleet) -> None:
     records = fleet.records()
-    assert max_held(records, "open") <= leasable_total(64)
-    assert max_held(records, "rate/a") <= leasable_total(200_000)
+    assert max_usable_share(records, "open") <= leasable_total(64)
+    assert max_usable_share(records, "rate/a") <= leasable_total(200_000)
     assert overspent_units(records, "rate/a") <= 1.0  # times are recorded in whole milliseconds
     fences = [record["fence"] for record in records if record["kind"] == "held"]
     assert len(set(fences)) == len(fences)
 
 
-def run(scenario: Callable[[Fleet], object], folder: Path, holders: int) -> None:
-    async def run_scenario() -> None:
+def run_with_fleet(scenario: Callable[[Fleet], object], folder: Path, holders: int) -> None:
+    """Run a scenario with lease services and `holders` holders; assert that no total was exceeded."""
+
+    async def run_and_check() -> None:
         async with running_fleet(folder, holders) as fleet:
             await scenario(fleet)
         assert_within_total(fleet)
 
-    asyncio.run(run_scenario())
+    asyncio.run(run_and_check())
 
 
 def test_a_standby_continues_all_grants_when_the_leader_is_killed(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
         for process in fleet.services:
             process.kill()
         killed_ms = now_ms()
@@ -530,30 +538,30 @@
                 record["kind"] == "held" and record["at"] > killed_ms + 200 for record in fleet.records()
             )
         )
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
 
-    run(scenario, tmp_path, 6)
+    run_with_fleet(scenario, tmp_path, 6)
 
 
 def test_a_leader_that_hangs_is_replaced_and_becomes_a_standby_when_it_resumes(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
         fleet.services[0].process.send_signal(signal.SIGSTOP)
         stopped_ms = now_ms()
-        await fleet.wait_until(lambda: fleet.granted_after(stopped_ms + 1500))
+        await fleet.wait_until(lambda: fleet.has_grants_after(stopped_ms + 1500))
         fleet.services[0].process.send_signal(signal.SIGCONT)  # with requests in progress
         resumed_ms = now_ms()
-        await fleet.wait_until(lambda: fleet.granted_after(resumed_ms))
+        await fleet.wait_until(lambda: fleet.has_grants_after(resumed_ms))
         fleet.kill_standbys()  # the former leader is a standby now, and the only process left
         killed_ms = now_ms()
-        await fleet.wait_until(lambda: fleet.granted_after(killed_ms + 1500))
+        await fleet.wait_until(lambda: fleet.has_grants_after(killed_ms + 1500))
 
-    run(scenario, tmp_path, 6)
+    run_with_fleet(scenario, tmp_path, 6)
 
 
 def test_shares_stay_within_the_total_when_lease_services_are_killed_at_any_moment(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
         for turn in range(6):
             await asyncio.sleep(0.11 * turn)
             if turn % 2:  # one process, whether it is the leader or not
@@ -564,17 +572,17 @@
             fleet.start_standby(turn % 3)
             fleet.start_standby((turn + 1) % 3)
         killed_ms = now_ms()
-        await fleet.wait_until(lambda: fleet.granted_after(killed_ms))
+        await fleet.wait_until(lambda: fleet.has_grants_after(killed_ms))
 
-    run(scenario, tmp_path, 5)
+    run_with_fleet(scenario, tmp_path, 5)
 
 
 def test_after_the_loss_of_the_folder_a_successor_waits_for_the_longest_lease(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
         (fleet.folder / "data").rename(fleet.folder / "removed")
         lost_ms = now_ms()
-        await fleet.wait_until(lambda: fleet.granted_after(lost_ms + MAX_LEASE_MS))
+        await fleet.wait_until(lambda: fleet.has_grants_after(lost_ms + MAX_LEASE_MS))
         # Grants that were requested after the loss; a holder stops 2% before its lease ends.
         later = [
             record["at"]
@@ -583,29 +591,29 @@
         ]
         assert min(later) >= lost_ms + MAX_LEASE_MS
 
-    run(scenario, tmp_path, 4)
+    run_with_fleet(scenario, tmp_path, 4)
 
 
 def test_shares_of_dead_and_paused_holders_go_to_others_and_are_never_used_twice(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
         fleet.holders[0].process.send_signal(signal.SIGSTOP)
         for gateway in (1, 2):
             fleet.holders[gateway].kill()
             await fleet.holders[gateway].process.wait()
         await fleet.start_holder(1)  # restarts within the lease of its old incarnation
         # Three of five holders run, and get the shares of the dead and the paused holder.
-        await fleet.wait_until(lambda: fleet.held("open", 3) >= 17)
-        assert fleet.held("open", 0) == 0
+        await fleet.wait_until(lambda: fleet.usable_share("open", 3) >= 17)
+        assert fleet.usable_share("open", 0) == 0
         fleet.holders[0].process.send_signal(signal.SIGCONT)
-        await fleet.wait_until(lambda: fleet.held("open", 0) >= 8)
+        await fleet.wait_until(lambda: fleet.usable_share("open", 0) >= 8)
 
-    run(scenario, tmp_path, 5)
+    run_with_fleet(scenario, tmp_path, 5)
 
 
 def test_shares_stay_within_the_total_when_all_processes_are_killed_and_restarted(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: fleet.held("open") >= 50)
+        await fleet.wait_until(lambda: fleet.usable_share("open") >= 50)
         for process in (*fleet.services, *fleet.holders.values()):
             process.kill()
         await asyncio.gather(*(fleet.start_holder(gateway) for gateway in range(5)))
@@ -615,7 +623,7 @@
             <= {record["mark"] for record in fleet.records() if record["kind"] == "held" and record["part"]}
         )
 
-    run(scenario, tmp_path, 5)
+    run_with_fleet(scenario, tmp_path, 5)
 
 
 def test_calls_without_the_secret_are_rejected(tmp_path: Path) -> None:
@@ -651,7 +659,7 @@
             ) as answer:
                 assert (await answer.json())["budgets"]["open"]["whole"] == 64
 
-    run(scenario, tmp_path, 0)
+    run_with_fleet(scenario, tmp_path, 0)
 
 
 def test_work_streams_need_the_secret_and_answer_invalid_requests_with_a_text(tmp_path: Path) -> None:
@@ -710,7 +718,7 @@
             assert result.returncode == code and expected in result.stdout + result.stderr
             assert "Traceback" not in result.stderr
 
-    run(scenario, tmp_path, 0)
+    run_with_fleet(scenario, tmp_path, 0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leasing_state.py
+++ b/tests/test_leasing_state.py
@@ -166,7 +166,7 @@
     return lease.share if now < lease.until_ms else 0
 
 
-def test_shares_converge_to_equal_parts_of_two_gateways_and_of_three() -> None:
+def test_two_and_three_gateways_converge_to_equal_shares() -> None:
     service, first, second, third = make_state(), make_holder(0), make_holder(1), make_holder(2)
     renew(service, first, times=5)
     assert leased_share(first, "open") == leasable_total(100) == 90
@@ -259,7 +259,7 @@
         holder.leases["rate"].needed_units = units
 
 
-def test_units_are_added_at_the_rate_and_buckets_and_pool_hold_the_burst() -> None:
+def test_units_are_added_at_the_rate_up_to_the_burst_of_buckets_and_pool() -> None:
     service, holder, other_holder = make_state(), make_holder(0), make_holder(1)
     set_needed_units(10, holder, other_holder)
     spent, now = 0, NOW
