--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -144,10 +144,10 @@
                 assert await client.request(query_command(f"a{number + 1}")) == b"ok"
             assert str(await client.request(query_command("b1"))).startswith("-")
             assert str(await client.request(query_command("c1"))).startswith("-")
-            leaving = await RespClient.connect(address)
-            leaving.send(query_command("z1"))
+            disconnecting = await RespClient.connect(address)
+            disconnecting.send(query_command("z1"))
             await scan_server.wait_for_commands(1, b"z1")
-            leaving.writer.close()
+            disconnecting.writer.close()
             while (
                 gateway.exchanges.unanswered
                 or gateway.exchanges.answered_in_flight
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -188,12 +188,12 @@
     async def scenario() -> None:
         async with running_gateway() as (gateway, address):
             gateway.clients.max_sockets = 20
-            max_seen = 0
+            max_sockets_used = 0
             attach = gateway.clients.attach
 
             def attach_and_count(accepted: socket.socket) -> object:
-                nonlocal max_seen
-                max_seen = max(max_seen, gateway.clients.sockets)
+                nonlocal max_sockets_used
+                max_sockets_used = max(max_sockets_used, gateway.clients.sockets)
                 return attach(accepted)
 
             gateway.clients.attach = attach_and_count
@@ -204,7 +204,7 @@
                     burst.connect_ex(address)
                 client = await RespClient.connect(address)
                 assert await client.request(encode_command("PING")) == b"PONG"
-            assert 20 <= max_seen <= 21
+            assert 20 <= max_sockets_used <= 21
 
     run_scenario(scenario())
 
@@ -274,14 +274,14 @@
             gateway,
             address,
         ):
-            with socket.socket() as deaf:
-                deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                deaf.connect(address)
-                deaf.setblocking(False)
+            with socket.socket() as unresponsive_socket:
+                unresponsive_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+                unresponsive_socket.connect(address)
+                unresponsive_socket.setblocking(False)
                 loop = asyncio.get_running_loop()
                 with contextlib.suppress(OSError):
                     for number in range(200):
-                        await loop.sock_sendall(deaf, query_command(f"a{number}"))
+                        await loop.sock_sendall(unresponsive_socket, query_command(f"a{number}"))
                 while not gateway.clients.connections:
                     await asyncio.sleep(0)
                 assert await gateway.clients.wait_closed(20)
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -62,7 +62,7 @@
 
 @settings(derandomize=True)
 @given(st.integers(-SECOND_US, 20 * SECOND_US), st.integers(0, 20 * SECOND_US))
-def test_encoded_time_is_never_decoded_to_more(remaining: int, max_us: int) -> None:
+def test_decoded_time_never_exceeds_the_encoded_time(remaining: int, max_us: int) -> None:
     read = decode_remaining(encode_remaining(remaining).decode(), max_us)
     if read is None:
         assert remaining > max_us
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -367,7 +367,7 @@
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-def test_failed_last_attempt_with_little_time_left_is_answered_at_once(effect: Effect) -> None:
+def test_failed_last_attempt_with_little_remaining_time_is_answered_at_once(effect: Effect) -> None:
     rule = RequestClass(
         2 * SECOND_US,
         6 * SECOND_US,
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -62,14 +62,14 @@
 def response_script(*segments: bytes, stay: bool = True) -> object:
     """Return a script that writes the segments separately and, with `stay`, keeps the connection open."""
 
-    async def play(writer: asyncio.StreamWriter) -> None:
+    async def write_segments(writer: asyncio.StreamWriter) -> None:
         for segment in segments:
             writer.write(segment)
             await asyncio.sleep(0.001)  # the segments must arrive separately
         if stay:
             await asyncio.Event().wait()
 
-    return play
+    return write_segments
 
 
 def test_updates_are_read_from_split_data_with_empty_lines_and_unknown_states() -> None:
@@ -163,14 +163,14 @@
     monkeypatch.setattr(watch_connection, "OBJECT_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
-        async def stuck(writer: asyncio.StreamWriter) -> None:
+        async def send_incomplete_object(writer: asyncio.StreamWriter) -> None:
             writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(b'{"generation": 5,\n'))
             while True:
                 writer.write(http_chunk(b"\n"))
                 await asyncio.sleep(0.02)
 
         discovery = StubDiscovery(
-            stuck, response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [])))
+            send_incomplete_object, response_script(CHUNKED_RESPONSE_HEAD + http_chunk(watch_event(5, [])))
         )
         assert (await receive_updates(discovery, 1))[0].event.version == 5
 
@@ -557,16 +557,16 @@
         [],  # an answer that never starts
     ],
 )
-def test_malformed_or_stuck_answers_end_and_the_next_address_is_used(
+def test_malformed_or_incomplete_answers_end_and_the_next_address_is_used(
     segments: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("SILENT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "OBJECT_TIMEOUT_S"):
         monkeypatch.setattr(watch_connection, name, 0.3)
 
     async def scenario() -> None:
-        good = StubDiscovery(watch_script(watch_event(5, [endpoint_entry("s1", ADDRESS)])))
+        working = StubDiscovery(watch_script(watch_event(5, [endpoint_entry("s1", ADDRESS)])))
         harness = DiscoveryHarness(
-            await StubDiscovery(response_script(*segments)).start(), await good.start()
+            await StubDiscovery(response_script(*segments)).start(), await working.start()
         )
         assert await versions(harness, 1) == [5]
         harness.discovery.watcher.close()
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -59,11 +59,11 @@
     mine, now = serving_since(100 * SECOND_US), 101 * SECOND_US
     mine.receive(1, announcement(served_s=1.0 + older_us / SECOND_US), now)
     assert mine.has_restarted is restarted
-    theirs = serving_since(100 * SECOND_US - older_us)
+    older_incarnations = serving_since(100 * SECOND_US - older_us)
     # The older gateway replies at once to one that has restarted.
-    assert theirs.receive(0, announcement(served_s=1.0), now) is restarted
-    assert theirs.is_peer_younger(0) is restarted and not theirs.has_restarted
-    assert theirs.is_recovering(now + RECOVERY_US - 1) is restarted
+    assert older_incarnations.receive(0, announcement(served_s=1.0), now) is restarted
+    assert older_incarnations.is_peer_younger(0) is restarted and not older_incarnations.has_restarted
+    assert older_incarnations.is_recovering(now + RECOVERY_US - 1) is restarted
 
 
 def test_a_gateway_that_knows_of_its_restart_is_not_notified_again() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -192,7 +192,7 @@
     async def scenario() -> None:
         process, address = await start_process(tmp_path, StubScanServer(), PROXY_DISCOVERY=f"{HOST}:9")
         file = tmp_path / "config.json"
-        good = json.loads(file.read_text())
+        original = json.loads(file.read_text())
         file.write_text("{ not json")
         process.send_signal(signal.SIGHUP)
         while b"stays as it was" not in (line := await process.stderr.readline()):
@@ -211,7 +211,7 @@
 
         watched = asyncio.Event()
         discovery = await StubDiscovery(complete_list, silent).start()
-        file.write_text(json.dumps({**good, "discovery": f"{HOST}:{discovery[1]}"}))
+        file.write_text(json.dumps({**original, "discovery": f"{HOST}:{discovery[1]}"}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
         await watched.wait()
--- a/tests/test_registry_end_to_end.py
+++ b/tests/test_registry_end_to_end.py
@@ -134,7 +134,7 @@
         address = await registry.start(RegistryService(tmp_path / "a"))
         async with registered_servers(address, "s-1") as servers:
             _, registration = servers["s-1"]
-            registration.renewal_interval_s = 0.1  # a renewal tells the server that it must register again
+            registration.renewal_interval_s = 0.1  # a rejected renewal makes the server register again
             await registration.stop_renewing()
             registration.start_renewing()
             gateway = await start_gateway(address)
--- a/tests/test_registry_http_service.py
+++ b/tests/test_registry_http_service.py
@@ -105,7 +105,7 @@
             ],
         }
         watch = client.watch(first_generation)
-        # The first update is sent at once, even if empty: it tells the reader that its list is up to date.
+        # The first update is sent at once, even if empty: it confirms that the reader is up to date.
         assert await anext(watch) == {"generation": first_generation, "reset": False, "instances": []}
         assert await anext(watch) is None  # an empty line, as nothing changed
         second_generation = await client.put("s-2", 6002)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -119,7 +119,7 @@
             assert await client.read_reply() == "-ERR failed"
             assert await open_at_end == []
             await scan_server.connection_closed.wait()  # the attempt ended with its connection
-            assert await client.request(encode_command("PING")) == b"PONG"  # no second answer came in between
+            assert await client.request(encode_command("PING")) == b"PONG"  # no second answer was sent
             assert (
                 not gateway.exchanges.unanswered
                 and not gateway.exchanges.answered_in_flight
@@ -321,14 +321,23 @@
 
     async def scenario() -> None:
         rng = random.Random(5)
-        good, malformed = value_response(b"ok"), b"*9\r\n"
-        answers = [good, good, b"-BUSY\r\n", b"-ERR failed\r\n", b"", malformed, good * 2, None]
+        valid_response, malformed = value_response(b"ok"), b"*9\r\n"
+        answers = [
+            valid_response,
+            valid_response,
+            b"-BUSY\r\n",
+            b"-ERR failed\r\n",
+            b"",
+            malformed,
+            valid_response * 2,
+            None,
+        ]
         servers = [StubScanServer(lambda arguments: rng.choice(answers)) for _ in range(3)]
         async with running_gateway(*servers, addresses=[refusing_address()]) as (gateway, address):
             clients = [await RespClient.connect(address) for _ in range(20)]
             for number in range(200):
-                ask = query_command if number % 3 else submit_command
-                clients[number % 20].send(ask(f"a{number}", wait_ms=400))
+                make_command = query_command if number % 3 else submit_command
+                clients[number % 20].send(make_command(f"a{number}", wait_ms=400))
             for client in clients[:5]:
                 client.writer.close()  # with requests open
             for client in clients[5:]:
--- a/tests/test_settings_digest.py
+++ b/tests/test_settings_digest.py
@@ -100,23 +100,25 @@
 
 
 @pytest.mark.parametrize(
-    "rebuild, part",
+    "rebuild, instance",
     [
-        (lambda part: part, EVERY_SETTING),
+        (lambda instance: instance, EVERY_SETTING),
         (
-            lambda part: dataclasses.replace(EVERY_SETTING, classes=(part, *EVERY_SETTING.classes[1:])),
+            lambda instance: dataclasses.replace(
+                EVERY_SETTING, classes=(instance, *EVERY_SETTING.classes[1:])
+            ),
             EVERY_SETTING.classes[0],
         ),
-        (lambda part: dataclasses.replace(EVERY_SETTING, plans=(part,)), EVERY_SETTING.plans[0]),
+        (lambda instance: dataclasses.replace(EVERY_SETTING, plans=(instance,)), EVERY_SETTING.plans[0]),
     ],
     ids=["settings", "request class", "plan"],
 )
 def test_each_setting_except_the_seed_changes_the_digest(
-    rebuild: Callable[[Any], Settings], part: Settings | RequestClass | Plan
+    rebuild: Callable[[Any], Settings], instance: Settings | RequestClass | Plan
 ) -> None:
     digest_of_all = settings_digest(EVERY_SETTING)
-    for field in dataclasses.fields(part):
-        other = dataclasses.replace(part, **{field.name: another_value(getattr(part, field.name))})
+    for field in dataclasses.fields(instance):
+        other = dataclasses.replace(instance, **{field.name: another_value(getattr(instance, field.name))})
         is_same = settings_digest(rebuild(other)) == digest_of_all
         assert is_same is (field.name == "seed"), field.name
 
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -79,19 +79,19 @@
 
 
 def test_an_unusable_snapshot_is_rejected_with_the_reason() -> None:
-    good = encode_snapshot(snapshot())
+    encoded = encode_snapshot(snapshot())
     assert rejection_reason(b"") == "cut off: expected 13 bytes at least, found 0"
     assert rejection_reason(b"x" * 100) == "no snapshot: expected b'MrSt' at its beginning, found b'xxxx'"
-    assert "version: expected 1, found 2" in rejection_reason(good[:4] + b"\x02" + good[5:])
+    assert "version: expected 1, found 2" in rejection_reason(encoded[:4] + b"\x02" + encoded[5:])
     another = encode_snapshot(snapshot(gateway_name="another"))
     assert rejection_reason(another) == "expected one of n0, found one of another"
     assert "other settings" in rejection_reason(encode_snapshot(snapshot(settings_digest="0")))
-    assert "in the future" in rejection_reason(good, NOW_MS - 3_600_000)
-    assert rejection_reason(good, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
+    assert "in the future" in rejection_reason(encoded, NOW_MS - 3_600_000)
+    assert rejection_reason(encoded, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
     other = replace(CONFIG, settings=replace(CONFIG.settings, gateway_count=3))
-    assert "other settings" in rejection_reason(good, config=other)
+    assert "other settings" in rejection_reason(encoded, config=other)
     # The seed may differ at each start and is not part of the digest.
-    read(good, NOW_MS, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)))
+    read(encoded, NOW_MS, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)))
     body = msgspec.msgpack.encode({"name": 1})
     magic, version = snapshot_file.MAGIC, snapshot_file.VERSION
     wrong = snapshot_file.HEADER.pack(magic, version, len(body), zlib.crc32(body)) + body
@@ -99,10 +99,10 @@
 
 
 def test_a_snapshot_truncated_or_changed_at_any_byte_is_rejected() -> None:
-    good = encode_snapshot(snapshot())
-    for position in range(len(good)):
-        rejection_reason(good[:position])
-        rejection_reason(good[:position] + bytes([good[position] ^ 0x41]) + good[position + 1 :])
+    encoded = encode_snapshot(snapshot())
+    for position in range(len(encoded)):
+        rejection_reason(encoded[:position])
+        rejection_reason(encoded[:position] + bytes([encoded[position] ^ 0x41]) + encoded[position + 1 :])
 
 
 # --- restoring by the policy ---
