--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.helpers import WORKING_TREE
-from tests.sockets import run
+from tests.sockets import run_scenario
 from thistletrail.benchmarks import cost
 from thistletrail.benchmarks.__main__ import main
 from thistletrail.benchmarks.errors import BenchmarkError
@@ -107,7 +107,7 @@
             owner.close()
             await owner.wait_closed()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_gateway_that_does_not_start_is_reported_in_one_line(
@@ -129,7 +129,7 @@
         text = cost.cost_table([result])
         assert text.splitlines()[1].split()[:2] == ["steady", "60"] and "by stage" in text
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_runs_with_the_same_seed_send_the_same_commands() -> None:
@@ -159,7 +159,7 @@
             await task
         assert has_ended(pid)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_figures_of_a_killed_gateway_raise_benchmark_error(tmp_path: Path) -> None:
@@ -173,7 +173,7 @@
             with pytest.raises(BenchmarkError, match="has ended"):
                 process.descriptor_count()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.skipif(not TASK_FOLDER.is_dir(), reason="this system lists no children of a process")
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on what requests, connections and customers use, in bytes and objects, independent of time."""
+"""Bounds on the memory, objects and connections that requests and customers use, without measuring time."""
 
 import asyncio
 import gc
@@ -12,8 +12,17 @@
 import pytest
 import uvloop
 
-from tests.helpers import MS, PLAN, SETTINGS, S, World, servers
-from tests.sockets import PATIENT, PATIENT_MS, Backend, Client, query, run, running_gateway, value
+from tests.helpers import MILLISECOND_US, PLAN, SECOND_US, SETTINGS, GatewayHarness, servers
+from tests.sockets import (
+    LONG_TIMEOUT_MS,
+    LONG_TIMEOUT_SETTINGS,
+    RespClient,
+    StubScanServer,
+    query_command,
+    run_scenario,
+    running_gateway,
+    value_response,
+)
 from thistletrail.gateway import backends
 from thistletrail.gateway.backends import Attempt
 from thistletrail.gateway.exchange import Exchange
@@ -22,7 +31,7 @@
 from thistletrail.policy.pending_request import PendingRequest
 
 ROOT = Path(__file__).parent.parent
-# Allocated by the program's own lines for an idle connection, the transport included. With uvloop 0.23 it is
+# Allocated by lines of the gateway for an idle connection, including the transport. With uvloop 0.23 it is
 # 1,600 bytes (2,450 with a deque for the replies, 1,750 without slots).
 MAX_IDLE_CONNECTION_BYTES = 2000
 # Allocated by the policy for a customer with one request: about 650 bytes, and more just after a dictionary
@@ -31,7 +40,7 @@
 
 
 def allocated_bytes(path_pattern: str) -> Callable[[], int]:
-    """A function for the bytes that lines of these files allocate from now on and have not freed."""
+    """Return a function that measures the bytes allocated by these files from now on and not yet freed."""
     filters = [tracemalloc.Filter(True, str(ROOT / path_pattern))]
 
     def take_snapshot() -> tracemalloc.Snapshot:
@@ -49,54 +58,59 @@
     tracemalloc.stop()
 
 
-def test_idle_connection_uses_few_bytes(traced_memory: None) -> None:
+def test_memory_of_an_idle_connection_is_bounded(traced_memory: None) -> None:
     count = 200
 
     async def scenario() -> None:
-        async with running_gateway(Backend(), sockets=512, settings=PATIENT) as (_, address):
-            # What the first requests allocate once for all is not counted.
+        async with running_gateway(StubScanServer(), sockets=512, settings=LONG_TIMEOUT_SETTINGS) as (
+            _,
+            address,
+        ):
+            # Memory that is allocated only once, by the first requests, is not counted.
             for number in range(20):
-                await (await Client.open(address)).ask(query(f"w{number}", wait_ms=PATIENT_MS))
+                await (await RespClient.connect(address)).request(
+                    query_command(f"w{number}", wait_ms=LONG_TIMEOUT_MS)
+                )
             measure = allocated_bytes("thistletrail/gateway/clients.py")
-            clients = [await Client.open(address) for _ in range(count)]
+            clients = [await RespClient.connect(address) for _ in range(count)]
             for number, client in enumerate(clients):
-                assert await client.ask(query(f"a{number}", wait_ms=PATIENT_MS)) == b"ok"
+                assert await client.request(query_command(f"a{number}", wait_ms=LONG_TIMEOUT_MS)) == b"ok"
             assert 0 < measure() / count < MAX_IDLE_CONNECTION_BYTES
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-def serve_customers(world: World, start: int, count: int) -> None:
-    """Have `count` customers send one request each, which is answered."""
+def serve_customers(harness: GatewayHarness, start: int, count: int) -> None:
+    """Have `count` customers, numbered from `start`, send one request each, and answer it."""
     for number in range(start, start + count):
-        world.ask(f"r{number}", customer=f"c{number}")
-        for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt)
-        world.log.clear()
-        world.tries.clear()
+        harness.send_request(f"r{number}", customer=f"c{number}")
+        for name, attempt in list(harness.in_flight):
+            harness.complete_attempt(name, attempt=attempt)
+        harness.action_log.clear()
+        harness.attempt_counts.clear()
 
 
-def test_customer_with_one_request_uses_few_bytes(traced_memory: None) -> None:
-    world = World()
-    serve_customers(world, 0, 100)
+def test_memory_of_a_customer_with_one_request_is_bounded(traced_memory: None) -> None:
+    harness = GatewayHarness()
+    serve_customers(harness, 0, 100)
     count = 2000
     measure = allocated_bytes("thistletrail/policy/*")
-    serve_customers(world, 100, count)
+    serve_customers(harness, 100, count)
     assert 0 < measure() / count < MAX_CUSTOMER_BYTES
 
 
-def test_ten_thousand_customers_with_one_request_each_are_all_forgotten() -> None:
-    """A customer is remembered until its token buckets are full again, and no longer."""
-    world = World(replace(SETTINGS, plans=(replace(PLAN, rate=1000.0),)), servers(4))
-    gateway = world.gateway
+def test_ten_thousand_customers_with_one_request_each_are_all_evicted() -> None:
+    """A customer is evicted as soon as its token buckets are full again."""
+    harness = GatewayHarness(replace(SETTINGS, plans=(replace(PLAN, rate=1000.0),)), servers(4))
+    gateway = harness.engine
     max_customers = 0
     for start in range(0, 10_000, 100):
-        serve_customers(world, start, 100)
-        world.run(S)
-        world.log.clear()
+        serve_customers(harness, start, 100)
+        harness.advance(SECOND_US)
+        harness.action_log.clear()
         max_customers = max(max_customers, len(gateway.customers.by_key))
-    assert max_customers <= 100 * (gateway.customers.retention_us // S + 2)
-    world.run(gateway.customers.retention_us + 3 * S)
+    assert max_customers <= 100 * (gateway.customers.retention_us // SECOND_US + 2)
+    harness.advance(gateway.customers.retention_us + 3 * SECOND_US)
     assert not gateway.customers.by_key and not gateway.customers.first_keys
     assert (
         not gateway.requests_by_id
@@ -107,7 +121,7 @@
 
 
 def live_objects(*classes: type) -> list[object]:
-    """All objects of these classes that are still referenced."""
+    """Return the objects of these classes that are still referenced."""
     gc.collect()
     return [candidate for candidate in gc.get_objects() if isinstance(candidate, classes)]
 
@@ -116,22 +130,24 @@
     """A timer that is not cancelled refers to its callback, and so keeps the request in memory."""
 
     async def scenario() -> None:
-        def answer(arguments: list[bytes]) -> bytes | None:
-            return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(arguments[2][:1], value(b"ok"))
-
-        backend = Backend(answer)
-        async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            assert await client.ask(query("a0")) == b"ok"
+        def respond(arguments: list[bytes]) -> bytes | None:
+            return {b"b": b"-ERR failed\r\n", b"c": b"", b"z": None}.get(
+                arguments[2][:1], value_response(b"ok")
+            )
+
+        scan_server = StubScanServer(respond)
+        async with running_gateway(scan_server) as (gateway, address):
+            client = await RespClient.connect(address)
+            assert await client.request(query_command("a0")) == b"ok"
             before = asyncio.all_tasks()
             for number in range(20):
-                assert await client.ask(query(f"a{number + 1}")) == b"ok"
-            assert str(await client.ask(query("b1"))).startswith("-")
-            assert str(await client.ask(query("c1"))).startswith("-")
-            leaving = await Client.open(address)
-            leaving.send(query("z1"))
-            await backend.received(1, b"z1")
-            leaving.writer.close()
+                assert await client.request(query_command(f"a{number + 1}")) == b"ok"
+            assert str(await client.request(query_command("b1"))).startswith("-")
+            assert str(await client.request(query_command("c1"))).startswith("-")
+            disconnecting = await RespClient.connect(address)
+            disconnecting.send(query_command("z1"))
+            await scan_server.wait_for_commands(1, b"z1")
+            disconnecting.writer.close()
             while (
                 gateway.exchanges.unanswered
                 or gateway.exchanges.answered_in_flight
@@ -146,33 +162,33 @@
             assert not gateway_tasks
             assert not live_objects(Exchange, Attempt, PendingRequest)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("at_once", "rounds"), [(1, 40), (8, 5)])
-def test_connections_to_a_server_are_as_many_as_attempts_in_flight_at_once(
+def test_connections_to_a_server_do_not_exceed_the_attempts_in_flight_at_once(
     at_once: int, rounds: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Their number does not grow with the number of requests."""
+    """The number of connections must not grow with the number of requests."""
     monkeypatch.setattr(backends, "REUSE_DELAY_US", 0)
 
     async def scenario() -> None:
-        backend = Backend()
-        async with running_gateway(backend) as (gateway, address):
-            clients = [await Client.open(address) for _ in range(at_once)]
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (gateway, address):
+            clients = [await RespClient.connect(address) for _ in range(at_once)]
             for turn in range(rounds):
                 for number, client in enumerate(clients):
-                    client.send(query(f"a{turn}x{number}"))
-                assert [await client.answer() for client in clients] == [b"ok"] * at_once
+                    client.send(query_command(f"a{turn}x{number}"))
+                assert [await client.read_reply() for client in clients] == [b"ok"] * at_once
             assert gateway.costs.requests == at_once * rounds
-            assert gateway.costs.handshakes == backend.opened <= at_once
+            assert gateway.costs.handshakes == scan_server.opened_connections <= at_once
             assert gateway.backends.connection_count() <= at_once and gateway.clients.sockets == at_once
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-def test_start_does_not_import_large_modules_with_little_use() -> None:
-    """An imported module stays in memory for the lifetime of every gateway of the fleet."""
+def test_gateway_start_does_not_import_pathlib_urllib_or_email() -> None:
+    """The gateway hardly uses these modules, but imported ones take memory in every process of the fleet."""
     code = (
         "import sys, thistletrail.gateway.__main__\n"
         "print([name for name in ('pathlib', 'urllib', 'email') if name in sys.modules])"
@@ -183,14 +199,14 @@
     assert process.stdout.strip() == "[]"
 
 
-def test_policy_has_one_timer_at_a_time() -> None:
-    """An idle policy waits for the end of its period; a request sets an earlier timer, which replaces it."""
+def test_setting_a_policy_timer_replaces_the_previous_one() -> None:
+    """The timer of an idle policy is due at the end of its period; a request sets an earlier one instead."""
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, _):
+        async with running_gateway(StubScanServer()) as (gateway, _):
             for _ in range(10):
-                gateway.driver.set_timer(SetTimer(900 * MS, 0))
-                gateway.driver.set_timer(SetTimer(500 * MS, 0))
+                gateway.driver.set_timer(SetTimer(900 * MILLISECOND_US, 0))
+                gateway.driver.set_timer(SetTimer(500 * MILLISECOND_US, 0))
             pending = [
                 timer
                 for timer in live_objects(uvloop.loop.TimerHandle)
@@ -202,4 +218,4 @@
             gateway.driver.set_timer(SetTimer(0, 0))
             assert fired == [TimerFired(0)] and not gateway.driver.timers
 
-    run(scenario())
+    run_scenario(scenario())
