--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,22 +9,22 @@
 import pytest
 
 from tests.sockets import (
+    CHUNKED_RESPONSE_HEAD,
     CONFIG,
-    HEAD,
-    PATIENT,
-    PATIENT_MS,
-    Backend,
-    Client,
-    Watch,
-    catalog,
-    chunk,
-    entry,
-    query,
-    resp,
-    run,
+    LONG_TIMEOUT_MS,
+    LONG_TIMEOUT_SETTINGS,
+    RespClient,
+    StubDiscovery,
+    StubScanServer,
+    encode_command,
+    endpoint_entry,
+    http_chunk,
+    query_command,
+    run_scenario,
     running_gateway,
-    submit,
-    value,
+    submit_command,
+    value_response,
+    watch_event,
 )
 from thistletrail.gateway import backends, clients, graceful_shutdown
 from thistletrail.gateway.backends import now_us
@@ -36,14 +36,14 @@
 
 @contextlib.contextmanager
 def raw_client(address: Address) -> Iterator[socket.socket]:
-    """A client's blocking socket, whose calls do not let the gateway's loop run."""
+    """Yield a client's blocking socket; the gateway's event loop does not run during its calls."""
     with socket.create_connection(address) as client:
         client.settimeout(10)
         yield client
 
 
 async def received(client: socket.socket) -> bytes:
-    """All bytes up to the end of the connection; a reset raises ConnectionResetError."""
+    """Return all bytes up to the end of the connection; a reset raises ConnectionResetError."""
     data_received = bytearray()
     while data := await asyncio.to_thread(client.recv, 1 << 16):
         data_received += data
@@ -51,7 +51,7 @@
 
 
 def connection_of(gateway: GatewayServer, client: socket.socket) -> clients.ClientConnection:
-    """The gateway's side of a client's connection."""
+    """Return the gateway's side of a client's connection."""
     (connection,) = [
         connection
         for connection in gateway.clients.connections
@@ -60,27 +60,27 @@
     return connection
 
 
-async def fill_pipeline(gateway: GatewayServer, client: socket.socket, backend: Backend) -> None:
+async def fill_pipeline(gateway: GatewayServer, client: socket.socket, scan_server: StubScanServer) -> None:
     """Send more commands than a connection may have in flight, so that the gateway stops reading from it."""
     for number in range(clients.MAX_PIPELINED + 4):
-        client.sendall(submit(f"a{number}", wait_ms=PATIENT_MS))
-    await backend.received(5)
+        client.sendall(submit_command(f"a{number}", wait_ms=LONG_TIMEOUT_MS))
+    await scan_server.wait_for_commands(5)
     while len(gateway.exchanges.unanswered) < clients.MAX_PIPELINED:
         await asyncio.sleep(0.001)
 
 
-def test_request_that_crosses_a_close_does_not_reset_the_connection_and_is_not_consumed(
+def test_request_sent_while_its_connection_closes_is_not_consumed_and_causes_no_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The previous answer may not have reached the client yet, and a reset would discard it."""
+    """A reset would discard the previous answer if it has not reached the client yet."""
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def scenario() -> None:
-        backend = Backend()
-        async with running_gateway(backend) as (gateway, address):
+        scan_server = StubScanServer()
+        async with running_gateway(scan_server) as (gateway, address):
             with raw_client(address) as client:
-                client.sendall(query("first"))
-                await backend.received(1)
+                client.sendall(query_command("first"))
+                await scan_server.wait_for_commands(1)
                 while not gateway.costs.served:
                     await asyncio.sleep(0.001)
                 has_unread = clients.has_unread
@@ -89,16 +89,16 @@
                 def send_after_check(transport: asyncio.Transport) -> bool:
                     result = has_unread(transport)
                     if transport is connection.transport:
-                        client.sendall(query("second"))
+                        client.sendall(query_command("second"))
                     return result
 
                 monkeypatch.setattr(clients, "has_unread", send_after_check)
                 draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
-            assert [arguments[2] for arguments in backend.commands] == [b"first"]
+            assert [arguments[2] for arguments in scan_server.commands] == [b"first"]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_drain_waits_until_clients_have_had_time_to_read_their_last_answer(
@@ -109,9 +109,9 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.02)
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             with raw_client(address) as client:
-                client.sendall(query("a1"))
+                client.sendall(query_command("a1"))
                 while not gateway.costs.served:
                     await asyncio.sleep(0.001)
                 connection = connection_of(gateway, client)
@@ -119,23 +119,21 @@
                 assert connection.state is State.CLOSING
                 assert now_us() - connection.state_since_us >= clients.LINGER_TIMEOUT_US
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("is_new", [False, True])
-def test_command_received_in_parts_during_a_drain_is_answered(
-    is_new: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Its first part has been read: a close now would leave it half consumed."""
+def test_command_completed_during_a_drain_is_answered(is_new: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The gateway has consumed the beginning of the command, so it must not close the connection."""
     monkeypatch.setattr(graceful_shutdown, "NEW_CONNECTION_GRACE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.05)
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
-            slow = await Client.open(address)
+        async with running_gateway(StubScanServer()) as (gateway, address):
+            slow = await RespClient.connect(address)
             if not is_new:
-                assert await slow.ask(resp("PING")) == b"PONG"
-            slow.send(query("a1")[:40])
+                assert await slow.request(encode_command("PING")) == b"PONG"
+            slow.send(query_command("a1")[:40])
             while not any(connection.reader.buffer for connection in gateway.clients.connections):
                 await asyncio.sleep(0.001)
             checked = asyncio.Event()
@@ -151,12 +149,12 @@
             await checked.wait()
             checked.clear()
             await checked.wait()
-            slow.send(query("a1")[40:])
-            assert await slow.answer() == b"ok"
-            assert await slow.ended()
+            slow.send(query_command("a1")[40:])
+            assert await slow.read_reply() == b"ok"
+            assert await slow.closed_without_reply()
             await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_in_the_backlog_at_the_end_of_a_drain_is_served(
@@ -166,45 +164,45 @@
     monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_GRACE_S", 0.05)
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             gateway.loop.remove_reader(gateway.clients.listener)  # as after a failure to accept
             with raw_client(address) as client:
-                client.sendall(query("a1"))
+                client.sendall(query_command("a1"))
                 draining = asyncio.create_task(gateway.drain())
                 assert await received(client) == b"$2\r\nok\r\n"
                 await draining
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-def test_nothing_more_is_forwarded_for_a_client_that_disconnects_while_reading_is_paused(
+def test_client_that_disconnects_while_reading_is_paused_has_nothing_more_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It has the maximum of requests in flight, so that the loop is not notified of bytes or of an end."""
+    """With the maximum of requests in flight, the loop does not report received bytes or a closed socket."""
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 60.0)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
-        async with running_gateway(backend, settings=PATIENT) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             with raw_client(address) as client:
-                await fill_pipeline(gateway, client, backend)
+                await fill_pipeline(gateway, client, scan_server)
                 client.shutdown(socket.SHUT_RDWR)
-            forwarded = list(zip(backend.commands, backend.writers, strict=True))
+            forwarded = list(zip(scan_server.commands, scan_server.writers, strict=True))
             for arguments, writer in forwarded:
-                # All later answers wait for that to a0: a write to the client would make the loop notice.
+                # Later ones wait for that to a0: a write to the client would let the loop detect the close.
                 if arguments[2] != b"a0":
-                    writer.write(value(b"ok"))
+                    writer.write(value_response(b"ok"))
             while len(gateway.policy.requests_by_id) > 1:
                 await asyncio.sleep(0.001)
-            assert len(backend.commands) == len(forwarded)
-            for writer in backend.writers:
-                writer.write(value(b"ok"))
+            assert len(scan_server.commands) == len(forwarded)
+            for writer in scan_server.writers:
+                writer.write(value_response(b"ok"))
             policy = gateway.policy
             while gateway.exchanges.answered_in_flight or policy.requests_by_id or policy.queue:
                 await asyncio.sleep(0.001)
             assert policy.overload.in_flight == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_sweep_ends_the_requests_of_a_client_that_disconnected_while_reading_is_paused(
@@ -213,51 +211,53 @@
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
-        async with running_gateway(backend, settings=PATIENT) as (gateway, address):
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             with raw_client(address) as client:
-                await fill_pipeline(gateway, client, backend)
+                await fill_pipeline(gateway, client, scan_server)
             while gateway.exchanges.unanswered or gateway.clients.sockets or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
             assert gateway.costs.gone == clients.MAX_PIPELINED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_disconnected_client_has_nothing_written_although_attempts_are_not_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It disconnects while its attempt connects, and the policy may not cancel attempts."""
+    """The client disconnects while its attempt connects, and the policy may not cancel attempts."""
     connect = backends.Pool.connect
-    has_left = asyncio.Event()
+    client_disconnected = asyncio.Event()
 
     async def connect_late(pool: backends.Pool, connection: backends.Connection) -> None:
-        await has_left.wait()
+        await client_disconnected.wait()
         await connect(pool, connection)
 
     monkeypatch.setattr(backends.Pool, "connect", connect_late)
 
     async def scenario() -> None:
-        backend = Backend()
-        async with running_gateway(backend, settings=replace(PATIENT, may_cancel=False)) as (
+        scan_server = StubScanServer()
+        async with running_gateway(
+            scan_server, settings=replace(LONG_TIMEOUT_SETTINGS, may_cancel=False)
+        ) as (
             gateway,
             address,
         ):
-            client = await Client.open(address)
-            client.send(submit("a1", wait_ms=PATIENT_MS))
+            client = await RespClient.connect(address)
+            client.send(submit_command("a1", wait_ms=LONG_TIMEOUT_MS))
             while not gateway.costs.handshakes:
                 await asyncio.sleep(0.001)
             client.writer.close()
             while gateway.exchanges.unanswered:
                 await asyncio.sleep(0.001)
-            has_left.set()
-            other = await Client.open(address)
-            assert await other.ask(submit("b1", wait_ms=PATIENT_MS)) == b"ok"
-            assert [arguments[2] for arguments in backend.commands] == [b"b1"]
+            client_disconnected.set()
+            other = await RespClient.connect(address)
+            assert await other.request(submit_command("b1", wait_ms=LONG_TIMEOUT_MS)) == b"ok"
+            assert [arguments[2] for arguments in scan_server.commands] == [b"b1"]
             while gateway.exchanges.answered_in_flight or gateway.policy.requests_by_id:
                 await asyncio.sleep(0.001)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_client_that_disconnects_as_its_attempt_fails_leaves_no_request_in_flight() -> None:
@@ -267,8 +267,8 @@
     """
 
     async def scenario() -> None:
-        fleet = [Backend(lambda arguments: b"") for _ in range(2)]
-        async with running_gateway(*fleet, settings=PATIENT) as (gateway, address):
+        scan_servers = [StubScanServer(lambda arguments: b"") for _ in range(2)]
+        async with running_gateway(*scan_servers, settings=LONG_TIMEOUT_SETTINGS) as (gateway, address):
             post = gateway.driver.post
 
             def post_and_disconnect(event: object) -> None:
@@ -277,8 +277,8 @@
                     gateway.exchanges.on_client_disconnected(gateway.exchanges.unanswered[event.id].reply)
 
             gateway.driver.post = post_and_disconnect
-            client = await Client.open(address)
-            client.send(query("a1", wait_ms=PATIENT_MS))
+            client = await RespClient.connect(address)
+            client.send(query_command("a1", wait_ms=LONG_TIMEOUT_MS))
             policy = gateway.policy
             while not gateway.costs.gone or gateway.driver.pending_events:
                 await asyncio.sleep(0.001)
@@ -289,13 +289,13 @@
             )
             assert all(customer.in_flight == 0 for customer in policy.customers.by_key.values())
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_retry_that_connects_after_the_idempotency_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The policy decided on it within the window, in which servers still recognize the key."""
+    """The policy started the retry within the window, in which scan servers still recognize the key."""
     connect = backends.Pool.connect
     window_s = 2.0
     connect_numbers = iter(range(2))
@@ -306,59 +306,67 @@
         await connect(pool, connection)
 
     monkeypatch.setattr(backends.Pool, "connect", connect_second_late)
-    keyed = replace(PATIENT.classes[1], idempotency_window_us=round(window_s * 1e6))
-    settings = replace(PATIENT, classes=(PATIENT.classes[0], keyed, PATIENT.classes[2]))
+    keyed = replace(LONG_TIMEOUT_SETTINGS.classes[1], idempotency_window_us=round(window_s * 1e6))
+    settings = replace(
+        LONG_TIMEOUT_SETTINGS,
+        classes=(LONG_TIMEOUT_SETTINGS.classes[0], keyed, LONG_TIMEOUT_SETTINGS.classes[2]),
+    )
 
     async def scenario() -> None:
-        fleet = [Backend(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
-        async with running_gateway(*fleet, settings=settings) as (gateway, address):
-            client = await Client.open(address)
-            assert await client.ask(submit("a1", "book", wait_ms=PATIENT_MS)) == "-ERR failed"
-            assert gateway.costs.attempts == 2 and sum(len(backend.commands) for backend in fleet) == 1
+        scan_servers = [StubScanServer(lambda arguments: b"-ERR failed\r\n") for _ in range(2)]
+        async with running_gateway(*scan_servers, settings=settings) as (gateway, address):
+            client = await RespClient.connect(address)
+            assert (
+                await client.request(submit_command("a1", "book", wait_ms=LONG_TIMEOUT_MS)) == "-ERR failed"
+            )
+            assert (
+                gateway.costs.attempts == 2
+                and sum(len(scan_server.commands) for scan_server in scan_servers) == 1
+            )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_evicted_connection_is_one_without_unread_bytes() -> None:
-    """The client that was idle longest has just sent a request, which the gateway has not read."""
+    """The client that was idle longest has just sent a request, which the gateway has not read yet."""
 
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             with raw_client(address) as requesting, raw_client(address) as idle:
                 for number, client in enumerate((requesting, idle)):
-                    client.sendall(query(f"a{number}"))
+                    client.sendall(query_command(f"a{number}"))
                     while gateway.costs.served <= number:
                         await asyncio.sleep(0.001)
                     assert client.recv(100) == b"$2\r\nok\r\n"
                 for connection in gateway.clients.connections:
                     connection.state_since_us -= 2 * clients.MIN_IDLE_US
-                requesting.sendall(query("a2"))
+                requesting.sendall(query_command("a2"))
                 assert gateway.clients.make_room()
                 assert await received(idle) == b""
                 assert await asyncio.to_thread(requesting.recv, 100) == b"$2\r\nok\r\n"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_error_to_a_rejected_connection_is_not_discarded_by_a_reset() -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway, address):
+        async with running_gateway(StubScanServer()) as (gateway, address):
             gateway.clients.max_sockets = 0
             with raw_client(address) as client:
-                client.sendall(query("a1"))  # is received before the gateway accepts
+                client.sendall(query_command("a1"))  # is received before the gateway accepts
                 assert await received(client) == clients.TOO_MANY_CLIENTS_RESPONSE
             assert gateway.costs.turned_away == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-def test_all_connections_disable_the_delay_of_small_writes() -> None:
+def test_all_connections_set_tcp_nodelay() -> None:
     async def scenario() -> None:
-        backend = Backend(lambda arguments: None)
-        async with running_gateway(backend) as (gateway, address):
-            client = await Client.open(address)
-            client.send(query("a1"))
-            await backend.came.wait()
+        scan_server = StubScanServer(lambda arguments: None)
+        async with running_gateway(scan_server) as (gateway, address):
+            client = await RespClient.connect(address)
+            client.send(query_command("a1"))
+            await scan_server.command_received.wait()
             (pool,) = gateway.backends.pools.values()
             connections = (*pool.connections, *gateway.clients.connections)
             transports = [connection.transport for connection in connections]
@@ -367,35 +375,37 @@
                 connection_socket = transport.get_extra_info("socket")
                 assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_clients_at_the_socket_limit_leave_descriptors_for_discovery_and_servers() -> None:
-    """They connect while discovery is silent; its list is read when it answers again, and its server used."""
+    """The clients connect while discovery is silent; its list is read later, and its server used."""
 
     async def scenario() -> None:
-        backend = Backend()
+        scan_server = StubScanServer()
         is_back = asyncio.Event()
-        listed = catalog(7, [entry("s0", await backend.start())])
+        listed = watch_event(7, [endpoint_entry("s0", await scan_server.start())])
 
         async def answer_when_back(writer: asyncio.StreamWriter) -> None:
             await is_back.wait()
-            writer.write(HEAD + chunk(listed))
+            writer.write(CHUNKED_RESPONSE_HEAD + http_chunk(listed))
             await asyncio.Event().wait()
 
-        watch = Watch(answer_when_back)
-        config = replace(CONFIG, settings=PATIENT, sockets=48, discovery=(await watch.start(),))
+        discovery = StubDiscovery(answer_when_back)
+        config = replace(
+            CONFIG, settings=LONG_TIMEOUT_SETTINGS, sockets=48, discovery=(await discovery.start(),)
+        )
         gateway = GatewayServer(config)
         await gateway.start()
-        idle = [await Client.open(gateway.address) for _ in range(3 * gateway.clients.max_sockets)]
-        requesting = await Client.open(gateway.address)
-        requesting.send(query("a1", wait_ms=PATIENT_MS))
+        idle = [await RespClient.connect(gateway.address) for _ in range(3 * gateway.clients.max_sockets)]
+        requesting = await RespClient.connect(gateway.address)
+        requesting.send(query_command("a1", wait_ms=LONG_TIMEOUT_MS))
         while "a1" not in gateway.exchanges.unanswered:
             await asyncio.sleep(0.001)
         assert gateway.clients.sockets <= gateway.clients.max_sockets
         is_back.set()
-        assert await requesting.answer() == b"ok"
-        assert len(watch.targets) == 1 and len(idle) > gateway.clients.max_sockets
+        assert await requesting.read_reply() == b"ok"
+        assert len(discovery.request_targets) == 1 and len(idle) > gateway.clients.max_sockets
         gateway.close()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_snapshot_store.py
+++ b/tests/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""Snapshots: which parts are restored up to which age, and that unusable ones are rejected."""
+"""Tests of snapshots: the maximum age of each part for its use, and the rejection of unusable ones."""
 
 import asyncio
 import os
@@ -13,10 +13,18 @@
 import msgspec
 import pytest
 
-from tests.helpers import SETTINGS, S, World, of
-from tests.sockets import CONFIG, HOST, Backend, Client, Watch, query, run, running_gateway
-from tests.test_program import config as config_values
-from tests.test_program import write as write_config
+from tests.helpers import SECOND_US, SETTINGS, GatewayHarness, actions_of_type
+from tests.sockets import (
+    CONFIG,
+    HOST,
+    RespClient,
+    StubDiscovery,
+    StubScanServer,
+    query_command,
+    run_scenario,
+    running_gateway,
+)
+from tests.test_program import config_values, write_config
 from thistletrail.gateway import snapshot_file, snapshot_store
 from thistletrail.gateway.config import Config
 from thistletrail.gateway.errors import ConfigError, RejectedSnapshotError
@@ -71,19 +79,19 @@
 
 
 def test_an_unusable_snapshot_is_rejected_with_the_reason() -> None:
-    good = encode_snapshot(snapshot())
+    encoded = encode_snapshot(snapshot())
     assert rejection_reason(b"") == "cut off: expected 13 bytes at least, found 0"
     assert rejection_reason(b"x" * 100) == "no snapshot: expected b'MrSt' at its beginning, found b'xxxx'"
-    assert "version: expected 1, found 2" in rejection_reason(good[:4] + b"\x02" + good[5:])
+    assert "version: expected 1, found 2" in rejection_reason(encoded[:4] + b"\x02" + encoded[5:])
     another = encode_snapshot(snapshot(gateway_name="another"))
     assert rejection_reason(another) == "expected one of n0, found one of another"
     assert "other settings" in rejection_reason(encode_snapshot(snapshot(settings_digest="0")))
-    assert "in the future" in rejection_reason(good, NOW_MS - 3_600_000)
-    assert rejection_reason(good, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
+    assert "in the future" in rejection_reason(encoded, NOW_MS - 3_600_000)
+    assert rejection_reason(encoded, NOW_MS + 3_600_000) == "written 3600 s ago, expected 600 at most"
     other = replace(CONFIG, settings=replace(CONFIG.settings, gateway_count=3))
-    assert "other settings" in rejection_reason(good, config=other)
+    assert "other settings" in rejection_reason(encoded, config=other)
     # The seed may differ at each start and is not part of the digest.
-    read(good, NOW_MS, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)))
+    read(encoded, NOW_MS, replace(CONFIG, settings=replace(CONFIG.settings, seed=9)))
     body = msgspec.msgpack.encode({"name": 1})
     magic, version = snapshot_file.MAGIC, snapshot_file.VERSION
     wrong = snapshot_file.HEADER.pack(magic, version, len(body), zlib.crc32(body)) + body
@@ -91,52 +99,60 @@
 
 
 def test_a_snapshot_truncated_or_changed_at_any_byte_is_rejected() -> None:
-    good = encode_snapshot(snapshot())
-    for position in range(len(good)):
-        rejection_reason(good[:position])
-        rejection_reason(good[:position] + bytes([good[position] ^ 0x41]) + good[position + 1 :])
+    encoded = encode_snapshot(snapshot())
+    for position in range(len(encoded)):
+        rejection_reason(encoded[:position])
+        rejection_reason(encoded[:position] + bytes([encoded[position] ^ 0x41]) + encoded[position + 1 :])
 
 
-# --- the policy's part ---
+# --- restoring by the policy ---
 
 PLAN = Plan(rate=10.0, burst=20.0, over_quota_cost=1.0, ceiling_rate=20.0, ceiling_burst=40.0)
 SETTINGS_WITH_CEILING = replace(SETTINGS, gateway_count=2, plans=(PLAN,))
 
 
-def restored_world(age_us: int, **changes: object) -> World:
-    """A gateway that has restored a snapshot of that age."""
-    world = World(SETTINGS_WITH_CEILING)
-    world.tell(SnapshotFound(replace(snapshot().policy, **changes), age_us))
-    return world
+def restored_harness(age_us: int, **changes: object) -> GatewayHarness:
+    """Return a harness whose gateway has restored a snapshot of that age."""
+    harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    harness.handle(SnapshotFound(replace(snapshot().policy, **changes), age_us))
+    return harness
 
 
 def test_a_snapshot_holds_the_state_of_the_policy() -> None:
     # The bucket of a ceiling starts empty, so this plan has no ceiling.
-    world = World(replace(SETTINGS_WITH_CEILING, plans=(replace(PLAN, ceiling_rate=0.0),)))
+    harness = GatewayHarness(replace(SETTINGS_WITH_CEILING, plans=(replace(PLAN, ceiling_rate=0.0),)))
     for number in range(8):
-        world.ask(f"r{number}", set_size=2)
-    world.gateway.overload.set_limit(12.0)
-    ejected = world.gateway.servers_by_name["s1"]
-    ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = True, world.now + S, 2 * S
-    collected = world.gateway.snapshot()
-    ((key, customer),) = world.gateway.customers.by_key.items()
+        harness.send_request(f"r{number}", set_size=2)
+    harness.engine.overload.set_limit(12.0)
+    ejected = harness.engine.servers_by_name["s1"]
+    ejected.is_ejected, ejected.avoid_until_us, ejected.backoff_us = (
+        True,
+        harness.now_us + SECOND_US,
+        2 * SECOND_US,
+    )
+    collected = harness.engine.snapshot()
+    ((key, customer),) = harness.engine.customers.by_key.items()
     (stored,) = collected.customers
     assert (stored.customer, stored.plan_index, stored.set_first, stored.set_size) == key
     assert stored.local_level == customer.local_bucket.level < 10.0
     assert stored.set_level == customer.set_level < 20.0
-    assert collected.ejected_servers == (EjectedServerSnapshot("s1", S, 2 * S, ejected.latency_ratio),)
+    assert collected.ejected_servers == (
+        EjectedServerSnapshot("s1", SECOND_US, 2 * SECOND_US, ejected.latency_ratio),
+    )
     assert collected.limit_per_scaled_second == pytest.approx(12.0)
 
-    next_world = World(SETTINGS_WITH_CEILING)
-    next_world.tell(SnapshotFound(collected, 500_000))
-    restored_customer = next_world.gateway.customers.by_key[key]
+    next_harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    next_harness.handle(SnapshotFound(collected, 500_000))
+    restored_customer = next_harness.engine.customers.by_key[key]
     assert (
         restored_customer.local_bucket.level <= customer.local_bucket.level + 1e-9
         and restored_customer.set_level <= customer.set_level + 1e-9
     )
-    assert next_world.gateway.servers_by_name["s1"].is_ejected
-    assert next_world.gateway.servers_by_name["s1"].avoid_until_us == next_world.now + S // 2
-    assert next_world.gateway.overload.admission_limit == 12 and next_world.gateway.incarnations.has_restarted
+    assert next_harness.engine.servers_by_name["s1"].is_ejected
+    assert next_harness.engine.servers_by_name["s1"].avoid_until_us == next_harness.now_us + SECOND_US // 2
+    assert (
+        next_harness.engine.overload.admission_limit == 12 and next_harness.engine.incarnations.has_restarted
+    )
 
 
 @pytest.mark.parametrize(
@@ -152,19 +168,19 @@
 def test_expired_parts_of_a_snapshot_are_not_used(
     age_us: int, customer_count: int, is_ejected: bool, limit: int | None
 ) -> None:
-    world = restored_world(age_us)
-    assert len(world.gateway.customers.by_key) == customer_count
-    assert world.gateway.servers_by_name["s1"].is_ejected is is_ejected
-    assert world.gateway.overload.admission_limit == limit
+    harness = restored_harness(age_us)
+    assert len(harness.engine.customers.by_key) == customer_count
+    assert harness.engine.servers_by_name["s1"].is_ejected is is_ejected
+    assert harness.engine.overload.admission_limit == limit
 
 
 def test_customers_are_not_restored_when_their_buckets_are_full_again() -> None:
-    world = World(SETTINGS_WITH_CEILING)
-    retention_us = world.gateway.customers.retention_us
-    assert retention_us >= 10 * S
+    harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    retention_us = harness.engine.customers.retention_us
+    assert retention_us >= 10 * SECOND_US
     assert (
-        restored_world(retention_us - 1).gateway.customers.by_key
-        and not restored_world(retention_us).gateway.customers.by_key
+        restored_harness(retention_us - 1).engine.customers.by_key
+        and not restored_harness(retention_us).engine.customers.by_key
     )
 
 
@@ -176,12 +192,12 @@
     ],
 )
 def test_an_invalid_customer_is_ignored(invalid: CustomerSnapshot) -> None:
-    assert not restored_world(0, customers=(invalid,)).gateway.customers.by_key
+    assert not restored_harness(0, customers=(invalid,)).engine.customers.by_key
 
 
 def test_restored_levels_never_exceed_the_burst_of_a_bucket() -> None:
-    world = restored_world(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
-    customer = world.gateway.customers.by_key[KEY]
+    harness = restored_harness(0, customers=(CustomerSnapshot(*KEY, 1e9, 1e9, 1e9, 1e9),))
+    customer = harness.engine.customers.by_key[KEY]
     assert (customer.local_bucket.level, customer.set_level) == (10.0, 20.0)
     assert (
         customer.ceiling_bucket.level <= 40.0 * customer.ceiling_bucket.share
@@ -190,12 +206,12 @@
 
 
 def test_the_restored_state_is_logged() -> None:
-    world = World(SETTINGS_WITH_CEILING)
-    (log_line,) = of(WriteLog, world.tell(SnapshotFound(snapshot().policy, 2_500_000)))
+    harness = GatewayHarness(SETTINGS_WITH_CEILING)
+    (log_line,) = actions_of_type(WriteLog, harness.handle(SnapshotFound(snapshot().policy, 2_500_000)))
     assert log_line.text == "takes up a snapshot of 2.5 s ago: 1 customers, 1 ejected servers, N 7.5 a second"
 
 
-# --- the gateway's part ---
+# --- storing and restoring by the gateway ---
 
 
 def store_in(folder: Path, **changes: object) -> SnapshotStore:
@@ -204,16 +220,16 @@
 
 def test_a_gateway_restores_the_snapshot_of_its_previous_process(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway_server, address):
+        async with running_gateway(StubScanServer()) as (gateway_server, address):
             first = store_in(tmp_path)
-            client = await Client.open(address)
+            client = await RespClient.connect(address)
             for number in range(5):
-                await client.ask(query(f"r{number}"))
+                await client.request(query_command(f"r{number}"))
             first.write(first.collect(gateway_server))
             first.close()
             second = store_in(tmp_path)
             assert second.stored_snapshot.endpoint_list["generation"] == 7
-            config = second.with_stored_list(replace(CONFIG, discovery=(await Watch(never).start(),)))
+            config = second.with_stored_list(replace(CONFIG, discovery=(await StubDiscovery(never).start(),)))
             next_gateway = GatewayServer(config)
             second.restore(next_gateway)
             await asyncio.sleep(0)
@@ -233,14 +249,14 @@
     async def never(writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_only_the_endpoint_list_of_an_old_snapshot_is_used(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
-        async with running_gateway(Backend()) as (gateway_server, _):
+        async with running_gateway(StubScanServer()) as (gateway_server, _):
             first = store_in(tmp_path)
             first.write(first.collect(gateway_server))
             first.close()
@@ -253,7 +269,7 @@
             assert third.stored_snapshot is None
             third.close()
 
-    run(scenario())
+    run_scenario(scenario())
     assert "is too old for all but its list" in caplog.text and "written 3600 s ago" in caplog.text
 
 
@@ -283,10 +299,10 @@
     store.write(snapshot(written_at_ms=1))
     before = (tmp_path / "door").read_bytes()
 
-    def full(file: int) -> None:
+    def fsync_on_full_disk(file: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", fsync_on_full_disk)
     store.write(snapshot(written_at_ms=2))
     store.write(snapshot(written_at_ms=3))
     assert (tmp_path / "door").read_bytes() == before
