--- a/tests/test_fault_injection_lists.py
+++ b/tests/test_fault_injection_lists.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.helpers import WORKING_TREE
-from thistletrail.fault_injection.checks import RunHistory, check
+from thistletrail.fault_injection.checks import RunHistory, attempts_of, check
 from thistletrail.fault_injection.history import Record
 from thistletrail.fault_injection.plan import load
 from thistletrail.fault_injection.runs import play_once
@@ -44,17 +44,14 @@
         for name in record["struck"]
     }
     attempts = [
-        record
-        for record in history.records_by_kind["came"]
-        if record["id"] == request["id"] and request["at"] <= record["at"] <= end["at"]
+        (arrival["server"], outcome)
+        for arrival, _, outcome in attempts_of(history)[request["id"]]
+        if request["at"] <= arrival["at"] <= end["at"]
     ]
-    rejected = {
-        record["serial"] for record in history.records_by_kind["left"] if record["how"] in ("error", "full")
-    }
     return (
         end["at"] - request["at"] >= objective_ms * US_PER_MS / 2
         and bool(attempts)
-        and all(record["server"] not in replaced and record["serial"] not in rejected for record in attempts)
+        and all(server not in replaced and outcome not in ("error", "full") for server, outcome in attempts)
     )
 
 
--- a/tests/test_fault_injection_recovery.py
+++ b/tests/test_fault_injection_recovery.py
@@ -41,6 +41,16 @@
     return play_without_violations("again")
 
 
+def gateways_that_served_after(history: RunHistory, at_us: int) -> set[int]:
+    """Return the numbers of the gateways that served a request whose answer arrived after a time."""
+    gateway_by_request = {record["id"]: record["door"] for record in history.records_by_kind["try"]}
+    return {
+        gateway_by_request[record["id"]]
+        for record in history.records_by_kind["end"]
+        if record["how"] == "served" and record["at"] > at_us
+    }
+
+
 def test_restarted_gateways_serve_from_their_snapshots_while_the_registry_is_down(
     registry_restart_history: RunHistory,
 ) -> None:
@@ -123,12 +133,7 @@
     served = [record for record in ends if record["how"] == "served"]
     assert served and any(record["how"] == "refused" for record in ends)
     # After the restart of the others all gateways serve.
-    gateway_by_request = {record["id"]: record["door"] for record in history.records_by_kind["try"]}
-    assert {
-        gateway_by_request[record["id"]]
-        for record in history.records_by_kind["end"]
-        if record["how"] == "served" and record["at"] > restarted_at
-    } == {0, 1, 2, 3}
+    assert gateways_that_served_after(history, restarted_at) == {0, 1, 2, 3}
 
 
 def test_second_gateway_with_the_same_number_does_not_start(tmp_path: Path) -> None:
@@ -179,14 +184,7 @@
     restarted_at = max(
         record["at"] for record in history.records_by_kind["started"] if record["who"] == f"doors-{owners[0]}"
     )
-    served = {
-        record["id"]
-        for record in history.records_by_kind["end"]
-        if record["how"] == "served" and record["at"] > restarted_at
-    }
-    assert {record["door"] for record in history.records_by_kind["try"] if record["id"] in served} == set(
-        range(4)
-    )
+    assert gateways_that_served_after(history, restarted_at) == set(range(4))
 
 
 def test_second_restart_during_recovery_with_cold_scan_servers_and_an_older_list_breaks_no_rule() -> None:
@@ -213,11 +211,4 @@
     assert gateway_log(history, 0).count("is rejected: written 36") == 1
     assert "takes up a snapshot of" in gateway_log(history, 3)
     restarted_at = max(record["at"] for record in history.records_by_kind["started"])
-    served = {
-        record["id"]
-        for record in history.records_by_kind["end"]
-        if record["how"] == "served" and record["at"] > restarted_at
-    }
-    assert {record["door"] for record in history.records_by_kind["try"] if record["id"] in served} == set(
-        range(4)
-    )
+    assert gateways_that_served_after(history, restarted_at) == set(range(4))
