--- a/tests/test_benchmarks_work.py
+++ b/tests/test_benchmarks_work.py
@@ -49,7 +49,7 @@
     assert figures.granted == figures.renewals * figures.budgets
     assert figures.request_bytes < 60 + 4 * 80 and figures.response_bytes < 60 + 4 * 80
     assert "renewals a second of one core" in leases.format_table(figures)
-    assert json.loads(json.dumps(leases.to_json_object(figures)))["budgets"] == 4
+    assert json.loads(json.dumps(figures.to_json_object()))["budgets"] == 4
 
 
 @pytest.mark.parametrize("arguments", [("takeover", "--pairs"), ("leases", "--holders")])
--- a/thistletrail/benchmarks/__main__.py
+++ b/thistletrail/benchmarks/__main__.py
@@ -155,7 +155,7 @@
     figures = await leases.measure(args.holders, args.budgets, args.rate, args.seconds, args.seed)
     print(leases.format_table(figures))
     if args.json:
-        args.json.write_text(json.dumps(leases.to_json_object(figures), indent=1) + "\n")
+        args.json.write_text(json.dumps(figures.to_json_object(), indent=1) + "\n")
 
 
 async def run_cost(args: argparse.Namespace) -> None:
--- a/thistletrail/benchmarks/leases.py
+++ b/thistletrail/benchmarks/leases.py
@@ -175,8 +175,3 @@
             f"log {figures.log_bytes:.0f}",
         ]
     )
-
-
-def to_json_object(figures: Figures) -> dict[str, Any]:
-    """Return the figures under the keys of the JSON file."""
-    return figures.to_json_object()
