--- a/thistletrail/gateway/clients.py
+++ b/thistletrail/gateway/clients.py
@@ -20,6 +20,7 @@
 from thistletrail.gateway.config import Address, Config
 from thistletrail.gateway.cost_counters import CLIENTS, CostCounters
 from thistletrail.gateway.deadline import (
+    MAX_INTEGER_DIGITS,
     MIN_LATE_US,
     Deadline,
     decode_remaining,
@@ -58,7 +59,6 @@
 MAX_PING_ARGUMENTS = 2
 MAX_REQUEST_ID_BYTES = 64
 FIXED_ARGUMENTS = 4  # command, customer, request id and fields; SVC.SUBMIT has a body as well
-MAX_INTEGER_DIGITS = 12
 MAX_WAIT_MULTIPLE = 2  # the longest accepted wait, as a multiple of the class's deadline
 MAX_UNITS_WITHOUT_BURST = 1e6  # the most units of a request whose plan has no burst
 UNITS_PATTERN = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?")
--- a/thistletrail/gateway/deadline.py
+++ b/thistletrail/gateway/deadline.py
@@ -19,7 +19,7 @@
 # at any time in that period, so half of it is the expected wait.
 LOOP_LATENESS_SHARE = 0.5
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_TIME_DIGITS = 12  # limits the cost of parsing a remaining time, in milliseconds
+MAX_INTEGER_DIGITS = 12  # of an integer in a command; limits the cost of parsing it
 
 
 class Stage(IntEnum):
@@ -121,7 +121,7 @@
 
     Returns None if the text is not a number of milliseconds, or the time is greater than `max_us`.
     """
-    if len(text) > MAX_TIME_DIGITS or not (text.isascii() and text.isdigit()):
+    if len(text) > MAX_INTEGER_DIGITS or not (text.isascii() and text.isdigit()):
         return None
     remaining_us = int(text) * MICROSECONDS_PER_MILLISECOND
     return remaining_us if remaining_us <= max_us else None
