--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -21,7 +21,7 @@
 from thistletrail.fault_injection.runs import Run, keep, kept, rows, run, show, text
 from thistletrail.simulation import day as days
 from thistletrail.simulation.errors import ModelError
-from thistletrail.simulation.experiment import BROKEN
+from thistletrail.simulation.experiment import EXIT_RULE_BROKEN
 
 MOST_SEED = 2**53
 
@@ -67,7 +67,7 @@
 
 def violated(runs: list[Run]) -> None:
     if any(found.violations for found in runs):
-        sys.exit(BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @cli.command("run")
@@ -213,7 +213,7 @@
         **{how: result["ends"].get(how, 0) for how in ("refused", "failed", "gone")},
     }
     if scenario.troubles:
-        way = day.way(days.play(days.calm(scenario), seed))
+        way = day.recovery(days.play(days.without_faults(scenario), seed))
         found |= {
             "full_s": way["full_s"],
             "full_after_pong_s": way["full_after_back_s"],
@@ -246,7 +246,7 @@
     for path in found.kept:
         click.echo(str(path))
     if found.kept:
-        sys.exit(BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @cli.command("budgets")
@@ -271,7 +271,7 @@
             f"{one.renewals:8}  {one.stewards:8}  {found.figures.served:6.3f}  {count:6}"
         )
     if wrong:
-        sys.exit(BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @cli.command("deaths")
@@ -305,7 +305,7 @@
         if death.wrong:
             click.echo(f"broken: {death.point}: {death.wrong}")
     if not without and any(death.wrong for death in found):
-        sys.exit(BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @cli.command()
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -20,14 +20,14 @@
     Amount,
     Count,
     Name,
-    Part,
     Range,
     Scenario,
+    ScenarioFault,
+    ScenarioSection,
     Share,
-    Stored,
-    Trouble,
+    StoredState,
     check,
-    trimmed,
+    without_defaults,
 )
 
 # Kinds of process, and of link: between two kinds of process, the one that connects first.
@@ -70,7 +70,7 @@
 TAIL_S = 4.0  # after the last ask: the longest deadline of the operators' classes, and a drain
 
 
-class Fault(Part):
+class Fault(ScenarioSection):
     """One fault, from `at_s` on.
 
     On processes (`on`, a `part` of them or those of `numbers`, of one zone where `zone` says so): `kill`
@@ -107,7 +107,7 @@
     size: Amount = 0.5
 
 
-class Limits(Part):
+class Limits(ScenarioSection):
     """What the checks allow beyond the rules' own figures; times in milliseconds.
 
     `drain_ms` is past the grace of the rule on draining servers; `quota_share` of the units sent, and
@@ -120,7 +120,7 @@
     quota_units: Amount = 2.0
 
 
-class Plan(Part):
+class Plan(ScenarioSection):
     """A fleet of real processes and what befalls it."""
 
     name: Name
@@ -229,10 +229,10 @@
     """The plan as TOML, without what is left at its default; `parse` gives the same one back."""
     values = msgspec.to_builtins(plan)
     usual = msgspec.to_builtins(Plan(name=plan.name, fleet=Scenario(name=plan.fleet.name)))
-    kept = trimmed(values, usual) | {"name": plan.name}
+    kept = without_defaults(values, usual) | {"name": plan.name}
     kept["fleet"] = kept.get("fleet", {}) | {"name": plan.fleet.name}
     plain = msgspec.to_builtins(Fault(kind="kill"))
-    kept["faults"] = [{"kind": one["kind"]} | trimmed(one, plain) for one in values["faults"]]
+    kept["faults"] = [{"kind": one["kind"]} | without_defaults(one, plain) for one in values["faults"]]
     return tomli_w.dumps(kept)
 
 
@@ -248,29 +248,29 @@
     return msgspec.structs.replace(plan.fleet, troubles=tuple(troubles), stored=plan.state), missing
 
 
-def as_trouble(fault: Fault, fleet: Scenario) -> Trouble | None:
+def as_trouble(fault: Fault, fleet: Scenario) -> ScenarioFault | None:
     """One fault as a trouble of the model's; None where it has none that means the same."""
     common = {"at_s": fault.at_s, "for_s": fault.for_s, "part": fault.part, "size": fault.size}
     everywhere = fault.zone is None and not fault.numbers and fault.way == "both" and fault.times == 1
     on = fault.kind, fault.on if fault.kind in ON_PROCESSES else fault.link if fault.kind in ON_LINKS else ""
     if on == ("cut", "doors-servers") and fault.zone is not None and fault.part == 1:
-        return Trouble(kind="zone_cut", zone=fault.zone, **common)
+        return ScenarioFault(kind="zone_cut", zone=fault.zone, **common)
     if not everywhere:
         return None
-    if on == ("kill", "doors") and not fault.stagger_s and fault.state in get_args(Stored):
-        return Trouble(kind="kill_doors", back_s=fault.back_s, state=fault.state, **common)
+    if on == ("kill", "doors") and not fault.stagger_s and fault.state in get_args(StoredState):
+        return ScenarioFault(kind="kill_doors", back_s=fault.back_s, state=fault.state, **common)
     if on == ("term", "doors") and fault.part == 1:
-        return Trouble(kind="restart_doors", **common | {"for_s": fault.stagger_s})
+        return ScenarioFault(kind="restart_doors", **common | {"for_s": fault.stagger_s})
     if on == ("hold", "doors-servers"):
-        return Trouble(kind="silent", **common)
+        return ScenarioFault(kind="silent", **common)
     if on == ("lose", "doors-doors") and fault.part == 1:
-        return Trouble(kind="messages_lost", **common)
+        return ScenarioFault(kind="messages_lost", **common)
     if on == ("delay", "doors-list") and not fault.part < 1:
-        return Trouble(kind="lists_late", **common | {"size": fault.size / 1000})
+        return ScenarioFault(kind="lists_late", **common | {"size": fault.size / 1000})
     if fault.kind in ("bad", "errors_fast", "slow", "burst"):
-        return Trouble(kind=fault.kind, **common)
+        return ScenarioFault(kind=fault.kind, **common)
     if fault.kind == "replace":
-        return Trouble(kind="release", **common)
+        return ScenarioFault(kind="release", **common)
     return None
 
 
--- a/thistletrail/simulation/catalog.py
+++ b/thistletrail/simulation/catalog.py
@@ -10,13 +10,13 @@
 from thistletrail.simulation.servers import ScanServer
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.day import SimulationRun
 
 
 class Catalog:
     """What has been noticed so far, with a version for each change; each door hears a little later."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: SimulationRun) -> None:
         self.day, self.version = day, 1
         self.entries: dict[str, Server] = {}
         self.extra_us = 0  # how much later than usual doors hear
--- a/thistletrail/simulation/clients.py
+++ b/thistletrail/simulation/clients.py
@@ -15,7 +15,7 @@
 from thistletrail.simulation.watched import Decided
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.day import SimulationRun
     from thistletrail.simulation.doors import Door
     from thistletrail.simulation.kept import Piece
 
@@ -98,7 +98,7 @@
 class Clients:
     """All customers and the front that spreads their requests over the doors."""
 
-    def __init__(self, day: Day, spec: ClientsSpec, stream: Stream) -> None:
+    def __init__(self, day: SimulationRun, spec: ClientsSpec, stream: Stream) -> None:
         self.day, self.spec, self.stream = day, spec, stream
         self.serial = itertools.count(1)
         self.down: set[int] = set()  # doors that the front has seen down
@@ -279,7 +279,7 @@
 class Demand:
     """All customers of a run, each asking at random moments at its own, changing rate."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: SimulationRun) -> None:
         self.day, scenario = day, day.scenario
         self.spec, self.stream, self.work = scenario.demand, day.streams["demand"], day.streams["asks"]
         stream = self.stream
--- a/thistletrail/simulation/doors.py
+++ b/thistletrail/simulation/doors.py
@@ -49,7 +49,7 @@
 from thistletrail.simulation.watched import Decided, DecisionRecorder
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.day import SimulationRun
     from thistletrail.simulation.kept import Piece
 
 IDLE_PART = 0.5  # of a server's idle time after which a door closes: as the gateway process does
@@ -95,7 +95,7 @@
 class Door:
     """One front door, dead or alive; all its knowledge goes with its process."""
 
-    def __init__(self, day: Day, number: int, zone: int) -> None:
+    def __init__(self, day: SimulationRun, number: int, zone: int) -> None:
         self.day, self.number, self.zone = day, number, zone
         self.gateway: PolicyEngine | None = None
         self.decisions = DecisionRecorder()
@@ -280,7 +280,7 @@
     def inherit(self, piece: Piece) -> None:
         """Go on with the work of a dead door."""
         until = self.day.kept.until_us(piece)
-        try_ = Try(f"{piece.ask.customer.name}.{next(self.day.heirs)}", piece.ask, self, until)
+        try_ = Try(f"{piece.ask.customer.name}.{next(self.day.takeover_numbers)}", piece.ask, self, until)
         try_.heir, try_.booked, try_.inside = piece, True, piece.inside
         self.go_on(try_, until, piece.server)
 
--- a/thistletrail/simulation/errors.py
+++ b/thistletrail/simulation/errors.py
@@ -1,5 +1,5 @@
-"""What a user of the model did wrong, as one plain line."""
+"""The error for invalid input of a user of the simulation."""
 
 
 class ModelError(Exception):
-    """Bad input: a scenario, a revision or an option that cannot be used."""
+    """A scenario, a revision, a file or an option cannot be used; the message is one line."""
--- a/thistletrail/simulation/kept.py
+++ b/thistletrail/simulation/kept.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from thistletrail.simulation.clients import Ask, Try
-    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.day import SimulationRun
     from thistletrail.simulation.doors import Open
     from thistletrail.simulation.servers import ScanServer
 
@@ -40,7 +40,7 @@
 class Kept:
     """All work whose door has died, by the ask that it is for."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: SimulationRun) -> None:
         self.day, self.on = day, day.scenario.takeover
         self.pieces: dict[Ask, Piece] = {}
         self.counts: Counter[str] = Counter()
--- a/thistletrail/simulation/leased.py
+++ b/thistletrail/simulation/leased.py
@@ -18,7 +18,7 @@
 from thistletrail.simulation.clock import MS
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.day import SimulationRun
     from thistletrail.simulation.doors import Door
 
 ASK_US = 4 * MS  # from an ask to its answer: two ways on a machine's network, and a sync of the log
@@ -30,7 +30,7 @@
 class Leases:
     """The steward, and each door's asks; nothing where the scenario does not say so."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: SimulationRun) -> None:
         self.day, self.on = day, day.scenario.leased or day.scenario.leased_quotas
         self.state = BudgetState(0, day.clock.now // MS, 0)
         self.held: dict[int, Held] = {}
--- a/thistletrail/simulation/network.py
+++ b/thistletrail/simulation/network.py
@@ -11,14 +11,14 @@
 from thistletrail.simulation.streams import Stream
 
 if TYPE_CHECKING:
-    from thistletrail.simulation.day import Day
+    from thistletrail.simulation.day import SimulationRun
     from thistletrail.simulation.doors import Door
 
 
 class Network:
     """Delays are a run's mean for a pair of zones, with jitter; what is cut says and hears nothing."""
 
-    def __init__(self, day: Day, clock: Clock, spec: Net, stream: Stream) -> None:
+    def __init__(self, day: SimulationRun, clock: Clock, spec: Net, stream: Stream) -> None:
         self.day, self.clock, self.spec, self.stream = day, clock, spec, stream
         self.same_us, self.cross_us = stream.span(spec.same_ms) * MS, stream.span(spec.cross_ms) * MS
         self.client_us, self.jitter = stream.span(spec.client_ms) * MS, stream.span(spec.jitter)
@@ -45,7 +45,7 @@
         self, door: Door, server: ScanServer | None, call: Callable[..., None], *args: object
     ) -> None:
         """Open a connection: `call` is told at the end whether it came up."""
-        if server is None or not self.reaches(door, server) or self.day.vanished(server):
+        if server is None or not self.reaches(door, server) or self.day.is_unresponsive(server):
             self.clock.after(self.spec.connect_timeout_ms * MS, call, *args, False)
             return
         rtt = 2 * self.way_us(door.zone, server.zone)
@@ -58,7 +58,7 @@
         call(*args, self.reaches(door, server) and server.connect())
 
     def to_server(self, door: Door, server: ScanServer, call: Callable[..., None], *args: object) -> None:
-        if self.reaches(door, server) and not self.day.vanished(server):
+        if self.reaches(door, server) and not self.day.is_unresponsive(server):
             self.clock.after(self.spec.handling_us + self.way_us(door.zone, server.zone), call, *args)
 
     def from_server(
