--- a/thistletrail/simulation/day.py
+++ b/thistletrail/simulation/day.py
@@ -66,7 +66,8 @@
         self.catalog = Catalog(self)
         self.servers: dict[str, ScanServer] = {}
         self.unresponsive_servers: set[str] = set()
-        self.kept, self.takeover_numbers = Kept(self), itertools.count(1)
+        self.kept = Kept(self)
+        self.takeover_numbers = itertools.count(1)  # makes the ids of taken-over requests unique
         self.leases = Leases(self)
         self.doors = [Door(self, number, number % scenario.net.zones) for number in range(scenario.doors)]
         self.clients = Clients(self, scenario.clients, self.streams["clients"])
--- a/thistletrail/simulation/experiment.py
+++ b/thistletrail/simulation/experiment.py
@@ -102,7 +102,7 @@
     scenario: str
     seed: int
     constants: tuple[str, ...] = ()  # NAME=NUMBER: constants of the policy with other values
-    with_baseline: bool = False  # whether to run it without its faults too, to measure the recovery
+    with_baseline: bool = False  # measures the recovery: also runs the scenario without faults
 
 
 @dataclass
--- a/thistletrail/simulation/fidelity.py
+++ b/thistletrail/simulation/fidelity.py
@@ -38,7 +38,7 @@
 
     bench: str
     kind: str
-    days: int
+    seed_count: int
     bench_changes: dict[str, float]
     model_changes: dict[str, float]
 
@@ -161,7 +161,7 @@
             for rev in revs
         ]
         lines.append(
-            f"| {row.bench} | {row.kind} | {row.days} | {row.correlation():.2f} | {' | '.join(cells)} |"
+            f"| {row.bench} | {row.kind} | {row.seed_count} | {row.correlation():.2f} | {' | '.join(cells)} |"
         )
     pairs = [(row.bench_changes[rev], row.model_changes[rev]) for row in rows for rev in row.bench_changes]
     means = [
