--- a/thistletrail/fault_injection/__main__.py
+++ b/thistletrail/fault_injection/__main__.py
@@ -28,14 +28,14 @@
     store_run,
 )
 from thistletrail.simulation import run as simulation
-from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.errors import SimulationError
 from thistletrail.simulation.experiment import EXIT_RULE_BROKEN
 
 MAX_SEED = 2**53
 
 
 class FaultInjectionGroup(Group):
-    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, ModelError, BenchError)
+    errors: ClassVar[tuple[type[Exception], ...]] = (FaultInjectionError, SimulationError, BenchError)
 
 
 def say(text: str) -> None:
@@ -220,7 +220,7 @@
     """The figures of one simulated run, under the names of `Figures` where both have them."""
     day = simulation.play(scenario, seed)
     result = day.result()
-    points = day.books.points
+    points = day.accounting.points
     offered = sum(worth for _, worth, _ in points) or 1.0
     figures: dict[str, object] = {
         "served": sum(worth for _, worth, in_time in points if in_time) / offered,
--- a/thistletrail/fault_injection/back.py
+++ b/thistletrail/fault_injection/back.py
@@ -78,7 +78,7 @@
 
 
 def play(runner: Runner, plan: Plan, case: Case, out: Path) -> Run:
-    """Play a case in a process of its own and load the stored run. Raises ModelError if the process fails."""
+    """Play a case in its own process and load the stored run. Raises SimulationError if the process fails."""
     folder = out / case.name
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "wanted.toml"
--- a/thistletrail/fault_injection/clients.py
+++ b/thistletrail/fault_injection/clients.py
@@ -97,7 +97,7 @@
         else:
             program.writer.note("late", id=request.id, how=how)
 
-    def client_gone(self, request: ClientRequest) -> bool:
+    def on_client_disconnect(self, request: ClientRequest) -> bool:
         """Handle a client's time-out; return whether an answer was still outstanding.
 
         The connection stays open for the grace period `limits.answer_ms`, to record a late answer.
@@ -157,7 +157,7 @@
 
     def draw_detection_delay_us(self) -> float:
         """Draw the delay in microseconds after which the load balancer detects a gateway that is down."""
-        return self.stream.span(self.spec.notice_s) * S
+        return self.stream.uniform_in(self.spec.notice_s) * S
 
     def start_operation(self, customer: Customer, kind: int, work_us: float) -> None:
         self.program.open_operations += 1
@@ -196,7 +196,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_operations = 0  # operations that have not ended
         self.world.clients = self.clients = LiveClients(self, self.world)
-        self.world.doors = [
+        self.world.gateways = [
             Gateway(self, number, (host, int(port)))
             for number, address in enumerate(config.doors)
             for host, _, port in [address.rpartition(":")]
@@ -256,7 +256,7 @@
                 entry.customer.cumulative = entry.cumulative
             else:
                 self.clients.start_operation(entry.customer, entry.kind, entry.work_us)
-        while self.open_operations or any(gateway.busy_connections for gateway in self.world.doors):
+        while self.open_operations or any(gateway.busy_connections for gateway in self.world.gateways):
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/thistletrail/fault_injection/plan.py
+++ b/thistletrail/fault_injection/plan.py
@@ -15,7 +15,7 @@
 import tomli_w
 
 from thistletrail.fault_injection.errors import FaultInjectionError
-from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.errors import SimulationError
 from thistletrail.simulation.scenario import (
     Amount,
     Count,
@@ -166,7 +166,7 @@
         verify(plan, name)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise FaultInjectionError(f"{name}: {' '.join(str(error).split())}") from error
-    except ModelError as error:
+    except SimulationError as error:
         raise FaultInjectionError(str(error)) from error
     return plan
 
--- a/thistletrail/simulation/experiment.py
+++ b/thistletrail/simulation/experiment.py
@@ -22,7 +22,7 @@
 import msgspec
 import numpy as np
 
-from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.errors import SimulationError
 
 ROOT = Path(__file__).resolve().parents[2]
 # The last revision with one top-level package for each component, and the packages that its simulation needs.
@@ -74,7 +74,7 @@
     single package run in the simulation of LAST_OLD_LAYOUT, which can run all revisions up to then.
 
     Raises:
-        ModelError: git does not know the revision, or the revision has no policy.
+        SimulationError: git does not know the revision, or the revision has no policy.
     """
     with tempfile.TemporaryDirectory(prefix="simulation-") as directory:
         folder = Path(directory)
@@ -85,12 +85,12 @@
             yield SourceTree(folder)
         elif extract_from_git(revision, ("fennelwinch",), folder):
             if not extract_from_git(LAST_OLD_LAYOUT, OLD_LAYOUT_PACKAGES, folder):
-                raise ModelError(
+                raise SimulationError(
                     f"revision '{revision}' needs {LAST_OLD_LAYOUT[:7]}, which is not in this clone"
                 )
             yield SourceTree(folder, "model")
         else:
-            raise ModelError(f"there is no revision '{revision}' with a decision module")
+            raise SimulationError(f"there is no revision '{revision}' with a decision module")
 
 
 @dataclass(frozen=True)
@@ -119,7 +119,7 @@
         """Make a run and return its total.
 
         Raises:
-            ModelError: the run failed, or the runner was stopped.
+            SimulationError: the run failed, or the runner was stopped.
         """
         command = [
             sys.executable,
@@ -141,12 +141,12 @@
         """Run a command in a folder and return its standard output.
 
         Raises:
-            ModelError: the command failed (the message has `name` and the last line of its standard error),
+            SimulationError: the command failed (the message has `name` and the last line of standard error),
                 or the runner was stopped.
         """
         with self.lock:
             if self.stopped.is_set():
-                raise ModelError("stopped")
+                raise SimulationError("stopped")
             # In a session of its own: Ctrl-C reaches only the parent, which then ends its runs in order.
             process = subprocess.Popen(
                 command,
@@ -163,10 +163,10 @@
             with self.lock:
                 self.running.discard(process)
         if self.stopped.is_set():
-            raise ModelError("stopped")
+            raise SimulationError("stopped")
         if process.returncode not in (0, EXIT_RULE_BROKEN):
             error_lines = errors.decode(errors="replace").strip().splitlines() or ["it said nothing"]
-            raise ModelError(f"{name}: exit code {process.returncode}: {error_lines[-1]}")
+            raise SimulationError(f"{name}: exit code {process.returncode}: {error_lines[-1]}")
         return output
 
     def stop(self) -> None:
@@ -228,7 +228,7 @@
     """Return the median of the differences and its percentile interval, by resampling the pairs."""
     values = np.asarray(differences, dtype=float)
     if not len(values):
-        raise ModelError("there are no pairs")
+        raise SimulationError("there are no pairs")
     generator = np.random.Generator(np.random.PCG64(seed))
     resamples = values[generator.integers(0, len(values), (BOOTSTRAP_RESAMPLES, len(values)))]
     medians = np.median(resamples, axis=1)
@@ -239,7 +239,7 @@
 
 def compared_figures(total: dict[str, object]) -> dict[str, float]:
     """Return the figures of a run that are compared, from its total."""
-    asks = max(1, total["asks"])
+    operations = max(1, total["asks"])
     messages = total["messages"]
     sent = sum(messages.values())
     return {
@@ -247,15 +247,15 @@
         "whole": total["whole"],
         "worst_10s": total["worst_10s"],
         "over_quota": total["prices"]["over_quota"],
-        "tries an ask": total["tries"] / asks,
-        "attempts an ask": total["attempts"] / asks,
-        "handshakes an ask": total["handshakes"] / asks,
-        "messages an ask": sent / asks,
+        "tries an ask": total["tries"] / operations,
+        "attempts an ask": total["attempts"] / operations,
+        "handshakes an ask": total["handshakes"] / operations,
+        "messages an ask": sent / operations,
         "messages lost": 1 - messages.get("arrived", 0) / sent if sent else 0.0,
         "refused, ceiling half unused": sum(
             count for cause, count in total["refused"].items() if cause.startswith("half unused, ceiling")
         )
-        / asks,
+        / operations,
         "units beyond quota": float(total["units_beyond"]),
         "broken rules": float(sum(total["broken"].values())),
         "keyed in two zones": float(total.get("zones", 0)),
@@ -312,7 +312,7 @@
     """Set a numeric constant of the policy, given as NAME=NUMBER, in each of its modules that has the name.
 
     Raises:
-        ModelError: the assignment is malformed, or no loaded module has such a constant.
+        SimulationError: the assignment is malformed, or no loaded module has such a constant.
     """
     name, separator, value = assignment.partition("=")
     try:
@@ -320,7 +320,7 @@
     except ValueError:
         separator = ""
     if not separator:
-        raise ModelError(f"'{assignment}' is not NAME=NUMBER")
+        raise SimulationError(f"'{assignment}' is not NAME=NUMBER")
     is_known = False
     for module in [
         module for key, module in sorted(sys.modules.items()) if key.startswith("thistletrail.policy.")
@@ -330,4 +330,4 @@
             setattr(module, name, kind(number) if number == kind(number) else number)
             is_known = True
     if not is_known:
-        raise ModelError(f"the decision module has no constant '{name}' that is a number")
+        raise SimulationError(f"the decision module has no constant '{name}' that is a number")
--- a/thistletrail/simulation/network.py
+++ b/thistletrail/simulation/network.py
@@ -23,9 +23,12 @@
 
     def __init__(self, run: SimulationRun, clock: Clock, spec: Net, stream: Stream) -> None:
         self.run, self.clock, self.spec, self.stream = run, clock, spec, stream
-        self.same_us, self.cross_us = stream.span(spec.same_ms) * MS, stream.span(spec.cross_ms) * MS
-        self.client_us, self.jitter = stream.span(spec.client_ms) * MS, stream.span(spec.jitter)
-        self.peer_us, self.peer_loss = stream.span(spec.peer_ms) * MS, stream.span(spec.peer_loss)
+        self.same_us, self.cross_us = (
+            stream.uniform_in(spec.same_ms) * MS,
+            stream.uniform_in(spec.cross_ms) * MS,
+        )
+        self.client_us, self.jitter = stream.uniform_in(spec.client_ms) * MS, stream.uniform_in(spec.jitter)
+        self.peer_us, self.peer_loss = stream.uniform_in(spec.peer_ms) * MS, stream.uniform_in(spec.peer_loss)
         self.isolated_zones: set[int] = set()  # each reaches only itself
         self.unreachable_servers: set[str] = set()
         self.answer_loss = 0.0  # share of answers that are lost
@@ -82,16 +85,16 @@
 
     def send_datagram(self, sender: int, peer: int, data: bytes) -> None:
         """Send a datagram from one gateway to another, and count its fate if it does not arrive."""
-        gateways, books = self.run.doors, self.run.books
+        gateways, accounting = self.run.gateways, self.run.accounting
         if not 0 <= peer < len(gateways):
-            books.record_violation("a message to nobody", f"door {sender} to {peer}")
+            accounting.record_violation("a message to nobody", f"door {sender} to {peer}")
             return
         if not self.are_zones_connected(gateways[sender].zone, gateways[peer].zone):
-            books.count_message("cut off")
+            accounting.count_message("cut off")
         elif self.stream.chance(self.peer_loss) or (
             self.message_loss and self.stream.chance(self.message_loss)
         ):
-            books.count_message("lost on the way")
+            accounting.count_message("lost on the way")
         else:
             delay_us = self.peer_us * (0.5 + self.stream.exponential(0.5))
             self.clock.after(delay_us, gateways[peer].receive_datagram, sender, data)
--- a/thistletrail/simulation/report.py
+++ b/thistletrail/simulation/report.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from thistletrail.simulation.errors import ModelError
+from thistletrail.simulation.errors import SimulationError
 
 MAX_PLOTTED_CAUSES = 8  # the others are drawn as one
 STYLE = (
@@ -35,7 +35,7 @@
     """Read the file of a run.
 
     Raises:
-        ModelError: the file cannot be read, or is not that of a complete run; the message names the file and,
+        SimulationError: the file cannot be read or is not that of a complete run; the message names it and,
             for invalid JSON, the line.
     """
     run = Run(path.stem, {})
@@ -43,11 +43,11 @@
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
                 if number > MAX_LINES:
-                    raise ModelError(f"{path}: more than {MAX_LINES} lines")
+                    raise SimulationError(f"{path}: more than {MAX_LINES} lines")
                 try:
                     value = msgspec.json.decode(line, type=dict[str, object])
                 except msgspec.DecodeError as error:
-                    raise ModelError(f"{path}, line {number}: {error}") from error
+                    raise SimulationError(f"{path}, line {number}: {error}") from error
                 kind = value.get("kind")
                 if kind == "second":
                     run.seconds.append(value)
@@ -56,9 +56,9 @@
                 elif kind == "total":
                     run.total = value
     except OSError as error:
-        raise ModelError(f"{path}: cannot be read: {error.strerror}") from error
+        raise SimulationError(f"{path}: cannot be read: {error.strerror}") from error
     if not run.total or not run.seconds:
-        raise ModelError(f"{path}: these are not the lines of a whole run (was it made with --total?)")
+        raise SimulationError(f"{path}: these are not the lines of a whole run (was it made with --total?)")
     return run
 
 
@@ -162,7 +162,7 @@
     """Write the report of these runs, in the order given, as one self-contained file.
 
     Raises:
-        ModelError: the file cannot be written.
+        SimulationError: the file cannot be written.
     """
     text = "\n".join(
         [
@@ -177,4 +177,4 @@
     try:
         out.write_text(text)
     except OSError as error:
-        raise ModelError(f"{out}: cannot be written: {error.strerror}") from error
+        raise SimulationError(f"{out}: cannot be written: {error.strerror}") from error
--- a/thistletrail/simulation/servers.py
+++ b/thistletrail/simulation/servers.py
@@ -43,20 +43,20 @@
     def __init__(self, scenario: Scenario, stream: Stream) -> None:
         spec = scenario.servers
         self.cores = spec.cores
-        self.slots = max(spec.cores, round(stream.span(spec.slots) * spec.cores))
-        self.queue = round(stream.span(spec.queue) * spec.cores)
-        self.thrash, self.thrash_at = stream.span(spec.thrash), stream.span(spec.thrash_at)
-        self.cold_from = max(scenario.cold_from, stream.span(spec.cold_from))
-        self.cold_us = min(scenario.warm_within_s, stream.span(spec.cold_s)) * S
-        self.connections, self.full_tax = spec.connections, stream.span(spec.full_tax)
-        self.handshake_us = stream.span(spec.handshake_us)
-        self.handshake_rtts = stream.span(spec.handshake_rtts)
-        self.error_rate = stream.span(spec.error_rate)
+        self.slots = max(spec.cores, round(stream.uniform_in(spec.slots) * spec.cores))
+        self.queue = round(stream.uniform_in(spec.queue) * spec.cores)
+        self.thrash, self.thrash_at = stream.uniform_in(spec.thrash), stream.uniform_in(spec.thrash_at)
+        self.cold_from = max(scenario.cold_from, stream.uniform_in(spec.cold_from))
+        self.cold_us = min(scenario.warm_within_s, stream.uniform_in(spec.cold_s)) * S
+        self.connections, self.full_tax = spec.connections, stream.uniform_in(spec.full_tax)
+        self.handshake_us = stream.uniform_in(spec.handshake_us)
+        self.handshake_rtts = stream.uniform_in(spec.handshake_rtts)
+        self.error_rate = stream.uniform_in(spec.error_rate)
         # Both are drawn in any case, so that a scenario that sets them leaves the later draws as they are.
         drawn = stream.chance(0.5), stream.chance(0.5)
         self.drops_cancelled = drawn[0] if spec.drops_cancelled is None else spec.drops_cancelled
         self.drops_expired = drawn[1] if spec.drops_expired is None else spec.drops_expired
-        self.speed, self.speed_cv = stream.span(spec.speed), stream.span(spec.speed_cv)
+        self.speed, self.speed_cv = stream.uniform_in(spec.speed), stream.uniform_in(spec.speed_cv)
         self.fall_multiple, self.fall_us = scenario.fall_multiple, scenario.fall_s * S
         self.idle_us = spec.idle_s * S
 
--- a/thistletrail/simulation/streams.py
+++ b/thistletrail/simulation/streams.py
@@ -32,22 +32,22 @@
             self.uniforms = self.generator.random(BLOCK_SIZE).tolist()
         return self.uniforms.pop()
 
-    def between(self, low: float, high: float) -> float:
+    def uniform_between(self, low: float, high: float) -> float:
         return low + (high - low) * self.uniform()
 
-    def span(self, pair: tuple[float, float]) -> float:
+    def uniform_in(self, bounds: tuple[float, float]) -> float:
         """Return a number from a range of a scenario, given as its lower and upper end."""
-        return self.between(*pair)
+        return self.uniform_between(*bounds)
 
     def chance(self, probability: float) -> bool:
         return self.uniform() < probability
 
-    def below(self, count: int) -> int:
+    def integer_below(self, count: int) -> int:
         """Return an integer from 0 up to, but not including, `count`."""
         return int(self.uniform() * count)
 
-    def pick(self, values: Sequence[T]) -> T:
-        return values[self.below(len(values))]
+    def choice(self, values: Sequence[T]) -> T:
+        return values[self.integer_below(len(values))]
 
     def exponential(self, mean: float) -> float:
         return -mean * math.log1p(-self.uniform())
