--- a/thistletrail/fault_injection/load_generator.py
+++ b/thistletrail/fault_injection/load_generator.py
@@ -135,7 +135,7 @@
         try:
             while True:
                 if now_us() - began_us > detection_delay_us:
-                    generator.clients.down.add(self.number)
+                    generator.clients.known_down.add(self.number)
                 try:
                     async with asyncio.timeout(PONG_TIMEOUT_S):
                         _, connection = await generator.loop.create_connection(
@@ -151,7 +151,7 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             self.is_probing = False
-            generator.clients.down.discard(self.number)
+            generator.clients.known_down.discard(self.number)
 
 
 class LiveClients(Clients):
@@ -160,7 +160,9 @@
     def __init__(self, generator: LoadGenerator, world: World) -> None:
         super().__init__(world, world.scenario.clients, world.streams["clients"])  # type: ignore[arg-type]
         self.generator, self.writer = generator, generator.writer
-        self.serial = itertools.count((16 + generator.config.number) << 56)  # unique ids of 16 hex digits
+        self.request_numbers = itertools.count(
+            (16 + generator.config.number) << 56
+        )  # unique ids of 16 hex digits
         self.idempotency_keys: dict[int, str] = {}  # by id() of the open operation
 
     def draw_detection_delay_us(self) -> float:
@@ -172,15 +174,15 @@
         self.generator.open_operations += 1
         super().start_operation(customer, class_index, work_us)
 
-    def receive(self, request: ClientRequest, result: str, cause: str, retry_after_us: int) -> None:
+    def end_request(self, request: ClientRequest, result: str, cause: str, retry_after_us: int) -> None:
         """End a request, and record its outcome."""
         if not request.is_over:
             self.writer.note("end", id=request.id, how=result, wait_us=retry_after_us)
-        super().receive(request, result, cause, retry_after_us)
+        super().end_request(request, result, cause, retry_after_us)
 
-    def end(self, operation: Operation, served: ClientRequest | None, cause: str) -> None:
+    def end_operation(self, operation: Operation, served: ClientRequest | None, cause: str) -> None:
         """End an operation, and record it."""
-        super().end(operation, served, cause)
+        super().end_operation(operation, served, cause)
         rule = self.run.scenario.classes[operation.class_index]
         self.idempotency_keys.pop(id(operation), None)
         self.generator.open_operations -= 1
@@ -188,9 +190,9 @@
             "ask",
             first_us=operation.first_us,
             customer=operation.customer.name,
-            worth=operation.worth,
+            worth=operation.value,
             ideal=operation.is_in_ideal_quota,
-            tries=operation.requests,
+            tries=operation.request_count,
             served=served.id if served else "",
             in_time=bool(served) and now_us() <= operation.objective_end_us,
             **{"class": rule.name, "plan": self.run.scenario.plans[operation.customer.plan].name},
@@ -233,11 +235,11 @@
             customer=customer.name,
             key=key,
             left_ms=remaining_ms,
-            number=operation.requests,
+            number=operation.request_count,
             **{"class": rule.name, "plan": plan},
         )
         fields = (
-            f"c={rule.name},t={plan},d={remaining_ms},units=1,spread={customer.size},first={customer.first}"
+            f"c={rule.name},t={plan},d={remaining_ms},units=1,spread={customer.set_size},first={customer.set_first}"
         ).encode()
         arguments = [customer.name.encode(), request.id.encode()]
         if rule.keyed:
@@ -267,7 +269,7 @@
             if (wait_us := start_us + entry.at_us - now_us()) > 0:
                 await asyncio.sleep(wait_us / 1e6)
             if entry.cumulative is not None:
-                entry.customer.cumulative = entry.cumulative
+                entry.customer.cumulative_weights = entry.cumulative
             else:
                 self.clients.start_operation(entry.customer, entry.class_index, entry.work_us)
         while self.open_operations or any(gateway.busy_connections for gateway in self.world.gateways):
--- a/thistletrail/fault_injection/restarts.py
+++ b/thistletrail/fault_injection/restarts.py
@@ -106,7 +106,7 @@
         "--tree",
         str(case.tree),
     ]
-    runner.run(command, ROOT, os.environ, case.name)
+    runner.run_command(command, ROOT, os.environ, case.name)
     return load_run(folder)
 
 
--- a/thistletrail/fault_injection/stub_scan_server.py
+++ b/thistletrail/fault_injection/stub_scan_server.py
@@ -97,7 +97,7 @@
         self.clock = RealClock(self.loop)
         world = World(plan.fleet, config.seed, self.clock)
         self.class_indexes = {rule.name: n for n, rule in enumerate(plan.fleet.classes)}
-        self.means, self.cvs = world.demand.means, world.demand.cvs
+        self.means, self.cvs = world.demand.work_means_us, world.demand.work_cvs
         self.stream = Stream(config.seed, f"server/{config.name}")
         self.zone = config.number % plan.fleet.net.zones
         cells = plan.fleet.net.zones * (config.number // plan.fleet.net.zones // plan.fleet.servers.cell_size)
@@ -173,7 +173,7 @@
         handshake_us = self.server.traits.handshake_us if connection.is_new else 0.0
         connection.is_new = False
         work = Work(work_us, now_us() + int(fields["d"]) * 1000, self.on_work_end)
-        connection.active = work.served = ActiveAttempt(connection, next(self.serials), work)
+        connection.active = work.context = ActiveAttempt(connection, next(self.serials), work)
         self.writer.note(
             "came",
             server=self.config.name,
@@ -200,7 +200,7 @@
 
     def on_work_end(self, work: Work, outcome: str) -> None:
         """Write the answer of an attempt that the simulated scan server has finished."""
-        attempt: ActiveAttempt = work.served
+        attempt: ActiveAttempt = work.context
         connection = attempt.connection
         if connection.active is not attempt:
             return  # its connection is closed
--- a/thistletrail/simulation/endpoint_list.py
+++ b/thistletrail/simulation/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The registry's endpoint list: it learns of changes seconds later, and lists only running processes."""
+"""The service registry's endpoint list, which has each change of a server seconds after it happened."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndpointList:
-    """The servers that the registry knows. Each change has a new version and reaches the gateways later."""
+    """The servers that the registry knows. Each change has a new version, and gateways get it later."""
 
     def __init__(self, run: SimulationRun) -> None:
         self.run, self.version = run, 1
@@ -27,19 +27,19 @@
         self.initial_entries: tuple[Server, ...] = ()
 
     def entry(self, server: ScanServer, state: ServerState) -> Server:
-        """Return the list's entry of a server in a state."""
+        """Return the list's entry for a server, with this state."""
         return Server(
             server.name, server.zone, 0, server.cell, state, float(server.traits.cores), server.started_us
         )
 
     def begin(self) -> None:
-        """Fill the list with the servers that run at the start, which all gateways know."""
+        """Fill the list with the servers that run at the start of the run, which all gateways have cached."""
         for server in self.run.servers.values():
             self.entries[server.name] = self.entry(server, SERVING)
         self.initial_entries = tuple(self.entries.values())
 
     def cached_list(self, is_restart: bool) -> EndpointUpdate:
-        """Return the list that a gateway has cached: at a restart the present one, else that of the start."""
+        """Return the list that a gateway has cached: at a restart the present one, else the initial one."""
         entries = tuple(self.entries.values()) if is_restart else self.initial_entries
         return EndpointUpdate(EndpointUpdateKind.CACHED, self.version, entries)
 
--- a/thistletrail/simulation/report.py
+++ b/thistletrail/simulation/report.py
@@ -13,16 +13,16 @@
 
 from thistletrail.simulation.errors import SimulationError
 
-MAX_PLOTTED_CAUSES = 8  # the others are drawn as one
+MAX_PLOTTED_CAUSES = 8  # the others are plotted as one sum
 STYLE = (
     "body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em}"
     "table{border-collapse:collapse}td{border:1px solid #ccc;padding:.2em .6em}img{max-width:100%}"
 )
-MAX_LINES = 1_000_000  # in the file of a run; a run of the longest scenario writes some thousand lines
+MAX_LINES = 1_000_000  # of a run's file; a run of the longest scenario writes a few thousand
 
 
 @dataclass
-class Run:
+class RecordedRun:
     """A run as read from its file of JSON lines."""
 
     name: str
@@ -31,14 +31,14 @@
     servers: list[dict[str, object]] = field(default_factory=list)
 
 
-def read(path: Path) -> Run:
+def read(path: Path) -> RecordedRun:
     """Read the file of a run.
 
     Raises:
         SimulationError: the file cannot be read or is not that of a complete run; the message names it and,
             for invalid JSON, the line.
     """
-    run = Run(path.stem, {})
+    run = RecordedRun(path.stem, {})
     try:
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
@@ -58,12 +58,12 @@
     except OSError as error:
         raise SimulationError(f"{path}: cannot be read: {error.strerror}") from error
     if not run.total or not run.seconds:
-        raise SimulationError(f"{path}: not the output of a complete run (was it written with --total?)")
+        raise SimulationError(f"{path}: not the output of a complete run (or written with --total)")
     return run
 
 
-def counts_by_cause(run: Run, key: str) -> dict[str, list[float]]:
-    """Return the count of each cause in each second; less frequent causes are summed as `others`."""
+def counts_by_cause(run: RecordedRun, key: str) -> dict[str, list[float]]:
+    """Return the counts of each cause by second; less frequent causes are summed as `others`."""
     sums: dict[str, float] = defaultdict(float)
     for second in run.seconds:
         for cause, count in second[key].items():
@@ -76,7 +76,7 @@
     return rows
 
 
-def plots(run: Run) -> str:
+def plots(run: RecordedRun) -> str:
     """Return the plots of the run as one PNG image in Base64."""
     import matplotlib
 
@@ -92,7 +92,7 @@
             for offered, earned in [second["classes"][name]]
         ]
         axes[0].plot(times_s, shares, marker=".", label=name)
-    axes[0].set(title="served, as a share of the worth offered", ylim=(0, 1.3), xlabel="second")
+    axes[0].set(title="served, as a share of the value offered", ylim=(0, 1.3), xlabel="second")
     for axis, key, title, unit in (
         (axes[1], "refused", "rejections by cause", "requests a second"),
         (axes[2], "over", "units beyond quota by cause", "units a second"),
@@ -130,7 +130,7 @@
     )
 
 
-def section(run: Run) -> str:
+def section(run: RecordedRun) -> str:
     """Return the section of the report about one run, as HTML."""
     total = run.total
     figures = {
@@ -152,7 +152,7 @@
         f"<p>{'No rule was broken.' if not broken else 'Broken rules: ' + html.escape(str(broken))}</p>"
     )
     for title, key, reference in (
-        ("Losses of worth by cause, net", "lost", total["offered"]),
+        ("Losses of value by cause, net", "lost", total["offered"]),
         ("Rejections by cause", "refused", total["ends"].get("refused", 0)),
         ("Units beyond quota by cause", "over", total["units_beyond"]),
     ):
@@ -161,7 +161,7 @@
     return "\n".join(fragments)
 
 
-def write(runs: list[Run], out: Path) -> None:
+def write(runs: list[RecordedRun], out: Path) -> None:
     """Write the report of these runs, in the order given, as one self-contained file.
 
     Raises:
